--- a/components/entry/benches/decide.rs
+++ b/components/entry/benches/decide.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use chicoryford_entry::router::Book;
-use chicoryford_entry::router::Verdict;
-use chicoryford_entry::router::Want;
-use chicoryford_entry::router::book::Bounds;
+use chicoryford_entry::router::AttemptEnd;
+use chicoryford_entry::router::EndpointQuery;
+use chicoryford_entry::router::RouterState;
+use chicoryford_entry::router::state::Bounds;
 use chicoryford_types::Config;
 use chicoryford_types::Endpoint;
 use chicoryford_types::EndpointInfo;
@@ -63,14 +63,14 @@
     Arc::new(config)
 }
 
-fn want(n: u64, now: Millis) -> Want {
-    Want {
+fn endpoint_query(n: u64, now: Millis) -> EndpointQuery {
+    EndpointQuery {
         request: RequestId(0, n),
         workspace: Workspace::from("w"),
         model: Model::from("m"),
         deadline: now + 60_000,
         tokens: 100,
-        ..Want::default()
+        ..EndpointQuery::default()
     }
 }
 
@@ -78,25 +78,25 @@
 /// these there really were.
 fn measure(endpoints: u32, busy: u64) -> (u64, usize) {
     let bounds = Bounds { running: 1_000_000, waiting: 4_096, subset: 48, ..Bounds::default() };
-    let mut book = Book::new(bounds, SEED);
-    book.members(members(endpoints), Millis(0));
-    book.configure(config(), Millis(0));
+    let mut state = RouterState::new(bounds, SEED);
+    state.update_members(members(endpoints), Millis(0));
+    state.update_config(config(), Millis(0));
     let mut next = 0;
     for _ in 0..busy {
         next += 1;
-        let _ = book.enter(want(next, Millis(20_000)), Millis(20_000));
+        let _ = state.admit(endpoint_query(next, Millis(20_000)), Millis(20_000));
     }
-    let held = book.admission.running();
+    let held = state.admission.running();
     let begun = Instant::now();
     for turn in 0..TURNS {
         let now = Millis(20_000 + turn / 100);
         next += 1;
-        let entering = book.enter(want(next, now), now);
-        book.poll(now);
+        let entering = state.admit(endpoint_query(next, now), now);
+        state.poll(now);
         if let Some(Ok((place, _))) = entering {
-            book.ended(place, Verdict::Ran(None), 16, now);
-            book.leave(RequestId(0, next), true, now);
-            book.poll(now);
+            state.attempt_ended(place, AttemptEnd::Ran(None), 16, now);
+            state.request_ended(RequestId(0, next), true, now);
+            state.poll(now);
         }
     }
     (begun.elapsed().as_nanos() as u64 / TURNS, held)
--- a/components/entry/src/door.rs
+++ b/components/entry/src/admit.rs
@@ -49,7 +49,7 @@
 
 /// The headers of a request, read.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Asked {
+pub struct RequestHeaders {
     /// The workspace.
     pub workspace: Workspace,
     /// Milliseconds until the answer is worthless.
@@ -70,7 +70,7 @@
     /// The class, never above that of the template.
     pub class: Class,
     /// Milliseconds until the answer is worthless.
-    pub budget: u64,
+    pub budget_ms: u64,
     /// The idempotency key.
     pub key: Option<IdempotencyKey>,
     /// Whether the request may run more than once.
@@ -86,13 +86,13 @@
 /// # Errors
 ///
 /// A failure with [`Code::BadRequest`] that names the header.
-pub fn read(call: &Call) -> Result<Asked, Failure> {
+pub fn read_headers(call: &Call) -> Result<RequestHeaders, Failure> {
     let workspace = call.header(WORKSPACE).ok_or_else(|| malformed(WORKSPACE, "is required"))?;
     let deadline = call.header(DEADLINE).map(read_deadline).transpose()?;
     let class = call.header(CLASS).map(read_class).transpose()?;
     let key = call.header(KEY).map(read_key).transpose()?;
     let repeatable = call.header(REPEATABLE).map(read_flag).transpose()?;
-    Ok(Asked { workspace: Workspace::from(workspace), deadline, class, key, repeatable })
+    Ok(RequestHeaders { workspace: Workspace::from(workspace), deadline, class, key, repeatable })
 }
 
 fn malformed(header: &str, what: &str) -> Failure {
@@ -129,13 +129,13 @@
 /// # Errors
 ///
 /// The refusal; it is always "not run".
-pub fn admit(
-    asked: &Asked,
+pub fn authorize(
+    asked: &RequestHeaders,
     caller: &Principal,
     model: &Model,
     config: &Config,
 ) -> Result<Admitted, Failure> {
-    let template = template(&asked.workspace, config)?;
+    let template = find_template(&asked.workspace, config)?;
     let Some(class) = template.callers.get(caller).copied() else {
         let detail = format!("{caller} is not among the callers of {}", asked.workspace);
         return Err(Failure::not_run(Code::Forbidden, detail));
@@ -144,15 +144,15 @@
         let detail = format!("{model:?} is not among the models of {}", asked.workspace);
         return Err(Failure::not_run(Code::NotFound, detail));
     }
-    let budget = asked.deadline.unwrap_or(template.deadline_ms);
-    if budget == 0 {
+    let budget_ms = asked.deadline.unwrap_or(template.deadline_ms);
+    if budget_ms == 0 {
         let detail = "the deadline leaves no time to answer";
         return Err(Failure::not_run(Code::DeadlineTooClose, detail));
     }
     Ok(Admitted {
         workspace: asked.workspace.clone(),
         class: asked.class.map_or(class, |wanted| wanted.min(class)),
-        budget,
+        budget_ms,
         key: asked.key.clone(),
         repeatable: asked.repeatable.unwrap_or(template.repeatable),
         retries: template.retries,
@@ -168,7 +168,10 @@
 ///
 /// An entry keeps no configuration over a restart. Until it has learned it, it cannot tell that a
 /// workspace does not exist: callers who were told so would give up, and their answers be lost.
-pub fn template<'a>(workspace: &Workspace, config: &'a Config) -> Result<&'a Template, Failure> {
+pub fn find_template<'a>(
+    workspace: &Workspace,
+    config: &'a Config,
+) -> Result<&'a Template, Failure> {
     if let Some(versioned) = config.templates.get(workspace) {
         return Ok(&versioned.template);
     }
@@ -186,10 +189,15 @@
 /// # Errors
 ///
 /// A failure with [`Code::Draining`].
-pub fn open(phase: Phase, config: &Config, node: &Node, place: &DataCentre) -> Result<(), Failure> {
+pub fn check_not_draining(
+    phase: Phase,
+    config: &Config,
+    node: &Node,
+    data_centre: &DataCentre,
+) -> Result<(), Failure> {
     let stops = config.stops.values().any(|stop| match &stop.target {
         StopTarget::Node(target) => target == node,
-        StopTarget::DataCentre(target) => target == place,
+        StopTarget::DataCentre(target) => target == data_centre,
         StopTarget::Endpoint(_) => false,
     });
     if phase == Phase::Running && !stops {
@@ -204,7 +212,7 @@
 /// # Errors
 ///
 /// A failure with [`Code::Convicted`].
-pub fn acquitted(fingerprint: Fingerprint, config: &Config) -> Result<(), Failure> {
+pub fn check_not_convicted(fingerprint: Fingerprint, config: &Config) -> Result<(), Failure> {
     let Some(conviction) = config.convictions.get(&fingerprint) else { return Ok(()) };
     let detail = format!(
         "this content crashed {} endpoints and is refused; an operator may pardon {fingerprint}",
@@ -220,27 +228,27 @@
 /// # Errors
 ///
 /// The refusal, always "not run".
-pub fn job(
+pub fn admit_request(
     context: &Context,
     call: &Call,
     model: Model,
     content: &[u8],
 ) -> Result<(Job, Admitted), Failure> {
     let config = context.config.current();
-    open(context.kernel.phases.now(), &config, &context.node, &context.place)?;
-    let asked = read(call)?;
+    check_not_draining(context.kernel.phases.now(), &config, &context.node, &context.data_centre)?;
+    let asked = read_headers(call)?;
     let identity = call.identity.as_ref().ok_or_else(|| {
         Failure::not_run(Code::Unauthenticated, "the bearer token is missing or unknown")
     })?;
-    let admitted = admit(&asked, &identity.principal, &model, &config)?;
+    let admitted = authorize(&asked, &identity.principal, &model, &config)?;
     let fingerprint = Fingerprint::of(content);
-    acquitted(fingerprint, &config)?;
+    check_not_convicted(fingerprint, &config)?;
     let job = Job {
-        request: Job::draw(),
+        request: Job::new_request_id(),
         workspace: admitted.workspace.clone(),
         model,
         class: admitted.class,
-        deadline: context.now() + admitted.budget,
+        deadline: context.now() + admitted.budget_ms,
         repeatable: admitted.repeatable,
         key: admitted.key.clone(),
         fingerprint,
@@ -252,7 +260,7 @@
 }
 
 /// Adds a header to an answer.
-pub fn stamp(reply: &mut Reply, name: &'static str, value: &str) {
+pub fn set_header(reply: &mut Reply, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         reply.headers_mut().insert(HeaderName::from_static(name), value);
     }
--- a/components/entry/src/bodies/audit.rs
+++ b/components/entry/src/bodies/audit.rs
@@ -8,35 +8,35 @@
 use chicoryford_ledger::Audit;
 use chicoryford_ledger::Audited;
 
-use crate::bodies::keep;
 use crate::bodies::repair;
+use crate::bodies::replicate;
 use crate::context::Context;
 
 /// What the entry asks, and whether a repair runs.
 #[derive(Default)]
-pub struct Auditing {
+pub struct BodyAudit {
     auditor: RefCell<Auditor>,
     repairs: Rc<Cell<bool>>,
     /// Whether this entry leaves, and nothing needs its copies any more.
     clear: Cell<bool>,
 }
 
-impl Auditing {
+impl BodyAudit {
     /// Tells whether this entry, which leaves, may end: the others have copies of all that it
     /// holds, or there is nobody to copy it to. Otherwise a restart of all entries one after the
     /// other, each ready before the next, would lose what all of them held.
-    pub fn may_leave(&self, context: &Context) -> bool {
+    pub fn can_leave(&self, context: &Context) -> bool {
         self.clear.get() || context.bodies.store().is_empty()
     }
 
     /// Gives the question to send with a renewal. None while a repair runs: the answer would name
     /// the same bodies again.
-    pub fn question(&self, context: &Context, session: u64) -> Option<Audit> {
+    pub fn next_audit(&self, context: &Context, session: u64) -> Option<Audit> {
         if self.repairs.get() {
             return None;
         }
         let present = repair::present(context);
-        if keep::leaves(context) {
+        if replicate::is_leaving(context) {
             self.clear.set(present.is_empty());
             let (node, leaving) = (context.node.clone(), true);
             return Some(Audit { node, session, present, leaving, ..Audit::default() });
@@ -48,7 +48,7 @@
     }
 
     /// Drops what is of no use and begins to repair what lacks holders.
-    pub fn answered(&self, context: &Context, audited: Option<&Audited>) {
+    pub fn apply_answer(&self, context: &Context, audited: Option<&Audited>) {
         self.auditor.borrow_mut().answered(audited);
         let Some(audited) = audited else { return };
         let dropped = context.bodies.store().retain(&audited.wanted, context.now());
@@ -56,7 +56,7 @@
             tracing::debug!(event = "bodies_dropped", count = dropped);
         }
         if audited.lacking.is_empty() {
-            self.clear.set(keep::leaves(context));
+            self.clear.set(replicate::is_leaving(context));
             return;
         }
         self.repairs.set(true);
--- a/components/entry/src/bodies/batch.rs
+++ b/components/entry/src/bodies/batch.rs
@@ -55,6 +55,6 @@
     for (place, bytes) in places.into_iter().zip(fetched) {
         bodies[place] = bytes;
     }
-    context.bodies.pulled(workspace.clone(), cursor, held);
+    context.bodies.record_batch(workspace.clone(), cursor, held);
     Ok(bodies)
 }
--- a/components/entry/src/bodies/fetch.rs
+++ b/components/entry/src/bodies/fetch.rs
@@ -18,7 +18,7 @@
 use futures_util::StreamExt;
 use futures_util::stream;
 
-use crate::bodies::handle::Held;
+use crate::bodies::handle::HeldBody;
 use crate::context::Context;
 
 /// Bodies asked for in one call.
@@ -40,8 +40,8 @@
 ///
 /// [`Code::NoEndpoint`] if a holder that should have a body does not answer just now,
 /// [`Code::SampleLost`] if all holders of one are gone.
-pub async fn fetch(context: &Context, held: &[Held]) -> Result<Vec<Bytes>, Failure> {
-    let found = find(context, held).await;
+pub async fn fetch(context: &Context, held: &[HeldBody]) -> Result<Vec<Bytes>, Failure> {
+    let found = try_fetch(context, held).await;
     let mut bodies = Vec::with_capacity(held.len());
     for (body, (name, holders)) in found.into_iter().zip(held) {
         bodies.push(body.ok_or_else(|| missing(context, name, holders))?);
@@ -50,7 +50,7 @@
 }
 
 /// Fetches bodies; none for one that no holder gives.
-pub async fn find(context: &Context, held: &[Held]) -> Vec<Option<Bytes>> {
+pub async fn try_fetch(context: &Context, held: &[HeldBody]) -> Vec<Option<Bytes>> {
     let mut found: Vec<Option<Bytes>> = vec![None; held.len()];
     let members = context.members.view();
     let mut queues: Vec<Vec<Node>> = held
@@ -87,7 +87,7 @@
     let mut ranked: Vec<_> = holders.iter().enumerate().collect();
     ranked.sort_by_key(|(index, holder)| {
         let known = members.known.get(&holder.node);
-        let is_near = known.is_some_and(|known| known.member.data_centre == context.place);
+        let is_near = known.is_some_and(|known| known.member.data_centre == context.data_centre);
         let is_own = holder.node == context.node;
         (is_own, has_kept(members, holder), is_near, (index + turn) % holders.len().max(1))
     });
@@ -113,7 +113,7 @@
     context: &Context,
     node: &Node,
     indices: &[usize],
-    held: &[Held],
+    held: &[HeldBody],
 ) -> Vec<(usize, Bytes)> {
     let mut found = Vec::new();
     let mut rest = indices;
--- a/components/entry/src/bodies/handle.rs
+++ b/components/entry/src/bodies/handle.rs
@@ -18,7 +18,7 @@
 pub const SERVICE: &str = "bodies";
 
 /// A body and who holds it.
-pub type Held = (BodyName, Vec<Holder>);
+pub type HeldBody = (BodyName, Vec<Holder>);
 
 /// The bodies that this process holds.
 #[derive(Clone)]
@@ -27,7 +27,7 @@
 struct Inner {
     store: Mutex<Store>,
     /// What the batch that was pulled here last was made of, to drop it once it is acknowledged.
-    pulled: Mutex<BTreeMap<Workspace, (Cursor, Vec<Held>)>>,
+    pulled: Mutex<BTreeMap<Workspace, (Cursor, Vec<HeldBody>)>>,
 }
 
 /// Offers an empty store.
@@ -52,12 +52,12 @@
     }
 
     /// Remembers what a batch was made of.
-    pub fn pulled(&self, workspace: Workspace, cursor: Cursor, held: Vec<Held>) {
+    pub fn record_batch(&self, workspace: Workspace, cursor: Cursor, held: Vec<HeldBody>) {
         self.batches().insert(workspace, (cursor, held));
     }
 
     /// Gives what an acknowledged batch was made of, if it was pulled here.
-    pub fn acknowledged(&self, workspace: &Workspace, cursor: Cursor) -> Vec<Held> {
+    pub fn take_batch(&self, workspace: &Workspace, cursor: Cursor) -> Vec<HeldBody> {
         let mut batches = self.batches();
         match batches.get(workspace) {
             Some((pulled, _)) if *pulled == cursor => {
@@ -67,7 +67,7 @@
         }
     }
 
-    fn batches(&self) -> MutexGuard<'_, BTreeMap<Workspace, (Cursor, Vec<Held>)>> {
+    fn batches(&self) -> MutexGuard<'_, BTreeMap<Workspace, (Cursor, Vec<HeldBody>)>> {
         self.0.pulled.lock().expect("nothing panics while it holds this lock")
     }
 }
--- a/components/entry/src/bodies/mod.rs
+++ b/components/entry/src/bodies/mod.rs
@@ -6,8 +6,8 @@
 pub mod batch;
 pub mod fetch;
 pub mod handle;
-pub mod keep;
 pub mod repair;
+pub mod replicate;
 pub mod routes;
 
 pub use handle::Bodies;
--- a/components/entry/src/bodies/repair.rs
+++ b/components/entry/src/bodies/repair.rs
@@ -12,17 +12,17 @@
 use futures_util::stream;
 
 use crate::bodies::fetch;
-use crate::bodies::handle::Held;
-use crate::bodies::keep;
+use crate::bodies::handle::HeldBody;
+use crate::bodies::replicate;
 use crate::context::Context;
-use crate::steps::record;
+use crate::steps::propose;
 
 /// Bodies that are copied at once.
 const COPIES: usize = 8;
 
 /// Lists the entries that may hold bodies, as the ledger names them.
 pub fn present(context: &Context) -> Vec<Holder> {
-    keep::entries(context).iter().map(holder).collect()
+    replicate::eligible_entries(context).iter().map(holder).collect()
 }
 
 fn holder(member: &Member) -> Holder {
@@ -32,8 +32,8 @@
 /// Mends bodies that have too few holders.
 pub async fn repair(context: Context, lacking: Vec<Lacking>) {
     let count = lacking.len();
-    let held: Vec<Held> = lacking.iter().map(|l| (l.name.clone(), l.from.clone())).collect();
-    let found = fetch::find(&context, &held).await;
+    let held: Vec<HeldBody> = lacking.iter().map(|l| (l.name.clone(), l.from.clone())).collect();
+    let found = fetch::try_fetch(&context, &held).await;
     let mends = lacking.into_iter().zip(found).map(|(lacking, body)| mend(&context, lacking, body));
     let mended = stream::iter(mends).buffer_unordered(COPIES).filter(|done| {
         let done = *done;
@@ -55,13 +55,13 @@
 /// was faster.
 async fn copy(context: &Context, lacking: Lacking, bytes: &Bytes) -> bool {
     let Lacking { name, from, .. } = lacking;
-    let entries = keep::entries(context);
+    let entries = replicate::eligible_entries(context);
     let stays = |h: &&Holder| entries.iter().any(|member| holder(member) == **h);
     let mut to: Vec<Holder> = from.iter().filter(stays).cloned().collect();
     let kept: Vec<Node> = to.iter().map(|holder| holder.node.clone()).collect();
-    let queue = order(&name, &keep::candidates(&entries), &kept);
+    let queue = order(&name, &replicate::candidates(&entries), &kept);
     let wanted = HOLDERS.saturating_sub(to.len());
-    let added = keep::put(context, &name, bytes, queue, wanted).await;
+    let added = replicate::put(context, &name, bytes, queue, wanted).await;
     if added.is_empty() {
         return false;
     }
@@ -86,7 +86,7 @@
 }
 
 async fn tell(context: &Context, command: LedgerCommand) -> bool {
-    match record::ledger(context, command).await {
+    match propose::ledger_command(context, command).await {
         Ok(reply) => {
             tracing::debug!(event = "body_mended", ?reply);
             true
--- a/components/entry/src/bodies/keep.rs
+++ b/components/entry/src/bodies/replicate.rs
@@ -23,30 +23,30 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 
-use crate::bodies::handle::Held;
+use crate::admit;
+use crate::bodies::handle::HeldBody;
 use crate::bodies::routes;
 use crate::context::Context;
-use crate::door;
 
 /// The longest wait for a process to hold a body. The next one is tried then.
 const PATIENCE: Duration = Duration::from_secs(2);
 
 /// Lists the entries that may hold bodies: those that are present and do not leave.
-pub fn entries(context: &Context) -> Vec<Member> {
+pub fn eligible_entries(context: &Context) -> Vec<Member> {
     let (members, config) = (context.members.view(), context.config.current());
     let stays = |member: &&Member| {
         let (node, place) = (&member.node, &member.data_centre);
         let is_here = *node == context.node;
-        let stays = door::open(Phase::Running, &config, node, place).is_ok();
-        member.roles.entry && stays && !(is_here && leaves(context))
+        let stays = admit::check_not_draining(Phase::Running, &config, node, place).is_ok();
+        member.roles.entry && stays && !(is_here && is_leaving(context))
     };
     members.present().filter(stays).cloned().collect()
 }
 
 /// Tells whether this entry is to end, by a planned stop or a signal.
-pub fn leaves(context: &Context) -> bool {
+pub fn is_leaving(context: &Context) -> bool {
     let (phase, config) = (context.kernel.phases.now(), context.config.current());
-    door::open(phase, &config, &context.node, &context.place).is_err()
+    admit::check_not_draining(phase, &config, &context.node, &context.data_centre).is_err()
 }
 
 /// Puts a body where it belongs: at [`HOLDERS`] processes, which have it before the ledger hears
@@ -54,8 +54,8 @@
 ///
 /// If the stores of all entries are full the ledger's own bound holds the sample back, which lets
 /// the oldest step through, so that it ends and makes room.
-pub async fn keep(context: &Context, name: &BodyName, bytes: &Bytes) -> Body {
-    let candidates = candidates(&entries(context));
+pub async fn replicate(context: &Context, name: &BodyName, bytes: &Bytes) -> Body {
+    let candidates = candidates(&eligible_entries(context));
     if is_inline(bytes.len(), candidates.len()) {
         return Body::Inline(bytes.clone());
     }
@@ -120,7 +120,7 @@
 
 /// Tells the holders of an acknowledged batch to drop it. What this misses, they find out from
 /// the ledger themselves.
-pub async fn discard(context: Context, held: Vec<Held>) {
+pub async fn discard(context: Context, held: Vec<HeldBody>) {
     let mut by_node: BTreeMap<Node, Vec<BodyName>> = BTreeMap::new();
     for (name, holders) in held {
         for holder in holders {
--- a/components/entry/src/bodies/routes.rs
+++ b/components/entry/src/bodies/routes.rs
@@ -14,8 +14,8 @@
 use chicoryford_wire::Reply;
 use chicoryford_wire::reply;
 
+use crate::admit;
 use crate::context::Context;
-use crate::door;
 
 /// Bytes of one answer, past which the rest must be asked for again.
 const ANSWER: usize = 8 << 20;
@@ -37,11 +37,11 @@
 /// [`Code::Overloaded`] if the store is full, [`Code::BadRequest`] if the bytes are not those
 /// that the name tells, [`Code::Draining`] if this entry leaves.
 pub fn store(context: &Context, put: Put) -> Result<Stored, Failure> {
-    door::open(
+    admit::check_not_draining(
         context.kernel.phases.now(),
         &context.config.current(),
         &context.node,
-        &context.place,
+        &context.data_centre,
     )?;
     let own = context.members.own();
     let now = context.now();
--- a/components/entry/src/chat/body.rs
+++ b/components/entry/src/chat/body.rs
@@ -18,7 +18,7 @@
 
 /// Which of the two shapes a request has.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Shape {
+pub enum ApiKind {
     /// Messages in, a message out.
     Chat,
     /// A prompt in, text out.
@@ -66,7 +66,7 @@
 /// # Errors
 ///
 /// A failure with [`Code::BadRequest`] that names the field.
-pub fn generation(shape: Shape, body: &Body, bound: u32) -> Result<Generation, Failure> {
+pub fn generation(kind: ApiKind, body: &Body, bound: u32) -> Result<Generation, Failure> {
     if body.n.is_some_and(|n| n != 1) {
         return Err(malformed("n must be 1"));
     }
@@ -75,9 +75,9 @@
     if max_tokens == 0 || max_tokens > bound {
         return Err(malformed(&format!("max_tokens must be between 1 and {bound}")));
     }
-    let prompt = match shape {
-        Shape::Chat => chat_prompt(&body.messages)?,
-        Shape::Text => text_prompt(body.prompt.as_ref())?,
+    let prompt = match kind {
+        ApiKind::Chat => chat_prompt(&body.messages)?,
+        ApiKind::Text => text_prompt(body.prompt.as_ref())?,
     };
     Ok(Generation {
         prompt,
--- a/components/entry/src/chat/events.rs
+++ b/components/entry/src/chat/events.rs
@@ -13,23 +13,23 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::chat::body::Shape;
-use crate::chat::whole;
-use crate::chat::whole::Head;
-use crate::run::Generating;
+use crate::chat::body::ApiKind;
+use crate::chat::response;
+use crate::chat::response::ResponseHead;
+use crate::run::GenerationStream;
 use crate::run::Piece;
 
 struct Streaming {
-    head: Head,
-    generating: Generating,
+    head: ResponseHead,
+    generating: GenerationStream,
     first: Option<Piece>,
     ended: bool,
 }
 
 /// Streams an answer whose first piece is there already.
 pub fn events(
-    head: Head,
-    generating: Generating,
+    head: ResponseHead,
+    generating: GenerationStream,
     first: Piece,
 ) -> impl Stream<Item = Result<Bytes, Infallible>> {
     let streaming = Streaming { head, generating, first: Some(first), ended: false };
@@ -63,26 +63,26 @@
     }
 
     fn chunk(&self, tokens: &Tokens) -> Value {
-        let logprobs = whole::logprobs(&tokens.logprobs);
+        let logprobs = response::logprobs(&tokens.logprobs);
         self.object(json!({"content": tokens.text}), &tokens.text, logprobs, Value::Null)
     }
 
     fn last(&self, reason: &str) -> Value {
         let mut last = self.object(json!({}), "", Value::Null, json!(reason));
-        last["usage"] = whole::usage(&self.generating);
-        last["chicoryford"] = whole::extension(&self.generating);
+        last["usage"] = response::usage(&self.generating);
+        last["chicoryford"] = response::extension(&self.generating);
         last
     }
 
     fn object(&self, delta: Value, text: &str, logprobs: Value, reason: Value) -> Value {
-        let (object, choice) = match self.head.shape {
-            Shape::Chat => {
+        let (object, choice) = match self.head.kind {
+            ApiKind::Chat => {
                 let choice = json!({
                     "index": 0, "delta": delta, "logprobs": logprobs, "finish_reason": reason,
                 });
                 ("chat.completion.chunk", choice)
             }
-            Shape::Text => {
+            ApiKind::Text => {
                 let choice = json!({
                     "index": 0, "text": text, "logprobs": logprobs, "finish_reason": reason,
                 });
--- a/components/entry/src/chat/handler.rs
+++ b/components/entry/src/chat/handler.rs
@@ -5,23 +5,23 @@
 use chicoryford_wire::Reply;
 use chicoryford_wire::reply;
 
+use crate::admit;
 use crate::chat::body;
+use crate::chat::body::ApiKind;
 use crate::chat::body::Body;
-use crate::chat::body::Shape;
 use crate::chat::events;
-use crate::chat::whole;
-use crate::chat::whole::Head;
+use crate::chat::response;
+use crate::chat::response::ResponseHead;
 use crate::context::Context;
-use crate::door;
-use crate::run::Generating;
+use crate::run::GenerationStream;
 use crate::run::Piece;
 
 /// Answers one generation.
-pub async fn answer(context: Context, shape: Shape, call: Call) -> Reply {
+pub async fn answer(context: Context, kind: ApiKind, call: Call) -> Reply {
     let metrics = context.kernel.metrics.clone();
     metrics.count("entry.generation", 1);
     let begun = context.now();
-    let answered = match run(&context, shape, &call).await {
+    let answered = match run(&context, kind, &call).await {
         Ok(reply) => reply,
         Err(failure) => {
             metrics.count("entry.generation.failed", 1);
@@ -32,13 +32,13 @@
     answered
 }
 
-async fn run(context: &Context, shape: Shape, call: &Call) -> Result<Reply, Failure> {
+async fn run(context: &Context, kind: ApiKind, call: &Call) -> Result<Reply, Failure> {
     let body: Body = call.json()?;
     let content = content(&body);
-    let (job, admitted) = door::job(context, call, body.model.clone(), &content)?;
-    let task = body::generation(shape, &body, admitted.tokens)?;
-    let mut generating = Generating::enter(context.clone(), job, task).await?;
-    let head = Head::new(shape, &generating);
+    let (job, admitted) = admit::admit_request(context, call, body.model.clone(), &content)?;
+    let task = body::generation(kind, &body, admitted.tokens)?;
+    let mut generating = GenerationStream::enter(context.clone(), job, task).await?;
+    let head = ResponseHead::new(kind, &generating);
     // The first piece is awaited before the answer begins, so that a refusal has its own status
     // and a client that reads only the status sees it.
     let mut piece = generating.next().await?;
@@ -47,7 +47,7 @@
     }
     loop {
         if let Piece::Finished(reason) = piece {
-            return Ok(reply::json(200, &whole::whole(&head, &generating, &reason)));
+            return Ok(reply::json(200, &response::complete(&head, &generating, &reason)));
         }
         piece = generating.next().await?;
     }
--- a/components/entry/src/chat/mod.rs
+++ b/components/entry/src/chat/mod.rs
@@ -1,9 +1,9 @@
-//! Generations in the shape that completions clients send and read.
+//! Generations in the kind that completions clients send and read.
 
 pub mod body;
 pub mod events;
 pub mod handler;
-pub mod whole;
+pub mod response;
 
-pub use body::Shape;
+pub use body::ApiKind;
 pub use handler::answer;
--- a/components/entry/src/chat/whole.rs
+++ b/components/entry/src/chat/response.rs
@@ -4,14 +4,14 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::chat::body::Shape;
-use crate::run::Generating;
+use crate::chat::body::ApiKind;
+use crate::run::GenerationStream;
 
 /// What all parts of one answer name alike.
 #[derive(Clone, Debug)]
-pub struct Head {
-    /// The shape of the request.
-    pub shape: Shape,
+pub struct ResponseHead {
+    /// The kind of the request.
+    pub kind: ApiKind,
     /// The answer's identifier.
     pub id: String,
     /// When it began, in Unix seconds.
@@ -20,13 +20,13 @@
     pub model: Model,
 }
 
-impl Head {
+impl ResponseHead {
     /// Makes the head of an answer to `generating`.
-    pub fn new(shape: Shape, generating: &Generating) -> Self {
+    pub fn new(kind: ApiKind, generating: &GenerationStream) -> Self {
         let job = generating.job();
-        let prefix = if shape == Shape::Chat { "chatcmpl" } else { "cmpl" };
+        let prefix = if kind == ApiKind::Chat { "chatcmpl" } else { "cmpl" };
         Self {
-            shape,
+            kind,
             id: format!("{prefix}-{}", job.request),
             created: chicoryford_kernel::unix().0 / 1_000,
             model: job.model.clone(),
@@ -45,37 +45,37 @@
     }
 }
 
-/// Gives the usage in the shape that clients read. The count of the prompt's tokens is not
+/// Gives the usage in the kind that clients read. The count of the prompt's tokens is not
 /// known to the system, because only the engine has its tokenizer.
-pub fn usage(generating: &Generating) -> Value {
-    let tokens = generating.whole.tokens;
+pub fn usage(generating: &GenerationStream) -> Value {
+    let tokens = generating.output.tokens;
     json!({"prompt_tokens": 0, "completion_tokens": tokens, "total_tokens": tokens})
 }
 
 /// Gives the extension that names the versions which produced the answer. A version that the
 /// engine did not say is null; it is never guessed.
-pub fn extension(generating: &Generating) -> Value {
+pub fn extension(generating: &GenerationStream) -> Value {
     let job = generating.job();
     json!({
         "request": job.request.to_string(),
-        "spans": generating.whole.runs,
+        "spans": generating.output.runs,
         "attempts": job.attempt,
     })
 }
 
 /// Gives the whole answer.
-pub fn whole(head: &Head, generating: &Generating, reason: &str) -> Value {
-    let text = &generating.whole.text;
-    let logprobs = logprobs(&generating.whole.logprobs);
-    let (object, choice) = match head.shape {
-        Shape::Chat => {
+pub fn complete(head: &ResponseHead, generating: &GenerationStream, reason: &str) -> Value {
+    let text = &generating.output.text;
+    let logprobs = logprobs(&generating.output.logprobs);
+    let (object, choice) = match head.kind {
+        ApiKind::Chat => {
             let message = json!({"role": "assistant", "content": text});
             let choice = json!({
                 "index": 0, "message": message, "logprobs": logprobs, "finish_reason": reason,
             });
             ("chat.completion", choice)
         }
-        Shape::Text => {
+        ApiKind::Text => {
             let choice = json!({
                 "index": 0, "text": text, "logprobs": logprobs, "finish_reason": reason,
             });
--- a/components/entry/src/context.rs
+++ b/components/entry/src/context.rs
@@ -22,7 +22,7 @@
 use crate::bodies::Bodies;
 use crate::router::Router;
 use crate::router::SERVICE;
-use crate::run::first::Firsts;
+use crate::run::first_token::FirstTokenTimes;
 
 /// What a thread needs to run requests; an HTTP worker and the steps duty each make their own,
 /// because a client stays on one thread.
@@ -36,7 +36,7 @@
     /// Calls agents over connections that are kept.
     pub client: Client,
     /// Calls agents over new connections, to tell a silent connection from a dead endpoint.
-    pub fresh: Client,
+    pub fresh_client: Client,
     /// Chooses endpoints.
     pub router: Router,
     /// The configuration in force.
@@ -48,13 +48,13 @@
     /// Proposes commands to the control processes.
     pub proposer: ProposerClient,
     /// Learned times until the first tokens.
-    pub firsts: RefCell<Firsts>,
+    pub first_token_times: RefCell<FirstTokenTimes>,
     /// The time without a frame after which a stream counts as silent.
     pub silence: Duration,
     /// This process.
     pub node: Node,
     /// Where this process stands.
-    pub place: DataCentre,
+    pub data_centre: DataCentre,
 }
 
 impl Context {
@@ -74,17 +74,17 @@
         let entry = settings.entry.clone().unwrap_or_default();
         Ok(Self(Rc::new(Inner {
             kernel: kernel.clone(),
-            fresh: client.fresh(),
+            fresh_client: client.fresh(),
             client,
             router: Router::clone(&router),
             config: ConfigHandle::clone(&config),
             members: MembersHandle::clone(&members),
             bodies: Bodies::clone(&bodies),
             proposer,
-            firsts: RefCell::new(Firsts::new(entry.rescue_ms)),
+            first_token_times: RefCell::new(FirstTokenTimes::new(entry.rescue_ms)),
             silence: Duration::from_millis(entry.silence_ms),
             node: settings.node.clone(),
-            place: settings.data_centre.clone(),
+            data_centre: settings.data_centre.clone(),
         })))
     }
 
--- a/components/entry/src/publish.rs
+++ b/components/entry/src/publish.rs
@@ -18,15 +18,15 @@
 use serde_json::json;
 
 use crate::context::Context;
-use crate::trainer::admit;
-use crate::trainer::answer;
+use crate::trainer::authorize;
+use crate::trainer::into_reply;
 
 /// The longest wait for a publication to be committed.
 const PUBLISH: Duration = Duration::from_secs(10);
 
 /// Publishes weights.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Publish {
+pub struct PublishRequest {
     /// The workspace on whose behalf.
     pub workspace: Workspace,
     /// The model.
@@ -42,12 +42,12 @@
 
 /// Publishes weights.
 pub async fn publish(context: Context, call: Call) -> Reply {
-    answer(try_publish(&context, &call).await)
+    into_reply(try_publish(&context, &call).await)
 }
 
 async fn try_publish(context: &Context, call: &Call) -> Result<Reply, Failure> {
-    let Publish { workspace, model, version, source, change } = call.json()?;
-    let template = admit(context, call, &workspace)?;
+    let PublishRequest { workspace, model, version, source, change } = call.json()?;
+    let template = authorize(context, call, &workspace)?;
     if !template.models.contains(&model) {
         let detail = format!("{model:?} is not among the workspace's models");
         return Err(Failure::not_run(Code::Forbidden, detail));
--- a/components/entry/src/reports.rs
+++ b/components/entry/src/reports.rs
@@ -85,8 +85,8 @@
 /// Reads one stream until it ends or goes silent. Each is opened on a new connection, because a
 /// kept one may be the very connection that went silent.
 async fn read(context: &Context, pick: &Pick) {
-    let url = context.fresh.url(&pick.address, paths::REPORTS);
-    let sent = actix_rt::time::timeout(SILENCE, context.fresh.post(&url).send()).await;
+    let url = context.fresh_client.url(&pick.address, paths::REPORTS);
+    let sent = actix_rt::time::timeout(SILENCE, context.fresh_client.post(&url).send()).await;
     let Ok(Ok(mut stream)) = sent else { return };
     if !stream.status().is_success() {
         return;
@@ -96,7 +96,9 @@
         decoder.push(&chunk);
         loop {
             match decoder.take::<LoadReport>() {
-                Ok(Some(report)) if report.name == pick.endpoint => context.router.load(report),
+                Ok(Some(report)) if report.name == pick.endpoint => {
+                    context.router.report_load(report)
+                }
                 Ok(Some(_)) | Err(_) => return,
                 Ok(None) => break,
             }
--- a/components/entry/src/router/room.rs
+++ b/components/entry/src/router/capacity.rs
@@ -14,11 +14,11 @@
 
 /// The room of each model, as last summed up.
 #[derive(Clone, Debug, Default)]
-pub struct Rooms(HashMap<Model, (Millis, Room)>);
+pub struct CapacityCache(HashMap<Model, (Millis, Room)>);
 
-impl Rooms {
+impl CapacityCache {
     /// Gives the room of a model.
-    pub fn of(&mut self, routing: &Router, model: &Model, now: Millis) -> Room {
+    pub fn get(&mut self, routing: &Router, model: &Model, now: Millis) -> Room {
         if let Some((at, room)) = self.0.get(model)
             && now.since(*at) < HOLDS
         {
--- a/components/entry/src/router/overlay.rs
+++ b/components/entry/src/router/draining.rs
@@ -12,7 +12,7 @@
 use chicoryford_types::config::StopTarget;
 
 /// Milliseconds for which an agent's refusal counts, in case its endpoint resumes.
-const BELIEVED: u64 = 5_000;
+const REFUSAL_TTL_MS: u64 = 5_000;
 
 /// Marks endpoints as leaving that planned stops or agents' refusals say so of.
 ///
@@ -20,25 +20,25 @@
 /// either of them later than the first refusal. Without this an entry would send new work to a
 /// leaving endpoint for as long as the slower one takes.
 #[derive(Clone, Debug, Default)]
-pub struct Overlay {
+pub struct DrainingOverlay {
     refused: BTreeMap<Endpoint, (Incarnation, Millis)>,
 }
 
-impl Overlay {
+impl DrainingOverlay {
     /// Takes in that an agent refused because its endpoint leaves.
     pub fn refused(&mut self, endpoint: Endpoint, incarnation: Incarnation, now: Millis) {
         self.refused.insert(endpoint, (incarnation, now));
     }
 
     /// Forgets old refusals; tells whether there were any.
-    pub fn forget(&mut self, now: Millis) -> bool {
+    pub fn expire(&mut self, now: Millis) -> bool {
         let before = self.refused.len();
-        self.refused.retain(|_, (_, at)| now.since(*at) < BELIEVED);
+        self.refused.retain(|_, (_, at)| now.since(*at) < REFUSAL_TTL_MS);
         self.refused.len() != before
     }
 
     /// Gives the members as they should be routed to.
-    pub fn lay(&self, members: &Arc<Members>, config: &Config) -> Arc<Members> {
+    pub fn apply(&self, members: &Arc<Members>, config: &Config) -> Arc<Members> {
         if self.refused.is_empty() && config.stops.is_empty() {
             return members.clone();
         }
--- a/components/entry/src/router/dump.rs
+++ b/components/entry/src/router/dump.rs
@@ -3,14 +3,14 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::router::book::Book;
+use crate::router::state::RouterState;
 
 /// Describes what the router knows; it holds no content of any request.
-pub fn dump(book: &Book) -> Value {
+pub fn dump(state: &RouterState) -> Value {
     let mut endpoints = Vec::new();
-    for pick in book.subset() {
-        let seat = book.routing.find(&pick.endpoint);
-        let Some(state) = seat.and_then(|seat| book.routing.state(seat)) else { continue };
+    for pick in state.subset() {
+        let seat = state.routing.find(&pick.endpoint);
+        let Some(state) = seat.and_then(|seat| state.routing.state(seat)) else { continue };
         endpoints.push(json!({
             "endpoint": pick.endpoint,
             "agent": pick.agent,
@@ -26,10 +26,10 @@
     }
     json!({
         "endpoints": endpoints,
-        "running": book.admission.running(),
-        "waiting": book.admission.waiting(),
-        "entries": book.entries,
-        "routing": book.routing.counts(),
-        "admission": book.admission.counts(),
+        "running": state.admission.running(),
+        "waiting": state.admission.waiting(),
+        "entries": state.entries,
+        "routing": state.routing.counts(),
+        "admission": state.admission.counts(),
     })
 }
--- a/components/entry/src/router/duty.rs
+++ b/components/entry/src/router/duty.rs
@@ -1,4 +1,4 @@
-//! The router's thread: feeds events to the [`Book`] and sends out its answers.
+//! The router's thread: feeds events to the [`RouterState`] and sends out its answers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,18 +16,18 @@
 use chicoryford_types::RequestId;
 use tokio::sync::watch;
 
-use crate::router::book::Book;
-use crate::router::book::Bounds;
-use crate::router::book::Entering;
-use crate::router::book::Placed;
 use crate::router::dump::dump;
-use crate::router::handle::Ask;
-use crate::router::handle::EnterSender;
-use crate::router::handle::Entered;
-use crate::router::handle::Hedged;
+use crate::router::handle::AdmitSender;
+use crate::router::handle::AttemptPermit;
+use crate::router::handle::HedgePermit;
+use crate::router::handle::RequestPermit;
 use crate::router::handle::Router;
+use crate::router::handle::RouterMessage;
 use crate::router::handle::SERVICE;
-use crate::router::handle::Ticket;
+use crate::router::state::AdmitResult;
+use crate::router::state::Bounds;
+use crate::router::state::PlacedAttempt;
+use crate::router::state::RouterState;
 
 /// Room for questions and ends of attempts that the router has not yet read.
 const RING: usize = 16_384;
@@ -67,8 +67,8 @@
         },
     };
     kernel.duty("router", move |kernel| async move {
-        let book = Book::new(bounds, rand::random());
-        let duty = Duty { kernel, book, router, waiting: HashMap::new(), ticks: 0 };
+        let state = RouterState::new(bounds, rand::random());
+        let duty = Duty { kernel, state, router, waiting: HashMap::new(), ticks: 0 };
         duty.run(receiver, members, config).await;
     })?;
     Ok(())
@@ -76,16 +76,16 @@
 
 struct Duty {
     kernel: Kernel,
-    book: Book,
+    state: RouterState,
     router: Router,
-    waiting: HashMap<RequestId, EnterSender>,
+    waiting: HashMap<RequestId, AdmitSender>,
     ticks: u64,
 }
 
 impl Duty {
     async fn run(
         mut self,
-        mut asks: Receiver<Ask>,
+        mut messages: Receiver<RouterMessage>,
         mut members: watch::Receiver<Arc<Members>>,
         mut config: watch::Receiver<Arc<Config>>,
     ) {
@@ -94,8 +94,8 @@
         // otherwise be told that nobody serves its model.
         let view = members.borrow_and_update().clone();
         let current = config.borrow_and_update().clone();
-        self.book.members(view, self.kernel.now());
-        self.book.configure(current, self.kernel.now());
+        self.state.update_members(view, self.kernel.now());
+        self.state.update_config(current, self.kernel.now());
         let phases = self.kernel.phases.clone();
         let stopped = phases.reached(Phase::Stopping);
         tokio::pin!(stopped);
@@ -104,19 +104,19 @@
                 () = &mut stopped => return,
                 Ok(()) = members.changed() => {
                     let view = members.borrow_and_update().clone();
-                    self.book.members(view, self.kernel.now());
+                    self.state.update_members(view, self.kernel.now());
                 }
                 Ok(()) = config.changed() => {
                     let current = config.borrow_and_update().clone();
-                    self.book.configure(current, self.kernel.now());
+                    self.state.update_config(current, self.kernel.now());
                 }
-                ask = asks.next() => match ask {
-                    Some(ask) => self.take(ask),
+                message = messages.next() => match message {
+                    Some(message) => self.handle(message),
                     None => return,
                 },
                 _ = tick.tick() => self.tick(),
             }
-            for (request, entering) in self.book.poll(self.kernel.now()) {
+            for (request, entering) in self.state.poll(self.kernel.now()) {
                 if let Some(sender) = self.waiting.remove(&request) {
                     self.let_in(request, entering, sender);
                 }
@@ -124,65 +124,69 @@
         }
     }
 
-    fn take(&mut self, ask: Ask) {
+    fn handle(&mut self, message: RouterMessage) {
         let now = self.kernel.now();
-        match ask {
-            Ask::Enter(want, sender) => {
-                let request = want.request;
-                match self.book.enter(*want, now) {
+        match message {
+            RouterMessage::Admit(query, sender) => {
+                let request = query.request;
+                match self.state.admit(*query, now) {
                     Some(entering) => self.let_in(request, entering, sender),
                     None => {
                         self.waiting.insert(request, sender);
                     }
                 }
             }
-            Ask::Leave(request, ran) => self.book.leave(request, ran, now),
-            Ask::Choose(want, sender) => {
-                let chosen = self.book.choose(&want, now);
-                let _ = sender.send(chosen.map(|placed| self.ticket(placed)));
+            RouterMessage::RequestEnded(request, ran) => {
+                self.state.request_ended(request, ran, now)
             }
-            Ask::Ended(place, verdict, tokens) => self.book.ended(place, verdict, tokens, now),
-            Ask::Again(again, sender) => {
-                let _ = sender.send(self.book.again(&again, now));
+            RouterMessage::Choose(query, sender) => {
+                let chosen = self.state.choose(&query, now);
+                let _ = sender.send(chosen.map(|placed| self.permit(placed)));
             }
-            Ask::Hedge(late, sender) => {
-                let allowed = self.book.hedge(&late, now);
-                let _ = sender.send(allowed.then(|| Hedged::new(self.router.clone())));
+            RouterMessage::AttemptEnded(place, end, tokens) => {
+                self.state.attempt_ended(place, end, tokens, now)
             }
-            Ask::Unhedged => self.book.admission.unhedged(),
-            Ask::Load(report) => self.book.load(&report, now),
-            Ask::Subset(sender) => {
-                let _ = sender.send(self.book.subset());
+            RouterMessage::Retry(retry, sender) => {
+                let _ = sender.send(self.state.retry_delay(&retry, now));
             }
-            Ask::Dump(sender) => {
-                let _ = sender.send(dump(&self.book));
+            RouterMessage::Hedge(late, sender) => {
+                let allowed = self.state.try_hedge(&late, now);
+                let _ = sender.send(allowed.then(|| HedgePermit::new(self.router.clone())));
+            }
+            RouterMessage::HedgeEnded => self.state.admission.unhedged(),
+            RouterMessage::Load(report) => self.state.record_load(&report, now),
+            RouterMessage::Subset(sender) => {
+                let _ = sender.send(self.state.subset());
+            }
+            RouterMessage::Dump(sender) => {
+                let _ = sender.send(dump(&self.state));
             }
         }
     }
 
     /// Tells a request what became of it. What was counted for an asker that went away is given
-    /// back by the drops of [`Entered`] and [`Ticket`], wherever on the way they are lost.
-    fn let_in(&self, request: RequestId, entering: Entering, sender: EnterSender) {
+    /// back by the drops of [`RequestPermit`] and [`AttemptPermit`], wherever on the way they are lost.
+    fn let_in(&self, request: RequestId, entering: AdmitResult, sender: AdmitSender) {
         let entered = entering
-            .map(|placed| (Entered::new(self.router.clone(), request), self.ticket(placed)));
+            .map(|placed| (RequestPermit::new(self.router.clone(), request), self.permit(placed)));
         let _ = sender.send(entered);
     }
 
-    fn ticket(&self, (place, pick): Placed) -> Ticket {
-        Ticket::new(self.router.clone(), place, pick)
+    fn permit(&self, (place, pick): PlacedAttempt) -> AttemptPermit {
+        AttemptPermit::new(self.router.clone(), place, pick)
     }
 
     fn tick(&mut self) {
-        self.book.tick(self.kernel.now());
+        self.state.tick(self.kernel.now());
         self.ticks += 1;
         if !self.ticks.is_multiple_of(GAUGES) {
             return;
         }
-        self.kernel.metrics.gauge("entry.running", self.book.admission.running() as u64);
-        self.kernel.metrics.gauge("entry.waiting", self.book.admission.waiting() as u64);
+        self.kernel.metrics.gauge("entry.running", self.state.admission.running() as u64);
+        self.kernel.metrics.gauge("entry.waiting", self.state.admission.waiting() as u64);
         let gone = self.waiting.extract_if(|_, sender| sender.is_closed());
         for (request, _) in gone.collect::<Vec<_>>() {
-            self.book.forget(request);
+            self.state.cancel_waiting(request);
         }
     }
 }
--- a/components/entry/src/router/place.rs
+++ b/components/entry/src/router/placement.rs
@@ -1,4 +1,4 @@
-//! Where attempts go: the part of the book that asks routing.
+//! Where attempts go: the part of the state that asks routing.
 
 use chicoryford_admission::Straggler;
 use chicoryford_routing::Choice;
@@ -8,12 +8,12 @@
 use chicoryford_types::Millis;
 use chicoryford_types::Model;
 
-use crate::router::book::Book;
-use crate::router::book::Placed;
-use crate::router::seat::Late;
-use crate::router::seat::Pick;
-use crate::router::seat::Verdict;
-use crate::router::seat::Want;
+use crate::router::query::AttemptEnd;
+use crate::router::query::EndpointQuery;
+use crate::router::query::LateSample;
+use crate::router::query::Pick;
+use crate::router::state::PlacedAttempt;
+use crate::router::state::RouterState;
 
 /// When a request that found no endpoint may come back, in milliseconds.
 const ABSENT_RETRY: u64 = 1_000;
@@ -25,7 +25,7 @@
 
 /// An attempt in progress.
 #[derive(Clone, Debug)]
-pub(super) struct Running {
+pub(super) struct RunningAttempt {
     seat: Seat,
     model: Model,
     pick: Pick,
@@ -33,24 +33,24 @@
     tokens: u32,
 }
 
-impl Book {
+impl RouterState {
     /// Chooses the endpoint of an attempt and counts the attempt there.
     ///
     /// # Errors
     ///
     /// The failure to tell, always "not run".
-    pub fn choose(&mut self, want: &Want, now: Millis) -> Result<Placed, Failure> {
-        let tokens = self.expected_tokens(want);
+    pub fn choose(&mut self, query: &EndpointQuery, now: Millis) -> Result<PlacedAttempt, Failure> {
+        let tokens = self.expected_tokens(query);
         let avoid: Vec<Seat> =
-            want.avoid.iter().filter_map(|endpoint| self.routing.find(endpoint)).collect();
-        let mut chosen = self.ask_routing(want, tokens, &avoid, now);
+            query.avoid.iter().filter_map(|endpoint| self.routing.find(endpoint)).collect();
+        let mut chosen = self.ask_routing(query, tokens, &avoid, now);
         if chosen == Err(NoChoice::Excluded) {
             // An endpoint that failed once is better than none.
-            chosen = self.ask_routing(want, tokens, &[], now);
+            chosen = self.ask_routing(query, tokens, &[], now);
         }
-        let choice = chosen.map_err(|none| absent(none, &want.model))?;
+        let choice = chosen.map_err(|none| absent(none, &query.model))?;
         let Some(target) = self.routing.target(choice.seat) else {
-            return Err(absent(NoChoice::Unserved, &want.model));
+            return Err(absent(NoChoice::Unserved, &query.model));
         };
         let pick = Pick {
             endpoint: target.endpoint.clone(),
@@ -58,68 +58,72 @@
             address: target.address.clone(),
             incarnation: target.incarnation,
         };
-        self.routing.started(now, choice.seat, tokens, want.prefix);
-        self.rooms.started(&want.model);
-        self.next += 1;
-        let (seat, model) = (choice.seat, want.model.clone());
-        let running = Running { seat, model, pick: pick.clone(), begun: now, tokens };
-        self.running.insert(self.next, running);
-        Ok((self.next, pick))
+        self.routing.started(now, choice.seat, tokens, query.prefix);
+        self.capacities.started(&query.model);
+        self.last_attempt += 1;
+        let (seat, model) = (choice.seat, query.model.clone());
+        let running = RunningAttempt { seat, model, pick: pick.clone(), begun: now, tokens };
+        self.running.insert(self.last_attempt, running);
+        Ok((self.last_attempt, pick))
     }
 
     fn ask_routing(
         &mut self,
-        want: &Want,
+        query: &EndpointQuery,
         tokens: u32,
         exclude: &[Seat],
         now: Millis,
     ) -> Result<Choice, NoChoice> {
-        let want = chicoryford_routing::Want {
-            model: &want.model,
-            class: want.class,
-            prefix: want.prefix,
-            prompt: want.prompt,
+        let query = chicoryford_routing::Want {
+            model: &query.model,
+            class: query.class,
+            prefix: query.prefix,
+            prompt: query.prompt,
             tokens,
-            floor: want.floor,
+            floor: query.floor,
             exclude,
-            suspect: want.suspect,
+            suspect: query.suspect,
         };
-        self.routing.choose(now, &want)
+        self.routing.choose(now, &query)
     }
 
-    pub(super) fn expect(&mut self, want: &Want, now: Millis) -> Result<u64, Failure> {
-        let tokens = self.expected_tokens(want);
-        let chosen = self.ask_routing(want, tokens, &[], now);
-        chosen.map(|choice| choice.expected_ms).map_err(|none| absent(none, &want.model))
+    pub(super) fn expected_ms(
+        &mut self,
+        query: &EndpointQuery,
+        now: Millis,
+    ) -> Result<u64, Failure> {
+        let tokens = self.expected_tokens(query);
+        let chosen = self.ask_routing(query, tokens, &[], now);
+        chosen.map(|choice| choice.expected_ms).map_err(|none| absent(none, &query.model))
     }
 
-    fn expected_tokens(&self, want: &Want) -> u32 {
-        let mean = self.lengths.get(&want.model).copied().unwrap_or(LENGTH);
-        (mean.ceil() as u32).min(want.tokens)
+    fn expected_tokens(&self, query: &EndpointQuery) -> u32 {
+        let mean = self.mean_lengths.get(&query.model).copied().unwrap_or(LENGTH);
+        (mean.ceil() as u32).min(query.tokens)
     }
 
     /// Takes in how an attempt ended and how many tokens it produced.
-    pub fn ended(&mut self, place: u64, verdict: Verdict, tokens: u32, now: Millis) {
+    pub fn attempt_ended(&mut self, place: u64, end: AttemptEnd, tokens: u32, now: Millis) {
         let Some(running) = self.running.remove(&place) else { return };
-        let Running { seat, model, pick, begun, tokens: expected } = running;
+        let RunningAttempt { seat, model, pick, begun, tokens: expected } = running;
         let left = expected.saturating_sub(tokens);
-        self.rooms.ended(&model);
-        self.routing.finished(now, seat, verdict.ending(), now.since(begun), tokens, left);
-        match verdict {
-            Verdict::Ran(load) => {
+        self.capacities.ended(&model);
+        self.routing.finished(now, seat, end.ending(), now.since(begun), tokens, left);
+        match end {
+            AttemptEnd::Ran(load) => {
                 if tokens > 0 {
-                    let mean = self.lengths.entry(model).or_insert(tokens as f32);
+                    let mean = self.mean_lengths.entry(model).or_insert(tokens as f32);
                     *mean += LEARN * (tokens as f32 - *mean);
                 }
                 if let Some(load) = load {
-                    self.load(&load, now);
+                    self.record_load(&load, now);
                 }
             }
-            Verdict::Leaving => {
+            AttemptEnd::Leaving => {
                 self.overlay.refused(pick.endpoint, pick.incarnation, now);
-                self.lay(now);
+                self.update_routing(now);
             }
-            Verdict::Failed | Verdict::Silent | Verdict::Dropped => {}
+            AttemptEnd::Failed | AttemptEnd::Silent | AttemptEnd::Dropped => {}
         }
     }
 
@@ -128,12 +132,12 @@
     /// What it has still to produce is estimated from the mean length of the model's answers;
     /// one that is past the mean is expected to be a quarter longer than it is. The second maker
     /// has to produce all of it anew, so a sample that is merely long is not hedged.
-    pub fn hedge(&mut self, late: &Late, now: Millis) -> bool {
-        let mean = self.expected_tokens(&late.want);
+    pub fn try_hedge(&mut self, late: &LateSample, now: Millis) -> bool {
+        let mean = self.expected_tokens(&late.query);
         let rest = mean.saturating_sub(late.tokens).max(late.tokens / 4).max(1);
-        let again = Want { tokens: late.tokens + rest, ..late.want.clone() };
+        let again = EndpointQuery { tokens: late.tokens + rest, ..late.query.clone() };
         let avoid: Vec<Seat> =
-            late.want.avoid.iter().filter_map(|endpoint| self.routing.find(endpoint)).collect();
+            late.query.avoid.iter().filter_map(|endpoint| self.routing.find(endpoint)).collect();
         let Ok(choice) = self.ask_routing(&again, late.tokens + rest, &avoid, now) else {
             return false;
         };
@@ -145,7 +149,7 @@
             expected_ms: choice.expected_ms,
             again_ms: choice.expected_ms,
             rest_ms: token_ms * u64::from(rest),
-            room: self.rooms.of(&self.routing, &late.want.model, now),
+            room: self.capacities.get(&self.routing, &late.query.model, now),
         };
         let allowed = self.admission.may_hedge(&straggler);
         if allowed {
--- a/components/entry/src/router/seat.rs
+++ b/components/entry/src/router/query.rs
@@ -16,7 +16,7 @@
 
 /// An attempt that looks for an endpoint.
 #[derive(Clone, Debug, Default)]
-pub struct Want {
+pub struct EndpointQuery {
     /// The request.
     pub request: RequestId,
     /// The workspace on whose behalf it runs.
@@ -56,7 +56,7 @@
 
 /// A request whose attempt failed and that may be tried again.
 #[derive(Clone, Debug)]
-pub struct Again {
+pub struct RetryQuery {
     /// On whose behalf.
     pub workspace: Workspace,
     /// Attempts so far.
@@ -71,9 +71,9 @@
 
 /// A sample that runs late and may be given a second maker.
 #[derive(Clone, Debug, Default)]
-pub struct Late {
+pub struct LateSample {
     /// What the second maker would look for.
-    pub want: Want,
+    pub query: EndpointQuery,
     /// Samples of its group.
     pub group: u32,
     /// Of those, the ones that are not recorded.
@@ -86,7 +86,7 @@
 
 /// How an attempt ended, as far as it tells something about its endpoint.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub enum Verdict {
+pub enum AttemptEnd {
     /// It ran to its end; the agent may have told the load just then.
     Ran(Option<LoadReport>),
     /// The agent refused it because its endpoint is leaving.
@@ -100,9 +100,9 @@
     Dropped,
 }
 
-impl Verdict {
+impl AttemptEnd {
     /// Tells what an agent's refusal says about its endpoint.
-    pub fn of_refusal(code: Code) -> Self {
+    pub fn from_refusal(code: Code) -> Self {
         match code {
             Code::Draining => Self::Leaving,
             Code::NoEndpoint | Code::EndpointFailed | Code::Internal => Self::Failed,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Gives the verdict in the words of routing.
+    /// Gives the end in the words of routing.
     pub fn ending(&self) -> Ending {
         match self {
             Self::Ran(_) => Ending::Finished,
--- a/components/entry/src/router/book.rs
+++ b/components/entry/src/router/state.rs
@@ -11,7 +11,7 @@
 use chicoryford_admission::Done;
 use chicoryford_admission::Lease;
 use chicoryford_admission::Retry;
-use chicoryford_admission::Verdict as Entry;
+use chicoryford_admission::Verdict as AdmissionVerdict;
 use chicoryford_admission::shares::even;
 use chicoryford_routing::Place;
 use chicoryford_routing::Router;
@@ -24,12 +24,12 @@
 use chicoryford_types::Model;
 use chicoryford_types::RequestId;
 
-use crate::router::overlay::Overlay;
-use crate::router::place::Running;
-use crate::router::room::Rooms;
-use crate::router::seat::Again;
-use crate::router::seat::Pick;
-use crate::router::seat::Want;
+use crate::router::capacity::CapacityCache;
+use crate::router::draining::DrainingOverlay;
+use crate::router::placement::RunningAttempt;
+use crate::router::query::EndpointQuery;
+use crate::router::query::Pick;
+use crate::router::query::RetryQuery;
 
 /// When a request that found this entry full may come back, in milliseconds.
 const FULL_RETRY: u64 = 500;
@@ -52,13 +52,13 @@
 }
 
 /// A place at an endpoint: its number, and the endpoint.
-pub type Placed = (u64, Pick);
+pub type PlacedAttempt = (u64, Pick);
 
 /// What became of a request that wanted in.
-pub type Entering = Result<Placed, Failure>;
+pub type AdmitResult = Result<PlacedAttempt, Failure>;
 
 /// What the router knows.
-pub struct Book {
+pub struct RouterState {
     /// Chooses endpoints.
     pub routing: Router,
     /// Admits requests.
@@ -68,18 +68,18 @@
     rank: u32,
     members: Arc<Members>,
     config: Arc<Config>,
-    pub(super) overlay: Overlay,
-    pub(super) rooms: Rooms,
-    waiting: HashMap<RequestId, Want>,
+    pub(super) overlay: DrainingOverlay,
+    pub(super) capacities: CapacityCache,
+    waiting: HashMap<RequestId, EndpointQuery>,
     started: HashMap<RequestId, Millis>,
-    pub(super) running: HashMap<u64, Running>,
-    pub(super) lengths: HashMap<Model, f32>,
-    pub(super) next: u64,
-    asked: u64,
+    pub(super) running: HashMap<u64, RunningAttempt>,
+    pub(super) mean_lengths: HashMap<Model, f32>,
+    pub(super) last_attempt: u64,
+    admissions: u64,
     bounds: Bounds,
 }
 
-impl Book {
+impl RouterState {
     /// Starts with no endpoints.
     pub fn new(bounds: Bounds, seed: u64) -> Self {
         let routing = chicoryford_routing::Settings {
@@ -97,44 +97,44 @@
             rank: 0,
             members: Arc::default(),
             config: Arc::default(),
-            overlay: Overlay::default(),
-            rooms: Rooms::default(),
+            overlay: DrainingOverlay::default(),
+            capacities: CapacityCache::default(),
             waiting: HashMap::new(),
             started: HashMap::new(),
             running: HashMap::new(),
-            lengths: HashMap::new(),
-            next: 0,
-            asked: 0,
+            mean_lengths: HashMap::new(),
+            last_attempt: 0,
+            admissions: 0,
             bounds,
         }
     }
 
     /// Takes in who is there.
-    pub fn members(&mut self, members: Arc<Members>, now: Millis) {
+    pub fn update_members(&mut self, members: Arc<Members>, now: Millis) {
         let entries = members.present().filter(|member| member.roles.entry);
         let names: Vec<_> = entries.map(|member| &member.node).collect();
         self.entries = names.len().max(1) as u32;
         self.rank = names.iter().filter(|name| ***name < self.bounds.place.node).count() as u32;
         self.members = members;
-        self.lay(now);
-        self.lease();
+        self.update_routing(now);
+        self.update_leases();
     }
 
     /// Takes in accepted configuration.
-    pub fn configure(&mut self, config: Arc<Config>, now: Millis) {
+    pub fn update_config(&mut self, config: Arc<Config>, now: Millis) {
         self.config = config;
-        self.lay(now);
-        self.lease();
+        self.update_routing(now);
+        self.update_leases();
     }
 
-    pub(super) fn lay(&mut self, now: Millis) {
-        let laid = self.overlay.lay(&self.members, &self.config);
+    pub(super) fn update_routing(&mut self, now: Millis) {
+        let laid = self.overlay.apply(&self.members, &self.config);
         self.routing.observe_members(now, &laid);
-        self.rooms.clear();
+        self.capacities.clear();
     }
 
     /// Gives each workspace this entry's equal share of its limits.
-    fn lease(&mut self) {
+    fn update_leases(&mut self) {
         for (workspace, versioned) in &self.config.templates {
             let template = &versioned.template;
             let limits = template.limits;
@@ -148,54 +148,54 @@
     }
 
     /// Decides on a request at the door; none if it waits, and [`Self::poll`] tells later.
-    pub fn enter(&mut self, want: Want, now: Millis) -> Option<Entering> {
+    pub fn admit(&mut self, query: EndpointQuery, now: Millis) -> Option<AdmitResult> {
         let total = self.admission.running();
         if total >= self.bounds.running {
             let detail = format!("{total} requests are in progress at this entry");
             let failure = Failure::not_run(Code::Overloaded, detail).retry_after(FULL_RETRY);
             return Some(Err(failure));
         }
-        let expected_ms = match self.expect(&want, now) {
+        let expected_ms = match self.expected_ms(&query, now) {
             Ok(expected_ms) => expected_ms,
             Err(failure) => return Some(Err(failure)),
         };
-        self.asked += 1;
-        let is_trial = self.asked.is_multiple_of(TRIAL);
+        self.admissions += 1;
+        let is_trial = self.admissions.is_multiple_of(TRIAL);
         let expected_ms = if is_trial { 1 } else { expected_ms };
         let ask = Ask {
-            id: want.request,
-            workspace: &want.workspace,
-            model: &want.model,
-            class: want.class,
-            deadline: want.deadline,
+            id: query.request,
+            workspace: &query.workspace,
+            model: &query.model,
+            class: query.class,
+            deadline: query.deadline,
             expected_ms,
-            room: self.rooms.of(&self.routing, &want.model, now),
+            room: self.capacities.get(&self.routing, &query.model, now),
         };
         let entry = self.admission.admit(now, &ask);
         match entry {
-            Entry::Admit => Some(self.begin(&want, now)),
-            Entry::Wait => {
-                self.waiting.insert(want.request, want);
+            AdmissionVerdict::Admit => Some(self.start(&query, now)),
+            AdmissionVerdict::Wait => {
+                self.waiting.insert(query.request, query);
                 None
             }
-            Entry::Refuse(refused) => {
-                Some(Err(refused.failure(&explain(refused.code, &want.model))))
+            AdmissionVerdict::Refuse(refused) => {
+                Some(Err(refused.failure(&explain(refused.code, &query.model))))
             }
         }
     }
 
     /// Starts a request that was admitted: finds its first endpoint.
-    fn begin(&mut self, want: &Want, now: Millis) -> Entering {
-        self.started.insert(want.request, now);
-        let placed = self.choose(want, now);
+    fn start(&mut self, query: &EndpointQuery, now: Millis) -> AdmitResult {
+        self.started.insert(query.request, now);
+        let placed = self.choose(query, now);
         if placed.is_err() {
-            self.leave(want.request, false, now);
+            self.request_ended(query.request, false, now);
         }
         placed
     }
 
     /// Takes out a request that was admitted.
-    pub fn leave(&mut self, request: RequestId, ran: bool, now: Millis) {
+    pub fn request_ended(&mut self, request: RequestId, ran: bool, now: Millis) {
         if let Some(begun) = self.started.remove(&request) {
             let done = Done { ok: ran, ms: now.since(begun) };
             self.admission.finished(now, request, done);
@@ -203,27 +203,27 @@
     }
 
     /// Takes out a request that waits and whose asker went away.
-    pub fn forget(&mut self, request: RequestId) {
+    pub fn cancel_waiting(&mut self, request: RequestId) {
         if self.waiting.remove(&request).is_some() {
             self.admission.cancelled(request);
         }
     }
 
     /// Gives what becomes of requests that waited.
-    pub fn poll(&mut self, now: Millis) -> Vec<(RequestId, Entering)> {
-        let (routing, rooms) = (&self.routing, &mut self.rooms);
-        let actions = self.admission.poll(now, |model| rooms.of(routing, model, now));
+    pub fn poll(&mut self, now: Millis) -> Vec<(RequestId, AdmitResult)> {
+        let (routing, capacities) = (&self.routing, &mut self.capacities);
+        let actions = self.admission.poll(now, |model| capacities.get(routing, model, now));
         let mut entered = Vec::new();
         for action in actions {
             match action {
                 Action::Run(id) => {
-                    let Some(want) = self.waiting.remove(&id) else { continue };
-                    let placed = self.begin(&want, now);
+                    let Some(query) = self.waiting.remove(&id) else { continue };
+                    let placed = self.start(&query, now);
                     entered.push((id, placed));
                 }
                 Action::Refuse(id, refused) => {
-                    let Some(want) = self.waiting.remove(&id) else { continue };
-                    let failure = refused.failure(&explain(refused.code, &want.model));
+                    let Some(query) = self.waiting.remove(&id) else { continue };
+                    let failure = refused.failure(&explain(refused.code, &query.model));
                     entered.push((id, Err(failure)));
                 }
             }
@@ -232,27 +232,27 @@
     }
 
     /// Decides whether a request is tried again; gives the milliseconds to wait before.
-    pub fn again(&mut self, again: &Again, now: Millis) -> Option<u64> {
-        let retry = Retry {
-            workspace: &again.workspace,
-            attempts: again.attempts,
-            outcome: again.outcome,
-            repeatable: again.repeatable,
-            deadline: again.deadline,
+    pub fn retry_delay(&mut self, retry: &RetryQuery, now: Millis) -> Option<u64> {
+        let request = Retry {
+            workspace: &retry.workspace,
+            attempts: retry.attempts,
+            outcome: retry.outcome,
+            repeatable: retry.repeatable,
+            deadline: retry.deadline,
             expected_ms: 0,
         };
-        self.admission.may_retry(now, &retry)
+        self.admission.may_retry(now, &request)
     }
 
     /// Takes in a load report.
-    pub fn load(&mut self, report: &LoadReport, now: Millis) {
+    pub fn record_load(&mut self, report: &LoadReport, now: Millis) {
         self.routing.observe_report(now, report);
     }
 
     /// Lets time pass.
     pub fn tick(&mut self, now: Millis) {
-        if self.overlay.forget(now) {
-            self.lay(now);
+        if self.overlay.expire(now) {
+            self.update_routing(now);
         }
     }
 }
--- a/components/entry/src/run/once/mod.rs
+++ b/components/entry/src/run/at_most_once/mod.rs
@@ -5,7 +5,7 @@
 //! resends the call, through whichever entry, finds the claim and asks that agent.
 
 mod answers;
-pub mod truth;
+pub mod outcome;
 
 use std::time::Duration;
 
@@ -28,22 +28,22 @@
 use chicoryford_types::request::Task;
 
 use crate::context::Context;
-use crate::router::Ticket;
-use crate::router::Verdict;
+use crate::router::AttemptEnd;
+use crate::router::AttemptPermit;
+use crate::run::at_most_once::answers::RETRY;
+use crate::run::at_most_once::answers::assigned;
+use crate::run::at_most_once::answers::ended;
+use crate::run::at_most_once::answers::refused;
+use crate::run::at_most_once::answers::unknown;
 use crate::run::attempt::Attempt;
-use crate::run::attempt::Broken;
+use crate::run::attempt::AttemptError;
+use crate::run::attempts;
+use crate::run::attempts::LiveAttempt;
+use crate::run::background;
 use crate::run::job::Job;
-use crate::run::once::answers::RETRY;
-use crate::run::once::answers::assigned;
-use crate::run::once::answers::ended;
-use crate::run::once::answers::refused;
-use crate::run::once::answers::unknown;
 use crate::run::probe;
-use crate::run::serve;
-use crate::run::serve::Served;
-use crate::run::settle;
-use crate::run::tries;
-use crate::run::tries::Live;
+use crate::run::service_call;
+use crate::run::service_call::ServiceReply;
 
 /// The longest wait for a claim to be decided.
 const CLAIM: Duration = Duration::from_secs(5);
@@ -65,7 +65,7 @@
     /// Find an endpoint and claim.
     Claim,
     /// Send the attempt that was granted.
-    Dispatch(Ticket, Number),
+    Dispatch(AttemptPermit, Number),
     /// Ask the holder's agent what became of its attempt.
     Follow(Holder),
     /// This attempt certainly did not run; move the claim on.
@@ -85,7 +85,7 @@
     decided: bool,
     last: Option<Failure>,
     /// The place that the request got when it was let in.
-    first: Option<Ticket>,
+    first: Option<AttemptPermit>,
 }
 
 /// Runs a call at most once.
@@ -98,7 +98,7 @@
     job: Job,
     call: ServiceCall,
     content: &[u8],
-) -> Result<Served, Failure> {
+) -> Result<ServiceReply, Failure> {
     let key = job.key.clone().ok_or_else(|| {
         let detail = "a call that may not be repeated needs the header idempotency-key, \
                       `<Unix ms of issue>.<anything>`";
@@ -106,9 +106,11 @@
     })?;
     let digest = Digest::of(content);
     let task = Task::Call(call);
-    let (mut entered, first) = match context.router.enter(job.want()).await {
-        Ok(entered) => entered,
-        Err(failure) => return Err(truth::told(context, &job.workspace, &key, failure).await),
+    let (mut request_permit, first) = match context.router.admit(job.endpoint_query()).await {
+        Ok(request_permit) => request_permit,
+        Err(failure) => {
+            return Err(outcome::unknown_if_claimed(context, &job.workspace, &key, failure).await);
+        }
     };
     let mut once = Once {
         context,
@@ -123,12 +125,18 @@
     };
     let answer = match once.run().await {
         Err(failure) if !once.decided => {
-            return Err(truth::told(context, &once.job.workspace, &once.key, failure).await);
+            return Err(outcome::unknown_if_claimed(
+                context,
+                &once.job.workspace,
+                &once.key,
+                failure,
+            )
+            .await);
         }
         end => end?,
     };
-    entered.ran = true;
-    Ok(Served { answer, attempts: once.job.attempt.0 })
+    request_permit.ran = true;
+    Ok(ServiceReply { answer, attempts: once.job.attempt.0 })
 }
 
 impl Once<'_> {
@@ -137,7 +145,7 @@
         loop {
             let next = match state {
                 State::Claim => self.claim().await?,
-                State::Dispatch(ticket, attempt) => self.dispatch(ticket, attempt).await?,
+                State::Dispatch(permit, attempt) => self.dispatch(permit, attempt).await?,
                 State::Follow(holder) => self.follow(holder).await?,
                 State::Reassign(after) => self.reassign(after).await?,
             };
@@ -149,8 +157,8 @@
     }
 
     async fn claim(&mut self) -> Result<Step, Failure> {
-        let ticket = self.choose().await?;
-        let to = assigned(&ticket.pick);
+        let permit = self.choose().await?;
+        let to = assigned(&permit.pick);
         let command = Command::Claim {
             workspace: self.job.workspace.clone(),
             key: self.key.clone(),
@@ -159,29 +167,29 @@
             to,
         };
         let reply = self.propose(&command).await?;
-        self.decided(reply, ticket)
+        self.decided(reply, permit)
     }
 
     /// Moves the claim on to another endpoint, if the request may still be tried.
     async fn reassign(&mut self, after: Number) -> Result<Step, Failure> {
         self.job.attempt = after;
-        let ticket = self.choose().await?;
+        let permit = self.choose().await?;
         let command = Command::Reassign {
             workspace: self.job.workspace.clone(),
             key: self.key.clone(),
             request: self.job.request,
             after,
-            to: assigned(&ticket.pick),
+            to: assigned(&permit.pick),
         };
         let reply = self.propose(&command).await?;
-        self.decided(reply, ticket)
+        self.decided(reply, permit)
     }
 
-    async fn choose(&mut self) -> Result<Ticket, Failure> {
-        if let Some(ticket) = self.first.take() {
-            return Ok(ticket);
+    async fn choose(&mut self) -> Result<AttemptPermit, Failure> {
+        if let Some(permit) = self.first.take() {
+            return Ok(permit);
         }
-        let chosen = self.context.router.choose(self.job.want()).await;
+        let chosen = self.context.router.choose(self.job.endpoint_query()).await;
         chosen.map_err(|failure| match self.last.clone() {
             Some(last) => self.finally(Failure { retry_ms: failure.retry_ms, ..last }),
             None => self.finally(failure),
@@ -191,17 +199,17 @@
     /// Proposes a command of the claim. A lost answer leaves the claim granted to a request that
     /// never sends: that is truly "not run", and a resend finds it out by asking the agent.
     async fn propose(&self, command: &Command) -> Result<Reply, Failure> {
-        let left = Duration::from_millis(self.job.left(self.context.now()));
+        let left = Duration::from_millis(self.job.remaining_ms(self.context.now()));
         let proposed = self.context.proposer.propose(command, CLAIM.min(left)).await;
         proposed.map_err(|failure| {
             self.finally(Failure { outcome: Outcome::NotRun, ..failure }.retry_after(RETRY))
         })
     }
 
-    fn decided(&mut self, reply: Reply, ticket: Ticket) -> Result<Step, Failure> {
+    fn decided(&mut self, reply: Reply, permit: AttemptPermit) -> Result<Step, Failure> {
         self.decided = !matches!(reply, Reply::Failed(_));
         match reply {
-            Reply::Granted { attempt } => Ok(Step::Go(State::Dispatch(ticket, attempt))),
+            Reply::Granted { attempt } => Ok(Step::Go(State::Dispatch(permit, attempt))),
             Reply::Held { request, attempt, to } => {
                 self.foreign |= request != self.job.request;
                 Ok(Step::Go(State::Follow(Holder { request, attempt, to })))
@@ -217,50 +225,50 @@
         }
     }
 
-    async fn dispatch(&mut self, ticket: Ticket, attempt: Number) -> Result<Step, Failure> {
+    async fn dispatch(&mut self, permit: AttemptPermit, attempt: Number) -> Result<Step, Failure> {
         self.job.attempt = attempt;
-        let work = self.job.work(self.task.clone(), &ticket.pick, self.context.now());
-        let (address, deadline) = (ticket.pick.address.clone(), self.job.deadline);
-        let to = assigned(&ticket.pick);
+        let work = self.job.work(self.task.clone(), &permit.pick, self.context.now());
+        let (address, deadline) = (permit.pick.address.clone(), self.job.deadline);
+        let to = assigned(&permit.pick);
         let opened = Attempt::open(self.context, &address, &work, deadline).await;
-        let (mut ticket, broken) = match opened {
-            Err(broken) => (ticket, broken),
+        let (mut permit, broken) = match opened {
+            Err(broken) => (permit, broken),
             Ok(opened) => {
-                let mut live = Live { ticket, attempt: opened, number: attempt };
-                match serve::read(&mut live).await {
+                let mut live = LiveAttempt { permit, attempt: opened, number: attempt };
+                match service_call::read(&mut live).await {
                     Ok(answer) => {
                         self.settle(attempt, ClaimEnd::Answered(answer.clone()));
-                        settle::cleared(self.context, &self.job);
+                        background::clear_suspect(self.context, &self.job);
                         return Ok(Step::Done(answer));
                     }
                     Err(broken) => {
                         live.attempt.leave();
-                        (live.ticket, broken)
+                        (live.permit, broken)
                     }
                 }
             }
         };
-        let endpoint = ticket.pick.endpoint.clone();
+        let endpoint = permit.pick.endpoint.clone();
         tracing::info!(event = "claimed_attempt_broken", request = %self.job.request, ?broken);
         match broken {
-            Broken::NotRun(failure) => {
-                ticket.verdict = Verdict::of_refusal(failure.code);
-                drop(ticket);
+            AttemptError::NotRun(failure) => {
+                permit.end = AttemptEnd::from_refusal(failure.code);
+                drop(permit);
                 self.job.avoid.push(endpoint);
-                if !tries::wait(self.context, &mut self.job, &failure).await {
+                if !attempts::wait_for_retry(self.context, &mut self.job, &failure).await {
                     return Err(self.finally(failure));
                 }
                 self.last = Some(failure);
                 Ok(Step::Go(State::Reassign(attempt)))
             }
-            Broken::Failed(failure) => {
+            AttemptError::Failed(failure) => {
                 if failure.code == Code::EndpointFailed {
-                    ticket.verdict = Verdict::Failed;
+                    permit.end = AttemptEnd::Failed;
                     self.settle(attempt, ClaimEnd::Unknown);
                 }
                 Err(Failure { outcome: Outcome::Unknown, ..failure })
             }
-            Broken::Lost(_) | Broken::Late => {
+            AttemptError::Lost(_) | AttemptError::Late => {
                 let request = self.job.request;
                 Ok(Step::Go(State::Follow(Holder { request, attempt, to })))
             }
@@ -271,7 +279,7 @@
     async fn follow(&mut self, holder: Holder) -> Result<Step, Failure> {
         let mut wait = ASK;
         loop {
-            let left = self.job.left(self.context.now());
+            let left = self.job.remaining_ms(self.context.now());
             let last = left == 0;
             if let Some(address) = self.address(&holder)? {
                 // The attempt is called off only at the deadline: until then its answer is wanted.
@@ -349,7 +357,7 @@
             attempt,
             end,
         };
-        settle::later(self.context, command);
+        background::propose(self.context, command);
     }
 
     fn finally(&self, failure: Failure) -> Failure {
--- a/components/entry/src/run/once/truth.rs
+++ b/components/entry/src/run/at_most_once/outcome.rs
@@ -20,8 +20,8 @@
 use chicoryford_types::Workspace;
 
 use crate::context::Context;
+use crate::run::at_most_once::answers::RETRY;
 use crate::run::job::Job;
-use crate::run::once::answers::RETRY;
 
 /// The longest wait for the control processes; a refusal should come at once.
 const LOOK: Duration = Duration::from_secs(1);
@@ -29,7 +29,7 @@
 const NEVER: Attempt = Attempt(0);
 
 /// Gives the refusal with an outcome that is true of every sending under the key.
-pub async fn told(
+pub async fn unknown_if_claimed(
     context: &Context,
     workspace: &Workspace,
     key: &IdempotencyKey,
@@ -46,7 +46,7 @@
     let look = Command::Reassign {
         workspace: workspace.clone(),
         key: key.clone(),
-        request: Job::draw(),
+        request: Job::new_request_id(),
         after: NEVER,
         to: Assigned::default(),
     };
--- a/components/entry/src/run/attempt.rs
+++ b/components/entry/src/run/attempt.rs
@@ -26,9 +26,9 @@
 use futures_util::stream::LocalBoxStream;
 
 use crate::context::Context;
-use crate::router::Ticket;
-use crate::router::Verdict;
-use crate::run::check::Check;
+use crate::router::AttemptEnd;
+use crate::router::AttemptPermit;
+use crate::run::frame_check::FrameCheck;
 use crate::run::probe;
 
 /// The longest wait for the end of a body whose last frame has come.
@@ -36,7 +36,7 @@
 
 /// How an attempt broke off.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Broken {
+pub enum AttemptError {
     /// It certainly did not run and will not.
     NotRun(Failure),
     /// It reached its endpoint and failed there.
@@ -53,7 +53,7 @@
     address: String,
     stream: LocalBoxStream<'static, Result<Bytes, PayloadError>>,
     decoder: Decoder,
-    check: Check,
+    check: FrameCheck,
     question: AttemptQuestion,
     deadline: Millis,
     ended: bool,
@@ -64,13 +64,13 @@
     ///
     /// # Errors
     ///
-    /// [`Broken`].
+    /// [`AttemptError`].
     pub async fn open(
         context: &Context,
         address: &str,
         work: &Work,
         deadline: Millis,
-    ) -> Result<Self, Broken> {
+    ) -> Result<Self, AttemptError> {
         let question = AttemptQuestion {
             request: work.request,
             attempt: work.attempt,
@@ -83,7 +83,7 @@
             address: address.to_owned(),
             stream,
             decoder: Decoder::default(),
-            check: Check::new(work.request, work.attempt),
+            check: FrameCheck::new(work.request, work.attempt),
             question,
             deadline,
             ended: false,
@@ -94,8 +94,8 @@
     ///
     /// # Errors
     ///
-    /// [`Broken`]; the attempt must not be read further.
-    pub async fn next(&mut self) -> Result<Event, Broken> {
+    /// [`AttemptError`]; the attempt must not be read further.
+    pub async fn next(&mut self) -> Result<Event, AttemptError> {
         loop {
             let event = self.step().await?;
             match event {
@@ -125,7 +125,7 @@
         self.ended = true;
     }
 
-    async fn step(&mut self) -> Result<Event, Broken> {
+    async fn step(&mut self) -> Result<Event, AttemptError> {
         loop {
             let frame = self.decoder.take::<Frame>().map_err(|error| lost(error.to_string()))?;
             if let Some(frame) = frame {
@@ -157,7 +157,7 @@
     address: &str,
     work: &Work,
     deadline: Millis,
-) -> Result<LocalBoxStream<'static, Result<Bytes, PayloadError>>, Broken> {
+) -> Result<LocalBoxStream<'static, Result<Bytes, PayloadError>>, AttemptError> {
     let url = context.client.url(address, paths::WORK);
     let body = rmp_serde::to_vec_named(work).expect("work is plain data");
     let request = context.client.post(&url).content_type(MSGPACK);
@@ -177,35 +177,36 @@
     context: &Context,
     deadline: Millis,
     future: F,
-) -> Result<F::Output, Broken> {
+) -> Result<F::Output, AttemptError> {
     let left = Duration::from_millis(deadline.since(context.now()));
     let silence = context.silence;
     let waited = actix_rt::time::timeout(left.min(silence), future).await;
-    waited.map_err(|_| if left <= silence { Broken::Late } else { lost("silence".to_owned()) })
+    waited
+        .map_err(|_| if left <= silence { AttemptError::Late } else { lost("silence".to_owned()) })
 }
 
-fn lost(detail: String) -> Broken {
-    Broken::Lost(Failure::unknown(Code::EndpointFailed, detail))
+fn lost(detail: String) -> AttemptError {
+    AttemptError::Lost(Failure::unknown(Code::EndpointFailed, detail))
 }
 
-fn broken_call(error: CallError) -> Broken {
+fn broken_call(error: CallError) -> AttemptError {
     match error {
-        CallError::NotSent { .. } => Broken::NotRun(error.into_failure()),
-        CallError::Lost { .. } => Broken::Lost(error.into_failure()),
+        CallError::NotSent { .. } => AttemptError::NotRun(error.into_failure()),
+        CallError::Lost { .. } => AttemptError::Lost(error.into_failure()),
         CallError::Failure(failure) => broken_by(failure),
     }
 }
 
 /// Reads the agent's word: only it may say that an attempt that reached it did not run.
-fn broken_by(failure: Failure) -> Broken {
+fn broken_by(failure: Failure) -> AttemptError {
     match failure.outcome {
-        Outcome::NotRun => Broken::NotRun(failure),
-        _ => Broken::Failed(failure),
+        Outcome::NotRun => AttemptError::NotRun(failure),
+        _ => AttemptError::Failed(failure),
     }
 }
 
 /// What an agent's word makes of an attempt that was lost.
-pub enum Settled {
+pub enum ProbeResult {
     /// It did not run and will not.
     NotRun,
     /// It ran, and this is its answer.
@@ -218,27 +219,27 @@
 
 /// Asks the agent about an attempt that was lost, and judges the endpoint by whether it answers:
 /// a connection that went silent must not count against an endpoint that works.
-pub async fn settle(
+pub async fn probe_lost(
     context: &Context,
-    ticket: &mut Ticket,
+    permit: &mut AttemptPermit,
     request: RequestId,
     attempt: Number,
     cancel: bool,
-) -> Settled {
-    let incarnation = ticket.pick.incarnation;
+) -> ProbeResult {
+    let incarnation = permit.pick.incarnation;
     let question = AttemptQuestion { request, attempt, incarnation, cancel };
-    let state = probe::ask(context, &ticket.pick.address, &question).await;
-    let endpoint = &ticket.pick.endpoint;
+    let state = probe::ask(context, &permit.pick.address, &question).await;
+    let endpoint = &permit.pick.endpoint;
     tracing::info!(event = "attempt_probed", %request, %attempt, %endpoint, state = name(&state));
-    ticket.verdict = match &state {
-        Ok(AttemptState::Unknown) | Err(_) => Verdict::Failed,
-        Ok(_) => Verdict::Silent,
+    permit.end = match &state {
+        Ok(AttemptState::Unknown) | Err(_) => AttemptEnd::Failed,
+        Ok(_) => AttemptEnd::Silent,
     };
     match state {
-        Ok(AttemptState::Revoked | AttemptState::Refused) => Settled::NotRun,
-        Ok(AttemptState::Done(answer)) => Settled::Done(answer),
-        Ok(AttemptState::Running) => Settled::Running,
-        Ok(AttemptState::Unknown) | Err(_) => Settled::Unknown,
+        Ok(AttemptState::Revoked | AttemptState::Refused) => ProbeResult::NotRun,
+        Ok(AttemptState::Done(answer)) => ProbeResult::Done(answer),
+        Ok(AttemptState::Running) => ProbeResult::Running,
+        Ok(AttemptState::Unknown) | Err(_) => ProbeResult::Unknown,
     }
 }
 
--- a/components/entry/src/run/tries.rs
+++ b/components/entry/src/run/attempts.rs
@@ -12,12 +12,12 @@
 use chicoryford_types::request::Task;
 
 use crate::context::Context;
-use crate::router::Ticket;
-use crate::router::Verdict;
+use crate::router::AttemptEnd;
+use crate::router::AttemptPermit;
 use crate::run::attempt;
 use crate::run::attempt::Attempt;
-use crate::run::attempt::Broken;
-use crate::run::attempt::Settled;
+use crate::run::attempt::AttemptError;
+use crate::run::attempt::ProbeResult;
 use crate::run::job::Job;
 use crate::run::rescue;
 
@@ -25,9 +25,9 @@
 const MOVES: u32 = 8;
 
 /// An attempt and its place at an endpoint.
-pub struct Live {
+pub struct LiveAttempt {
     /// The place.
-    pub ticket: Ticket,
+    pub permit: AttemptPermit,
     /// The attempt.
     pub attempt: Attempt,
     /// Its number; a later attempt may have been made beside it.
@@ -35,43 +35,43 @@
 }
 
 /// An attempt that broke off, and its place.
-pub struct Ended {
+pub struct FailedAttempt {
     /// The place.
-    pub ticket: Ticket,
+    pub permit: AttemptPermit,
     /// The attempt's number.
     pub number: Number,
     /// How it broke off.
-    pub broken: Broken,
+    pub broken: AttemptError,
 }
 
 /// What follows a broken attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
+pub enum Recovery {
     /// Another attempt may be made.
-    Again,
+    Retry,
     /// The agent had the answer of a plain service after all.
     Answered(StoredAnswer),
 }
 
 /// The attempts of one request.
-pub struct Tries {
+pub struct Attempts {
     /// What the thread has.
     pub context: Context,
     /// The request.
     pub job: Job,
     /// Whether an attempt may have reached an endpoint. From then on no failure of the request
     /// may say "not run", whatever later attempts met.
-    pub touched: bool,
+    pub may_have_run: bool,
     /// The failure of the last attempt.
     pub last: Option<Failure>,
     /// The place that the request got when it was let in, for its first attempt.
-    first: Option<Ticket>,
+    first: Option<AttemptPermit>,
 }
 
-impl Tries {
+impl Attempts {
     /// Starts before the first attempt.
-    pub fn new(context: Context, job: Job, first: Ticket) -> Self {
-        Self { context, job, touched: false, last: None, first: Some(first) }
+    pub fn new(context: Context, job: Job, first: AttemptPermit) -> Self {
+        Self { context, job, may_have_run: false, last: None, first: Some(first) }
     }
 
     /// Makes the next attempt, trying endpoint after endpoint while each truly did not run it.
@@ -79,13 +79,13 @@
     /// # Errors
     ///
     /// The final failure of the request.
-    pub async fn start(&mut self, task: &Task) -> Result<Live, Failure> {
+    pub async fn start(&mut self, task: &Task) -> Result<LiveAttempt, Failure> {
         loop {
-            let (ticket, work) = self.prepare(task).await?;
+            let (permit, work) = self.prepare(task).await?;
             let (number, deadline) = (work.attempt, self.job.deadline);
-            match Attempt::open(&self.context, &ticket.pick.address, &work, deadline).await {
-                Ok(attempt) => return Ok(Live { ticket, attempt, number }),
-                Err(broken) => self.again(Ended { ticket, number, broken }).await?,
+            match Attempt::open(&self.context, &permit.pick.address, &work, deadline).await {
+                Ok(attempt) => return Ok(LiveAttempt { permit, attempt, number }),
+                Err(broken) => self.again(FailedAttempt { permit, number, broken }).await?,
             }
         }
     }
@@ -95,17 +95,17 @@
     /// # Errors
     ///
     /// The final failure of the request.
-    pub async fn prepare(&mut self, task: &Task) -> Result<(Ticket, Work), Failure> {
-        let ticket = match self.first.take() {
-            Some(ticket) => ticket,
+    pub async fn prepare(&mut self, task: &Task) -> Result<(AttemptPermit, Work), Failure> {
+        let permit = match self.first.take() {
+            Some(permit) => permit,
             None => {
-                let chosen = self.context.router.choose(self.job.want()).await;
+                let chosen = self.context.router.choose(self.job.endpoint_query()).await;
                 chosen.map_err(|refusal| self.refused(refusal))?
             }
         };
         self.job.attempt = self.job.attempt.next();
-        let work = self.job.work(task.clone(), &ticket.pick, self.context.now());
-        Ok((ticket, work))
+        let work = self.job.work(task.clone(), &permit.pick, self.context.now());
+        Ok((permit, work))
     }
 
     /// Waits until another attempt may follow one that broke off before its first event.
@@ -113,14 +113,14 @@
     /// # Errors
     ///
     /// The final failure of the request.
-    pub async fn again(&mut self, ended: Ended) -> Result<(), Failure> {
+    pub async fn again(&mut self, ended: FailedAttempt) -> Result<(), Failure> {
         match self.judge(ended).await? {
-            Next::Again => Ok(()),
-            Next::Answered(_) => {
+            Recovery::Retry => Ok(()),
+            Recovery::Answered(_) => {
                 let detail = "the answer was lost on its way";
                 let failure = Failure::unknown(Code::EndpointFailed, detail);
-                self.touched = true;
-                match wait(&self.context, &mut self.job, &failure).await {
+                self.may_have_run = true;
+                match wait_for_retry(&self.context, &mut self.job, &failure).await {
                     true => Ok(()),
                     false => Err(failure),
                 }
@@ -129,23 +129,23 @@
     }
 
     /// Takes note of an attempt that broke off while another one of the request goes on.
-    pub fn set_aside(&mut self, ended: Ended) {
-        let Ended { mut ticket, number, broken } = ended;
+    pub fn set_aside(&mut self, ended: FailedAttempt) {
+        let FailedAttempt { mut permit, number, broken } = ended;
         match broken {
-            Broken::NotRun(failure) => ticket.verdict = Verdict::of_refusal(failure.code),
-            Broken::Failed(failure) if failure.code == Code::EndpointFailed => {
-                ticket.verdict = Verdict::Failed;
+            AttemptError::NotRun(failure) => permit.end = AttemptEnd::from_refusal(failure.code),
+            AttemptError::Failed(failure) if failure.code == Code::EndpointFailed => {
+                permit.end = AttemptEnd::Failed;
             }
-            Broken::Lost(_) => {
+            AttemptError::Lost(_) => {
                 let work = AttemptQuestion {
                     request: self.job.request,
                     attempt: number,
-                    incarnation: ticket.pick.incarnation,
+                    incarnation: permit.pick.incarnation,
                     cancel: true,
                 };
-                actix_rt::spawn(rescue::cancel(self.context.clone(), ticket, work));
+                actix_rt::spawn(rescue::cancel(self.context.clone(), permit, work));
             }
-            Broken::Failed(_) | Broken::Late => {}
+            AttemptError::Failed(_) | AttemptError::Late => {}
         }
     }
 
@@ -154,49 +154,53 @@
     /// # Errors
     ///
     /// The final failure of the request.
-    pub async fn after(&mut self, mut live: Live, broken: Broken) -> Result<Next, Failure> {
-        if matches!(broken, Broken::Lost(_)) {
+    pub async fn after(
+        &mut self,
+        mut live: LiveAttempt,
+        broken: AttemptError,
+    ) -> Result<Recovery, Failure> {
+        if matches!(broken, AttemptError::Lost(_)) {
             live.attempt.leave();
         }
-        let Live { ticket, number, .. } = live;
-        self.judge(Ended { ticket, number, broken }).await
+        let LiveAttempt { permit, number, .. } = live;
+        self.judge(FailedAttempt { permit, number, broken }).await
     }
 
-    async fn judge(&mut self, ended: Ended) -> Result<Next, Failure> {
-        let Ended { mut ticket, number, broken } = ended;
-        let endpoint = ticket.pick.endpoint.clone();
+    async fn judge(&mut self, ended: FailedAttempt) -> Result<Recovery, Failure> {
+        let FailedAttempt { mut permit, number, broken } = ended;
+        let endpoint = permit.pick.endpoint.clone();
         let request = self.job.request;
         tracing::info!(event = "attempt_broken", %request, %number, %endpoint, ?broken);
         self.context.kernel.metrics.count("entry.attempt.broken", 1);
         let failure = match broken {
-            Broken::NotRun(failure) => {
-                ticket.verdict = Verdict::of_refusal(failure.code);
+            AttemptError::NotRun(failure) => {
+                permit.end = AttemptEnd::from_refusal(failure.code);
                 if is_final(failure.code) {
                     return Err(self.finally(failure));
                 }
                 failure
             }
-            Broken::Failed(failure) => {
-                self.touched = true;
+            AttemptError::Failed(failure) => {
+                self.may_have_run = true;
                 if failure.code == Code::EndpointFailed {
-                    ticket.verdict = Verdict::Failed;
+                    permit.end = AttemptEnd::Failed;
                 }
                 if !self.job.repeatable || is_final(failure.code) {
                     return Err(failure);
                 }
                 failure
             }
-            Broken::Lost(failure) => {
+            AttemptError::Lost(failure) => {
                 let cancel = self.job.repeatable;
-                let settled =
-                    attempt::settle(&self.context, &mut ticket, request, number, cancel).await;
-                match settled {
-                    Settled::NotRun => {
+                let probed =
+                    attempt::probe_lost(&self.context, &mut permit, request, number, cancel).await;
+                match probed {
+                    ProbeResult::NotRun => {
                         Failure::not_run(Code::EndpointFailed, "the connection was lost")
                     }
-                    Settled::Done(answer) => return Ok(Next::Answered(answer)),
-                    Settled::Running | Settled::Unknown => {
-                        self.touched = true;
+                    ProbeResult::Done(answer) => return Ok(Recovery::Answered(answer)),
+                    ProbeResult::Running | ProbeResult::Unknown => {
+                        self.may_have_run = true;
                         if !self.job.repeatable {
                             return Err(failure);
                         }
@@ -204,19 +208,19 @@
                     }
                 }
             }
-            Broken::Late => {
-                self.touched = true;
+            AttemptError::Late => {
+                self.may_have_run = true;
                 let detail = "the deadline passed while the request ran";
                 return Err(Failure::unknown(Code::DeadlinePassed, detail));
             }
         };
-        drop(ticket);
+        drop(permit);
         self.job.avoid.push(endpoint);
-        if !wait(&self.context, &mut self.job, &failure).await {
+        if !wait_for_retry(&self.context, &mut self.job, &failure).await {
             return Err(self.finally(failure));
         }
         self.last = Some(failure);
-        Ok(Next::Again)
+        Ok(Recovery::Retry)
     }
 
     /// Gives the failure to tell when no further endpoint is to be had.
@@ -230,7 +234,7 @@
 
     /// Makes a final failure truthful about the attempts before it.
     fn finally(&self, failure: Failure) -> Failure {
-        if self.touched { Failure { outcome: Outcome::Unknown, ..failure } } else { failure }
+        if self.may_have_run { Failure { outcome: Outcome::Unknown, ..failure } } else { failure }
     }
 }
 
@@ -238,12 +242,12 @@
 ///
 /// What met a leaving endpoint goes on to another at once, without use of the retry budget: it
 /// did not fail, and a planned stop would otherwise use up the budget of its workspace.
-pub async fn wait(context: &Context, job: &mut Job, failure: &Failure) -> bool {
+pub async fn wait_for_retry(context: &Context, job: &mut Job, failure: &Failure) -> bool {
     if failure.code == Code::Draining && job.moved < MOVES {
         job.moved += 1;
-        return job.left(context.now()) > 0;
+        return job.remaining_ms(context.now()) > 0;
     }
-    match context.router.again(job.again(failure.outcome)).await {
+    match context.router.retry_delay(job.retry_query(failure.outcome)).await {
         Some(ms) => {
             actix_rt::time::sleep(Duration::from_millis(ms)).await;
             true
--- a/components/entry/src/run/settle.rs
+++ b/components/entry/src/run/background.rs
@@ -11,7 +11,7 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 
 /// Proposes a command in the background; the command must be one that may be lost.
-pub fn later(context: &Context, command: Command) {
+pub fn propose(context: &Context, command: Command) {
     let context = context.clone();
     actix_rt::spawn(async move {
         if let Err(failure) = context.proposer.persist(&command, PATIENCE).await {
@@ -21,8 +21,8 @@
 }
 
 /// Clears the content of a job that ran to its end while it was suspected of crashing endpoints.
-pub fn cleared(context: &Context, job: &Job) {
+pub fn clear_suspect(context: &Context, job: &Job) {
     if job.suspect {
-        later(context, Command::Cleared { fingerprint: job.fingerprint });
+        propose(context, Command::Cleared { fingerprint: job.fingerprint });
     }
 }
--- a/components/entry/src/run/first.rs
+++ b/components/entry/src/run/first_token.rs
@@ -25,12 +25,12 @@
 
 /// Learned times from the start of an urgent request's first attempt to its first tokens.
 #[derive(Clone, Debug)]
-pub struct Firsts {
+pub struct FirstTokenTimes {
     times: BTreeMap<Model, Time>,
     unknown_ms: u64,
 }
 
-impl Firsts {
+impl FirstTokenTimes {
     /// Starts with a time that holds until enough answers were seen.
     pub fn new(unknown_ms: u64) -> Self {
         Self { times: BTreeMap::new(), unknown_ms }
@@ -38,7 +38,7 @@
 
     /// Takes in a time. That of a request which was given a second attempt counts from the start
     /// of its first, so that a model which has become slower is learned as such.
-    pub fn learn(&mut self, model: &Model, ms: u64) {
+    pub fn record(&mut self, model: &Model, ms: u64) {
         let time = self.times.entry(model.clone()).or_default();
         let ms = ms as f64;
         if time.seen == 0 {
@@ -52,7 +52,7 @@
 
     /// Gives the time without tokens after which a request with `left_ms` until its deadline
     /// counts as silent: half of what is left at most, so that a second attempt still has time.
-    pub fn patience(&self, model: &Model, left_ms: u64) -> Duration {
+    pub fn rescue_delay(&self, model: &Model, left_ms: u64) -> Duration {
         let known = self.times.get(model).filter(|time| time.seen >= ENOUGH);
         let learned = known.map(|time| (time.mean + DEVIATIONS * time.deviation).max(LEAST));
         let ms = learned.map_or(self.unknown_ms, |ms| ms as u64);
--- a/components/entry/src/run/check.rs
+++ b/components/entry/src/run/frame_check.rs
@@ -11,7 +11,7 @@
 /// A connection that is used again, or a late answer to a cancelled attempt, could otherwise put
 /// another caller's tokens into this answer.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-pub enum Crossed {
+pub enum FrameError {
     /// A frame names another request or attempt.
     #[error("a frame of request {request}, attempt {attempt}, came on this stream")]
     Other {
@@ -43,7 +43,7 @@
 
 /// Checks the frames of one attempt.
 #[derive(Clone, Debug)]
-pub struct Check {
+pub struct FrameCheck {
     request: RequestId,
     attempt: Attempt,
     next: u32,
@@ -51,7 +51,7 @@
     ended: bool,
 }
 
-impl Check {
+impl FrameCheck {
     /// Starts before the first frame.
     pub fn new(request: RequestId, attempt: Attempt) -> Self {
         Self { request, attempt, next: 0, seen: 0, ended: false }
@@ -61,17 +61,17 @@
     ///
     /// # Errors
     ///
-    /// [`Crossed`]; the stream must not be read further.
-    pub fn take(&mut self, frame: Frame) -> Result<Event, Crossed> {
+    /// [`FrameError`]; the stream must not be read further.
+    pub fn take(&mut self, frame: Frame) -> Result<Event, FrameError> {
         let Frame { request, attempt, seq, event } = frame;
         if request != self.request || attempt != self.attempt {
-            return Err(Crossed::Other { request, attempt });
+            return Err(FrameError::Other { request, attempt });
         }
         if seq != self.next {
-            return Err(Crossed::Gap { expected: self.next, got: seq });
+            return Err(FrameError::Gap { expected: self.next, got: seq });
         }
         if self.ended {
-            return Err(Crossed::AfterEnd);
+            return Err(FrameError::AfterEnd);
         }
         self.next += 1;
         match &event {
@@ -79,7 +79,7 @@
             Event::Finished(finish) => {
                 self.ended = true;
                 if finish.tokens != self.seen {
-                    return Err(Crossed::Count { counted: finish.tokens, seen: self.seen });
+                    return Err(FrameError::Count { counted: finish.tokens, seen: self.seen });
                 }
             }
             Event::Failed(_) => self.ended = true,
--- a/components/entry/src/run/generate.rs
+++ b/components/entry/src/run/generate.rs
@@ -8,15 +8,15 @@
 use chicoryford_types::request::Task;
 
 use crate::context::Context;
-use crate::router::Entered;
-use crate::router::Verdict;
-use crate::run::attempt::Broken;
+use crate::router::AttemptEnd;
+use crate::router::RequestPermit;
+use crate::run::attempt::AttemptError;
+use crate::run::attempts::Attempts;
+use crate::run::attempts::LiveAttempt;
+use crate::run::background;
 use crate::run::job::Job;
 use crate::run::rescue;
-use crate::run::settle;
-use crate::run::spans::Whole;
-use crate::run::tries::Live;
-use crate::run::tries::Tries;
+use crate::run::spans::Output;
 
 /// Why a generation ended that had all its tokens when its attempt broke off.
 const LENGTH: &str = "length";
@@ -31,36 +31,42 @@
 }
 
 /// A generation in progress. Dropped before its end, it is cancelled.
-pub struct Generating {
-    tries: Tries,
+pub struct GenerationStream {
+    attempts: Attempts,
     task: Generation,
-    live: Option<Live>,
-    entered: Option<Entered>,
+    live: Option<LiveAttempt>,
+    request_permit: Option<RequestPermit>,
     /// What it consists of so far.
-    pub whole: Whole,
+    pub output: Output,
 }
 
-impl Generating {
+impl GenerationStream {
     /// Lets a generation in, waiting for room until its deadline.
     ///
     /// # Errors
     ///
     /// The refusal, always "not run".
     pub async fn enter(context: Context, job: Job, task: Generation) -> Result<Self, Failure> {
-        let job = job.generating(&task);
-        let (entered, first) = context.router.enter(job.want()).await?;
-        let tries = Tries::new(context, job, first);
-        Ok(Self { tries, task, live: None, entered: Some(entered), whole: Whole::default() })
+        let job = job.with_generation(&task);
+        let (request_permit, first) = context.router.admit(job.endpoint_query()).await?;
+        let attempts = Attempts::new(context, job, first);
+        Ok(Self {
+            attempts,
+            task,
+            live: None,
+            request_permit: Some(request_permit),
+            output: Output::default(),
+        })
     }
 
     /// Gives the request.
     pub fn job(&self) -> &Job {
-        &self.tries.job
+        &self.attempts.job
     }
 
     /// Tells where the present attempt runs.
     pub fn endpoint(&self) -> Option<Endpoint> {
-        self.live.as_ref().map(|live| live.ticket.pick.endpoint.clone())
+        self.live.as_ref().map(|live| live.permit.pick.endpoint.clone())
     }
 
     /// Waits for the next piece.
@@ -83,12 +89,12 @@
             };
             match came {
                 Ok(Event::Tokens(tokens)) => {
-                    live.ticket.tokens += tokens.count;
-                    self.whole.push(&tokens);
+                    live.permit.tokens += tokens.count;
+                    self.output.push(&tokens);
                     return Ok(Piece::Tokens(tokens));
                 }
                 Ok(Event::Finished(finish)) => {
-                    live.ticket.verdict = Verdict::Ran(finish.load);
+                    live.permit.end = AttemptEnd::Ran(finish.load);
                     self.finish();
                     return Ok(Piece::Finished(finish.reason));
                 }
@@ -106,25 +112,25 @@
     /// same, so that the engine samples on from where the earlier attempt stood.
     ///
     /// It ends with the attempt's first event, or how the attempt broke off.
-    async fn begin(&mut self) -> Result<Result<Event, Broken>, Failure> {
+    async fn begin(&mut self) -> Result<Result<Event, AttemptError>, Failure> {
         let mut task = self.task.clone();
-        task.prefix.push_str(&self.whole.text);
-        task.done += self.whole.tokens;
-        self.tries.job.tokens = task.max_tokens.saturating_sub(task.done);
+        task.prefix.push_str(&self.output.text);
+        task.done += self.output.tokens;
+        self.attempts.job.tokens = task.max_tokens.saturating_sub(task.done);
         let task = Task::Generate(task);
-        if rescue::applies(&self.tries.job) {
-            let (live, event) = rescue::first(&mut self.tries, &task).await?;
+        if rescue::applies(&self.attempts.job) {
+            let (live, event) = rescue::first(&mut self.attempts, &task).await?;
             self.live = Some(live);
             return Ok(Ok(event));
         }
-        let live = self.live.insert(self.tries.start(&task).await?);
+        let live = self.live.insert(self.attempts.start(&task).await?);
         Ok(live.attempt.next().await)
     }
 
-    async fn recover(&mut self, broken: Broken) -> Result<Option<Piece>, Failure> {
+    async fn recover(&mut self, broken: AttemptError) -> Result<Option<Piece>, Failure> {
         let Some(live) = self.live.take() else { return Ok(None) };
-        self.tries.after(live, broken).await?;
-        if self.whole.tokens + self.task.done < self.task.max_tokens {
+        self.attempts.after(live, broken).await?;
+        if self.output.tokens + self.task.done < self.task.max_tokens {
             return Ok(None);
         }
         self.finish();
@@ -133,9 +139,9 @@
 
     fn finish(&mut self) {
         self.live = None;
-        settle::cleared(&self.tries.context, &self.tries.job);
-        if let Some(mut entered) = self.entered.take() {
-            entered.ran = true;
+        background::clear_suspect(&self.attempts.context, &self.attempts.job);
+        if let Some(mut request_permit) = self.request_permit.take() {
+            request_permit.ran = true;
         }
     }
 }
--- a/components/entry/src/run/job.rs
+++ b/components/entry/src/run/job.rs
@@ -17,9 +17,9 @@
 use chicoryford_types::template::Retries;
 use rand::Rng;
 
-use crate::router::Again;
+use crate::router::EndpointQuery;
 use crate::router::Pick;
-use crate::router::Want;
+use crate::router::RetryQuery;
 
 /// Bytes of a prompt whose hash stands for its prefix; engines report hashes of such blocks.
 const PREFIX: usize = 256;
@@ -67,21 +67,21 @@
 
 impl Job {
     /// Draws the identifier of a new request.
-    pub fn draw() -> RequestId {
+    pub fn new_request_id() -> RequestId {
         let mut random = rand::rng();
         RequestId(random.random(), random.random())
     }
 
-    /// Gives the milliseconds left until the answer is worthless.
-    pub fn left(&self, now: Millis) -> u64 {
+    /// Gives the milliseconds remaining_ms until the answer is worthless.
+    pub fn remaining_ms(&self, now: Millis) -> u64 {
         self.deadline.since(now)
     }
 
     /// Describes the failed request to the decision whether it is tried again. Attempts that
     /// met a leaving endpoint are not counted, because a planned stop must not use up what is
     /// meant for failures.
-    pub fn again(&self, outcome: Outcome) -> Again {
-        Again {
+    pub fn retry_query(&self, outcome: Outcome) -> RetryQuery {
+        RetryQuery {
             workspace: self.workspace.clone(),
             attempts: self.attempt.0.saturating_sub(self.moved).max(1),
             outcome,
@@ -92,7 +92,7 @@
 
     /// Notes what routing should know of a generation.
     #[must_use]
-    pub fn generating(self, task: &Generation) -> Self {
+    pub fn with_generation(self, task: &Generation) -> Self {
         let bytes = task.prompt.as_bytes();
         let prefix = bytes.get(..PREFIX).map(|prefix| Fingerprint::of(prefix).0);
         let prompt = (bytes.len() / TOKEN).min(u32::MAX as usize) as u32;
@@ -100,8 +100,8 @@
     }
 
     /// Describes what the next attempt looks for.
-    pub fn want(&self) -> Want {
-        Want {
+    pub fn endpoint_query(&self) -> EndpointQuery {
+        EndpointQuery {
             request: self.request,
             workspace: self.workspace.clone(),
             model: self.model.clone(),
@@ -125,7 +125,7 @@
             workspace: self.workspace.clone(),
             model: self.model.clone(),
             class: self.class,
-            budget_ms: self.left(now),
+            budget_ms: self.remaining_ms(now),
             repeatable: self.repeatable,
             key: self.key.clone(),
             floor: self.floor,
--- a/components/entry/src/run/mod.rs
+++ b/components/entry/src/run/mod.rs
@@ -1,18 +1,18 @@
 //! Runs requests: attempts at agents, their frames, retries, the continuation elsewhere.
 
+pub mod at_most_once;
 pub mod attempt;
-pub mod check;
-pub mod first;
+pub mod attempts;
+pub mod background;
+pub mod first_token;
+pub mod frame_check;
 pub mod generate;
 pub mod job;
-pub mod once;
 pub mod probe;
 pub mod rescue;
-pub mod serve;
-pub mod settle;
+pub mod service_call;
 pub mod spans;
-pub mod tries;
 
-pub use generate::Generating;
+pub use generate::GenerationStream;
 pub use generate::Piece;
 pub use job::Job;
--- a/components/entry/src/run/probe.rs
+++ b/components/entry/src/run/probe.rs
@@ -27,7 +27,7 @@
     address: &str,
     question: &AttemptQuestion,
 ) -> Result<AttemptState, CallError> {
-    context.fresh.call(address, paths::ATTEMPT, question, PATIENCE).await
+    context.fresh_client.call(address, paths::ATTEMPT, question, PATIENCE).await
 }
 
 /// Tells an agent to stop an attempt that nobody waits for, so that its slot is free again.
--- a/components/entry/src/run/serve.rs
+++ b/components/entry/src/run/service_call.rs
@@ -8,17 +8,17 @@
 use chicoryford_types::request::Task;
 
 use crate::context::Context;
-use crate::router::Verdict;
-use crate::run::attempt::Broken;
+use crate::router::AttemptEnd;
+use crate::run::attempt::AttemptError;
+use crate::run::attempts::Attempts;
+use crate::run::attempts::LiveAttempt;
+use crate::run::attempts::Recovery;
+use crate::run::background;
 use crate::run::job::Job;
-use crate::run::settle;
-use crate::run::tries::Live;
-use crate::run::tries::Next;
-use crate::run::tries::Tries;
 
 /// A whole answer and what it took.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Served {
+pub struct ServiceReply {
     /// The answer.
     pub answer: StoredAnswer,
     /// How many attempts it took.
@@ -30,36 +30,36 @@
 /// # Errors
 ///
 /// The final failure of the request.
-pub async fn call(context: &Context, job: Job, call: ServiceCall) -> Result<Served, Failure> {
-    let (mut entered, first) = context.router.enter(job.want()).await?;
-    let mut tries = Tries::new(context.clone(), job, first);
+pub async fn call(context: &Context, job: Job, call: ServiceCall) -> Result<ServiceReply, Failure> {
+    let (mut request_permit, first) = context.router.admit(job.endpoint_query()).await?;
+    let mut attempts = Attempts::new(context.clone(), job, first);
     let task = Task::Call(call);
     loop {
-        let mut live = tries.start(&task).await?;
+        let mut live = attempts.start(&task).await?;
         let answer = match read(&mut live).await {
             Ok(answer) => answer,
-            Err(broken) => match tries.after(live, broken).await? {
-                Next::Answered(answer) => answer,
-                Next::Again => continue,
+            Err(broken) => match attempts.after(live, broken).await? {
+                Recovery::Answered(answer) => answer,
+                Recovery::Retry => continue,
             },
         };
-        settle::cleared(context, &tries.job);
-        entered.ran = true;
-        return Ok(Served { answer, attempts: tries.job.attempt.0 });
+        background::clear_suspect(context, &attempts.job);
+        request_permit.ran = true;
+        return Ok(ServiceReply { answer, attempts: attempts.job.attempt.0 });
     }
 }
 
 /// Reads an answer and its explicit end; an answer without it is not whole.
-pub async fn read(live: &mut Live) -> Result<StoredAnswer, Broken> {
+pub async fn read(live: &mut LiveAttempt) -> Result<StoredAnswer, AttemptError> {
     let mut held = None;
     loop {
         match live.attempt.next().await? {
             Event::Answer(answer) => held = Some(answer),
             Event::Finished(finish) => {
-                live.ticket.verdict = Verdict::Ran(finish.load);
+                live.permit.end = AttemptEnd::Ran(finish.load);
                 return held.ok_or_else(|| {
                     let detail = "the service's answer ended without a body";
-                    Broken::Failed(Failure::unknown(Code::EndpointFailed, detail))
+                    AttemptError::Failed(Failure::unknown(Code::EndpointFailed, detail))
                 });
             }
             _ => {}
--- a/components/entry/src/run/spans.rs
+++ b/components/entry/src/run/spans.rs
@@ -8,7 +8,7 @@
 
 /// A run of tokens of one version, or of one that the engine did not say.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
-pub struct Run {
+pub struct VersionRun {
     /// The first token.
     pub from: u32,
     /// The token after the last.
@@ -19,18 +19,18 @@
 
 /// What an answer consists of so far.
 #[derive(Clone, Debug, Default)]
-pub struct Whole {
+pub struct Output {
     /// The text.
     pub text: String,
     /// How many tokens it has.
     pub tokens: u32,
     /// The versions by run of tokens.
-    pub runs: Vec<Run>,
+    pub runs: Vec<VersionRun>,
     /// Log-probabilities, one a token.
     pub logprobs: Vec<f32>,
 }
 
-impl Whole {
+impl Output {
     /// Adds some tokens.
     pub fn push(&mut self, tokens: &Tokens) {
         self.text.push_str(&tokens.text);
@@ -43,15 +43,16 @@
         let to = self.tokens;
         match self.runs.last_mut() {
             Some(last) if last.version == tokens.version => last.to = to,
-            _ => self.runs.push(Run { from, to, version: tokens.version }),
+            _ => self.runs.push(VersionRun { from, to, version: tokens.version }),
         }
     }
 
     /// Gives the spans, or none if the version of some token is not known: such a sample must
     /// not be delivered, because a guessed version would mislead its trainer.
     pub fn spans(&self) -> Option<Vec<Span>> {
-        let span =
-            |run: &Run| run.version.map(|version| Span { from: run.from, to: run.to, version });
+        let span = |run: &VersionRun| {
+            run.version.map(|version| Span { from: run.from, to: run.to, version })
+        };
         let spans: Option<Vec<Span>> = self.runs.iter().map(span).collect();
         let spans = spans?;
         let sample = Sample { spans, tokens: self.tokens, ..Sample::default() };
--- a/components/entry/src/service.rs
+++ b/components/entry/src/service.rs
@@ -9,14 +9,14 @@
 use chicoryford_wire::paths;
 use chicoryford_wire::reply;
 
+use crate::admit;
+use crate::admit::RequestHeaders;
 use crate::context::Context;
-use crate::door;
-use crate::door::Asked;
 use crate::run::Job;
-use crate::run::once;
-use crate::run::once::truth;
-use crate::run::serve;
-use crate::run::serve::Served;
+use crate::run::at_most_once;
+use crate::run::at_most_once::outcome;
+use crate::run::service_call;
+use crate::run::service_call::ServiceReply;
 
 /// Tells how many attempts an answer took.
 const ATTEMPTS: &str = "chicoryford-attempts";
@@ -34,19 +34,19 @@
     }
 }
 
-async fn run(context: &Context, call: &Call) -> Result<(Job, Served), Failure> {
+async fn run(context: &Context, call: &Call) -> Result<(Job, ServiceReply), Failure> {
     let (model, path) = target(&call.path)?;
     let content = content(call);
-    let (job, admitted) = match door::job(context, call, model, &content) {
+    let (job, admitted) = match admit::admit_request(context, call, model, &content) {
         Ok(admitted) => admitted,
         Err(failure) => return Err(at_the_door(context, call, failure).await),
     };
     let media = call.header("content-type").unwrap_or("application/octet-stream");
     let task = ServiceCall { path, media: media.to_owned(), body: call.body.clone() };
     let served = if admitted.repeatable {
-        serve::call(context, job.clone(), task).await?
+        service_call::call(context, job.clone(), task).await?
     } else {
-        once::call(context, job.clone(), task, &content).await?
+        at_most_once::call(context, job.clone(), task, &content).await?
     };
     Ok((job, served))
 }
@@ -55,9 +55,9 @@
 /// comes to it because the entry that took the first sending has died.
 async fn at_the_door(context: &Context, call: &Call, failure: Failure) -> Failure {
     let passes = matches!(failure.code, Code::Draining | Code::NoQuorum);
-    match door::read(call) {
-        Ok(Asked { workspace, key: Some(key), .. }) if passes => {
-            truth::told(context, &workspace, &key, failure).await
+    match admit::read_headers(call) {
+        Ok(RequestHeaders { workspace, key: Some(key), .. }) if passes => {
+            outcome::unknown_if_claimed(context, &workspace, &key, failure).await
         }
         _ => failure,
     }
@@ -78,10 +78,10 @@
     [call.path.as_bytes(), b"\0", &call.body].concat()
 }
 
-fn whole(job: &Job, served: Served) -> Reply {
-    let Served { answer, attempts } = served;
+fn whole(job: &Job, served: ServiceReply) -> Reply {
+    let ServiceReply { answer, attempts } = served;
     let mut reply = reply::bytes(answer.status, &answer.media, answer.body);
-    door::stamp(&mut reply, REQUEST, &job.request.to_string());
-    door::stamp(&mut reply, ATTEMPTS, &attempts.to_string());
+    admit::set_header(&mut reply, REQUEST, &job.request.to_string());
+    admit::set_header(&mut reply, ATTEMPTS, &attempts.to_string());
     reply
 }
--- a/components/entry/src/start.rs
+++ b/components/entry/src/start.rs
@@ -62,11 +62,11 @@
     let context = Context::new(kernel, settings)?;
     let here = context.clone();
     routes.add(paths::CHAT, &[Kind::Caller], move |call| {
-        chat::answer(here.clone(), chat::Shape::Chat, call)
+        chat::answer(here.clone(), chat::ApiKind::Chat, call)
     });
     let here = context.clone();
     routes.add(paths::COMPLETIONS, &[Kind::Caller], move |call| {
-        chat::answer(here.clone(), chat::Shape::Text, call)
+        chat::answer(here.clone(), chat::ApiKind::Text, call)
     });
     let here = context.clone();
     routes.add(paths::SERVICES, &[Kind::Caller], move |call| service::answer(here.clone(), call));
--- a/components/entry/src/steps/duty.rs
+++ b/components/entry/src/steps/duty.rs
@@ -26,17 +26,17 @@
 use tokio::sync::Semaphore;
 use tokio::sync::watch;
 
-use crate::bodies::audit::Auditing;
+use crate::admit;
+use crate::bodies::audit::BodyAudit;
 use crate::context::Context;
-use crate::door;
 use crate::steps::handle::Notice;
 use crate::steps::handle::SERVICE;
 use crate::steps::handle::Steps;
 use crate::steps::lengths::Lengths;
+use crate::steps::pull_waker::PullNotifier;
 use crate::steps::session;
 use crate::steps::step;
 use crate::steps::step::Shared;
-use crate::steps::wakes::Wakes;
 
 /// Room for notices that the duty has not yet read.
 const RING: usize = 4_096;
@@ -58,8 +58,8 @@
 /// [`DutyError`] if the thread cannot be started.
 pub fn start(kernel: &Kernel, settings: &Settings) -> Result<(), DutyError> {
     let (sender, receiver) = ring(RING);
-    let wakes = Wakes::default();
-    let steps = Steps { notices: sender.clone(), wakes: wakes.clone() };
+    let pull_notifier = PullNotifier::default();
+    let steps = Steps { notices: sender.clone(), pull_notifier: pull_notifier.clone() };
     kernel.registry.offer(SERVICE, steps.clone());
     kernel.dumps.add("entry.steps", move || {
         let steps = steps.clone();
@@ -81,9 +81,9 @@
             leaving,
             predict: entry.predict,
             hedge: entry.hedge,
-            wakes,
-            rhythm: Rc::default(),
-            rooms: Rc::default(),
+            pull_notifier,
+            staleness: Rc::default(),
+            sample_limits: Rc::default(),
             lengths: Rc::new(RefCell::new(Lengths::default())),
             slots: Arc::new(Semaphore::new((running / 2).max(1))),
         };
@@ -113,13 +113,13 @@
     orphans: BTreeMap<StepKey, Millis>,
     leave: watch::Sender<bool>,
     held: Option<Guard>,
-    bodies: Rc<Auditing>,
+    bodies: Rc<BodyAudit>,
     holds: Option<Guard>,
 }
 
 impl Duty {
     async fn run(mut self, mut receiver: Receiver<Notice>) {
-        actix_rt::spawn(session::keep(
+        actix_rt::spawn(session::maintain(
             self.context.clone(),
             self.notices.clone(),
             self.bodies.clone(),
@@ -151,10 +151,11 @@
         let config = context.config.current();
         let now = context.now();
         for (model, published) in &config.weights {
-            self.shared.rhythm.borrow_mut().published(model, published.version, now);
+            self.shared.staleness.borrow_mut().record_version(model, published.version, now);
         }
         let phase = context.kernel.phases.now();
-        let leaves = door::open(phase, &config, &context.node, &context.place).is_err();
+        let leaves =
+            admit::check_not_draining(phase, &config, &context.node, &context.data_centre).is_err();
         let left = self.leave.send_replace(leaves);
         if !leaves {
             self.held = None;
@@ -166,7 +167,7 @@
             self.held = progress.ok().map(|progress| progress.begin());
             self.holds = None;
         }
-        let may_leave = self.running.is_empty() && self.bodies.may_leave(context);
+        let may_leave = self.running.is_empty() && self.bodies.can_leave(context);
         if may_leave && self.held.is_some() {
             let held = self.held.take();
             let (context, session) = (context.clone(), self.session);
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Gives this entry's place among all entries in the order of one orphan.
+    /// Gives this entry's id among all entries in the order of one orphan.
     fn turn(&self, key: &StepKey) -> u64 {
         let rank = |node: &str| {
             Fingerprint::of(format!("{node}\0{}\0{}", key.workspace, key.step).as_bytes())
--- a/components/entry/src/steps/handle.rs
+++ b/components/entry/src/steps/handle.rs
@@ -4,7 +4,7 @@
 use chicoryford_ledger::StepKey;
 use tokio::sync::oneshot;
 
-use crate::steps::wakes::Wakes;
+use crate::steps::pull_waker::PullNotifier;
 
 /// The name under which [`Steps`] is offered.
 pub const SERVICE: &str = "steps";
@@ -28,8 +28,8 @@
 pub struct Steps {
     /// The duty's ring.
     pub notices: Sender<Notice>,
-    /// Wakes pulls that wait.
-    pub wakes: Wakes,
+    /// PullNotifier pulls that wait.
+    pub pull_notifier: PullNotifier,
 }
 
 impl Steps {
--- a/components/entry/src/steps/flight.rs
+++ b/components/entry/src/steps/in_flight.rs
@@ -10,7 +10,7 @@
 
 /// How far the first maker of a sample has come.
 #[derive(Debug, Default)]
-pub struct Pulse {
+pub struct SampleProgress {
     /// When it was let in; none while it waits.
     pub begun: Cell<Option<Millis>>,
     /// Tokens that it has.
@@ -21,19 +21,24 @@
 
 /// A sample that is being made.
 #[derive(Debug)]
-pub struct Flight {
+pub struct InFlight {
     /// How far its first maker has come.
-    pub pulse: Rc<Pulse>,
-    /// How many makers it has: one, or two once it is hedged.
-    pub makers: u32,
+    pub run_progress: Rc<SampleProgress>,
+    /// How many runs it has: one, or two once it is hedged.
+    pub runs: u32,
     /// Whether it was hedged before; it is not hedged again.
     pub hedged: bool,
     /// Tells the other maker to stop once one has recorded the sample.
     pub stop: watch::Sender<bool>,
 }
 
-impl Default for Flight {
+impl Default for InFlight {
     fn default() -> Self {
-        Self { pulse: Rc::default(), makers: 1, hedged: false, stop: watch::Sender::new(false) }
+        Self {
+            run_progress: Rc::default(),
+            runs: 1,
+            hedged: false,
+            stop: watch::Sender::new(false),
+        }
     }
 }
--- a/components/entry/src/steps/rooms.rs
+++ b/components/entry/src/steps/limits.rs
@@ -17,23 +17,28 @@
 
 /// Bounds the samples of each workspace.
 #[derive(Debug, Default)]
-pub struct Rooms(RefCell<BTreeMap<Workspace, Room>>);
+pub struct SampleLimits(RefCell<BTreeMap<Workspace, WorkspaceLimit>>);
 
 #[derive(Debug)]
-struct Room {
+struct WorkspaceLimit {
     size: u32,
     places: Arc<Semaphore>,
 }
 
-impl Rooms {
+impl SampleLimits {
     /// Gives the places of a workspace at this entry, one of `entries`. When the limit or the
     /// number of entries changes, new samples count in a new room; those that run end in the old
     /// one.
-    pub fn of(&self, workspace: &Workspace, limits: &Limits, entries: u32) -> Arc<Semaphore> {
+    pub fn semaphore(
+        &self,
+        workspace: &Workspace,
+        limits: &Limits,
+        entries: u32,
+    ) -> Arc<Semaphore> {
         let own = u64::from(limits.running) / u64::from(entries.max(1));
         let size = (own * u64::from(SHARE) / 100).max(1) as u32;
         let mut rooms = self.0.borrow_mut();
-        let fresh = || Room { size, places: Arc::new(Semaphore::new(size as usize)) };
+        let fresh = || WorkspaceLimit { size, places: Arc::new(Semaphore::new(size as usize)) };
         let room = rooms.entry(workspace.clone()).or_insert_with(fresh);
         if room.size != size {
             *room = fresh();
--- a/components/entry/src/steps/mod.rs
+++ b/components/entry/src/steps/mod.rs
@@ -1,18 +1,18 @@
 //! Runs the steps that this entry's session owns (docs/STEPS.md).
 
 pub mod duty;
-pub mod flight;
 pub mod handle;
+pub mod in_flight;
 pub mod lengths;
-pub mod made;
-pub mod record;
-pub mod rhythm;
-pub mod rooms;
+pub mod limits;
+pub mod propose;
+pub mod pull_waker;
 pub mod sample;
+pub mod scoring;
 pub mod session;
+pub mod staleness;
 pub mod step;
 pub mod timeline;
-pub mod wakes;
 
 pub use handle::SERVICE;
 pub use handle::Steps;
--- a/components/entry/src/steps/record.rs
+++ b/components/entry/src/steps/propose.rs
@@ -19,7 +19,10 @@
 /// # Errors
 ///
 /// The failure of the control processes.
-pub async fn ledger(context: &Context, command: LedgerCommand) -> Result<LedgerReply, Failure> {
+pub async fn ledger_command(
+    context: &Context,
+    command: LedgerCommand,
+) -> Result<LedgerReply, Failure> {
     let command = Command::Ledger(Box::new(command));
     match context.proposer.propose(&command, PATIENCE).await? {
         Reply::Ledger(reply) => Ok(*reply),
--- a/components/entry/src/steps/sample.rs
+++ b/components/entry/src/steps/sample.rs
@@ -22,15 +22,15 @@
 use chicoryford_types::request::Generation;
 use rand::Rng;
 
-use crate::bodies::keep;
+use crate::admit;
+use crate::bodies::replicate;
 use crate::context::Context;
-use crate::door;
-use crate::run::Generating;
+use crate::run::GenerationStream;
 use crate::run::Job;
 use crate::run::Piece;
-use crate::run::spans::Whole;
-use crate::steps::flight::Pulse;
-use crate::steps::record;
+use crate::run::spans::Output;
+use crate::steps::in_flight::SampleProgress;
+use crate::steps::propose;
 use crate::steps::step::Shared;
 use crate::steps::step::prompt_of;
 use crate::steps::timeline::Timeline;
@@ -45,9 +45,9 @@
 const PAUSE: u64 = 50;
 /// The longest such pause, in milliseconds.
 pub(super) const PAUSE_BOUND: u64 = 2_000;
-/// A sample's place in its step.
+/// A sample's id in its step.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Place {
+pub struct SampleId {
     /// The group.
     pub group: Group,
     /// Its number within the group.
@@ -56,7 +56,7 @@
 
 /// How the work on a sample ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ended {
+pub enum SampleEnd {
     /// It is recorded.
     Recorded,
     /// Its group is whole without it.
@@ -66,11 +66,11 @@
 }
 
 /// Why a sample must be begun again.
-pub(super) enum Again {
+pub(super) enum RetryReason {
     /// The request failed.
     Failed(Failure),
     /// Its oldest tokens are too old by now.
-    Doomed,
+    Stale,
     /// The engine did not say which version produced some token.
     Unattributed,
     /// This entry leaves; another one begins the sample.
@@ -78,7 +78,7 @@
 }
 
 /// The work on one sample.
-pub struct Task {
+pub struct SampleTask {
     /// What the thread has.
     pub context: Context,
     /// What all steps share.
@@ -90,9 +90,9 @@
     /// The step.
     pub key: StepKey,
     /// The sample.
-    pub place: Place,
+    pub id: SampleId,
     /// How far it has come, for the decision whether to hedge it.
-    pub pulse: Rc<Pulse>,
+    pub run_progress: Rc<SampleProgress>,
     /// Endpoints that it should not run at, because another maker of it runs there.
     pub avoid: Vec<Endpoint>,
     /// When this entry took the step.
@@ -102,14 +102,14 @@
 }
 
 /// A generation that is whole, and what it took.
-struct Made {
-    whole: Whole,
+struct Generated {
+    output: Output,
     attempts: u32,
 }
 
-impl Task {
+impl SampleTask {
     /// Runs the sample until it is recorded or the step is over.
-    pub async fn run(&self) -> Ended {
+    pub async fn run(&self) -> SampleEnd {
         let mut attempts = 0;
         let mut pause = PAUSE;
         loop {
@@ -119,10 +119,10 @@
             };
             self.note(&again);
             if *self.shared.leaving.borrow() {
-                return Ended::Unwanted;
+                return SampleEnd::Unwanted;
             }
             // A refusal at the door says itself when there may be room.
-            if let Again::Failed(Failure { retry_ms: Some(ms), .. }) = again {
+            if let RetryReason::Failed(Failure { retry_ms: Some(ms), .. }) = again {
                 pause = pause.max(ms).min(PAUSE_BOUND);
             }
             let wait = rand::rng().random_range(pause / 2..=pause);
@@ -132,19 +132,20 @@
     }
 
     /// Makes, scores and records the sample once, or tells why it must be begun again.
-    async fn once(&self, attempts: &mut u32) -> Result<Ended, Again> {
+    async fn once(&self, attempts: &mut u32) -> Result<SampleEnd, RetryReason> {
         let template = self.template()?;
-        let prompt = &self.progress.spec.groups[self.place.group.0 as usize].prompt;
+        let prompt = &self.progress.spec.groups[self.id.group.0 as usize].prompt;
         let config = self.context.config.current();
-        door::acquitted(prompt_of(prompt), &config).map_err(Again::Failed)?;
+        admit::check_not_convicted(prompt_of(prompt), &config).map_err(RetryReason::Failed)?;
         *attempts += 1;
-        let made = self.make(&template).await?;
-        *attempts += made.attempts.saturating_sub(1);
+        let generated = self.make(&template).await?;
+        *attempts += generated.attempts.saturating_sub(1);
         let scoring = self.context.now();
-        let score = self.scored(&template, &made.whole).await?;
+        let score = self.scored(&template, &generated.output).await?;
         let ms = self.context.now().since(scoring);
         self.timeline.add(|parts| parts.scored.add(ms));
-        let record = self.record(&made.whole, *attempts, score).ok_or(Again::Unattributed)?;
+        let record =
+            self.record(&generated.output, *attempts, score).ok_or(RetryReason::Unattributed)?;
         let recording = self.context.now();
         let ended = self.submit(self.placed(record).await).await?;
         let ms = self.context.now().since(recording);
@@ -152,55 +153,56 @@
         Ok(ended)
     }
 
-    fn template(&self) -> Result<Template, Again> {
+    fn template(&self) -> Result<Template, RetryReason> {
         let config = self.context.config.current();
-        let template = door::template(&self.key.workspace, &config);
-        template.cloned().map_err(Again::Failed)
+        let template = admit::find_template(&self.key.workspace, &config);
+        template.cloned().map_err(RetryReason::Failed)
     }
 
-    async fn make(&self, template: &Template) -> Result<Made, Again> {
+    async fn make(&self, template: &Template) -> Result<Generated, RetryReason> {
         let asked = self.context.now();
         let members = self.context.members.view();
         let entries = members.present().filter(|member| member.roles.entry).count() as u32;
-        let room = self.shared.rooms.of(&self.key.workspace, &template.limits, entries);
-        let place = room.acquire().await;
+        let room =
+            self.shared.sample_limits.semaphore(&self.key.workspace, &template.limits, entries);
+        let id = room.acquire().await;
         let slot = self.shared.slots.acquire().await;
         if *self.shared.leaving.borrow() {
-            return Err(Again::Leaving);
+            return Err(RetryReason::Leaving);
         }
-        let prompt = &self.progress.spec.groups[self.place.group.0 as usize].prompt;
+        let prompt = &self.progress.spec.groups[self.id.group.0 as usize].prompt;
         let job = self.job(template, prompt);
         let task = self.generation(prompt);
-        let entering = Generating::enter(self.context.clone(), job, task);
-        let mut generating = entering.await.map_err(Again::Failed)?;
+        let entering = GenerationStream::enter(self.context.clone(), job, task);
+        let mut generating = entering.await.map_err(RetryReason::Failed)?;
         let begun = self.context.now();
-        self.pulse.begun.set(Some(begun));
+        self.run_progress.begun.set(Some(begun));
         self.timeline.let_in(begun);
         self.timeline.add(|parts| parts.waited.add(begun.since(asked)));
         loop {
-            let piece = generating.next().await.map_err(Again::Failed)?;
-            self.pulse.tokens.set(generating.whole.tokens);
-            self.pulse.endpoint.replace(generating.endpoint());
-            if self.is_doomed(&generating.whole) {
-                let tokens = i64::from(generating.whole.tokens);
+            let piece = generating.next().await.map_err(RetryReason::Failed)?;
+            self.run_progress.tokens.set(generating.output.tokens);
+            self.run_progress.endpoint.replace(generating.endpoint());
+            if self.is_stale(&generating.output) {
+                let tokens = i64::from(generating.output.tokens);
                 self.context.kernel.metrics.count("entry.sample.wasted_tokens", tokens);
-                return Err(Again::Doomed);
+                return Err(RetryReason::Stale);
             }
             if let Piece::Finished(_) = piece {
                 break;
             }
         }
-        drop((place, slot));
+        drop((id, slot));
         let ms = self.context.now().since(begun);
         self.timeline.add(|parts| parts.generated.add(ms));
-        self.shared.rhythm.borrow_mut().finished(&self.progress.spec.model, ms);
+        self.shared.staleness.borrow_mut().record_sample(&self.progress.spec.model, ms);
         let attempts = generating.job().attempt.0;
-        let whole = std::mem::take(&mut generating.whole);
-        self.shared.lengths.borrow_mut().learn(prompt_of(prompt), whole.tokens);
-        if whole.spans().is_none() {
-            return Err(Again::Unattributed);
+        let output = std::mem::take(&mut generating.output);
+        self.shared.lengths.borrow_mut().learn(prompt_of(prompt), output.tokens);
+        if output.spans().is_none() {
+            return Err(RetryReason::Unattributed);
         }
-        Ok(Made { whole, attempts })
+        Ok(Generated { output, attempts })
     }
 
     pub(super) fn job(&self, template: &Template, prompt: &str) -> Job {
@@ -209,7 +211,7 @@
         let fingerprint = prompt_of(prompt);
         let config = self.context.config.current();
         Job {
-            request: Job::draw(),
+            request: Job::new_request_id(),
             workspace: self.key.workspace.clone(),
             model: spec.model.clone(),
             class: Class::Batch,
@@ -226,11 +228,11 @@
 
     fn generation(&self, prompt: &str) -> Generation {
         let spec = &self.progress.spec;
-        let place = format!("{}.{}.{}", spec.seed, self.place.group, self.place.number);
+        let id = format!("{}.{}.{}", spec.seed, self.id.group, self.id.number);
         Generation {
             prompt: prompt.to_owned(),
             max_tokens: spec.max_tokens.max(1),
-            seed: Fingerprint::of(place.as_bytes()).0,
+            seed: Fingerprint::of(id.as_bytes()).0,
             temperature: spec.temperature,
             logprobs: spec.logprobs,
             ..Generation::default()
@@ -248,7 +250,7 @@
             return self.floor();
         }
         let (newest, bound) = (self.newest(), self.progress.bound);
-        self.shared.rhythm.borrow().floor(&self.progress.spec.model, newest, bound)
+        self.shared.staleness.borrow().floor(&self.progress.spec.model, newest, bound)
     }
 
     /// Gives the oldest version that may be delivered now.
@@ -258,53 +260,53 @@
 
     /// Tells whether the sample could no longer be delivered however soon it ended: versions
     /// only grow, so its slot is better freed now.
-    pub(super) fn is_doomed(&self, whole: &Whole) -> bool {
+    pub(super) fn is_stale(&self, output: &Output) -> bool {
         let floor = self.floor();
-        whole.runs.iter().any(|run| run.version.is_some_and(|version| version < floor))
+        output.runs.iter().any(|run| run.version.is_some_and(|version| version < floor))
     }
 
     /// Puts the sample's bytes where they belong, before the ledger hears of them.
     async fn placed(&self, record: Record) -> Record {
         let Body::Inline(bytes) = &record.body else { return record };
         let (key, digest) = (self.key.clone(), record.digest);
-        let Place { group, number } = self.place;
+        let SampleId { group, number } = self.id;
         let name = BodyName { key, group, number, digest };
-        let body = keep::keep(&self.context, &name, bytes).await;
+        let body = replicate::replicate(&self.context, &name, bytes).await;
         Record { body, ..record }
     }
 
     /// Records the sample, sending it again until the control processes answered: a second
     /// record of the same sample is a duplicate, which the ledger drops.
-    async fn submit(&self, mut record: Record) -> Result<Ended, Again> {
+    async fn submit(&self, mut record: Record) -> Result<SampleEnd, RetryReason> {
         loop {
             let command = LedgerCommand::Done {
                 key: self.key.clone(),
-                group: self.place.group,
-                number: self.place.number,
+                group: self.id.group,
+                number: self.id.number,
                 session: self.session,
                 record: record.clone(),
             };
-            match record::ledger(&self.context, command).await {
-                Ok(LedgerReply::Kept | LedgerReply::Duplicate) => return Ok(Ended::Recorded),
-                Ok(LedgerReply::Undeliverable) => return Err(Again::Doomed),
+            match propose::ledger_command(&self.context, command).await {
+                Ok(LedgerReply::Kept | LedgerReply::Duplicate) => return Ok(SampleEnd::Recorded),
+                Ok(LedgerReply::Undeliverable) => return Err(RetryReason::Stale),
                 // The stores of the entries may have room again.
                 Ok(LedgerReply::Full) => record = self.placed(record).await,
                 Err(_) => {}
-                Ok(_) => return Ok(Ended::Over),
+                Ok(_) => return Ok(SampleEnd::Over),
             }
             actix_rt::time::sleep(Duration::from_millis(PAUSE_BOUND / 4)).await;
         }
     }
 
-    fn note(&self, again: &Again) {
+    fn note(&self, again: &RetryReason) {
         let why = match again {
-            Again::Failed(failure) => failure.to_string(),
-            Again::Doomed => "too old by now".to_owned(),
-            Again::Unattributed => "a version is not known".to_owned(),
-            Again::Leaving => "this entry leaves".to_owned(),
+            RetryReason::Failed(failure) => failure.to_string(),
+            RetryReason::Stale => "too old by now".to_owned(),
+            RetryReason::Unattributed => "a version is not known".to_owned(),
+            RetryReason::Leaving => "this entry leaves".to_owned(),
         };
         let (workspace, step) = (&self.key.workspace, self.key.step);
-        let Place { group, number } = self.place;
+        let SampleId { group, number } = self.id;
         tracing::info!(event = "sample_again", %workspace, %step, %group, %number, why);
         self.context.kernel.metrics.count("entry.sample.again", 1);
     }
--- a/components/entry/src/steps/made.rs
+++ b/components/entry/src/steps/scoring.rs
@@ -16,11 +16,11 @@
 use serde_json::json;
 
 use crate::run::Job;
-use crate::run::serve;
-use crate::run::spans::Whole;
-use crate::steps::sample::Again;
+use crate::run::service_call;
+use crate::run::spans::Output;
 use crate::steps::sample::PAUSE_BOUND;
-use crate::steps::sample::Task;
+use crate::steps::sample::RetryReason;
+use crate::steps::sample::SampleTask;
 
 /// How often a generation is given to the scoring service before it is made anew.
 const SCORINGS: u32 = 8;
@@ -32,31 +32,31 @@
     score: f64,
 }
 
-impl Task {
+impl SampleTask {
     /// Scores a generation, asking again if the scoring service fails: its tokens are whole, and
     /// to make them anew would waste them.
     pub(super) async fn scored(
         &self,
         template: &Template,
-        whole: &Whole,
-    ) -> Result<Option<f64>, Again> {
+        output: &Output,
+    ) -> Result<Option<f64>, RetryReason> {
         let mut tries = 0;
         loop {
             tries += 1;
-            match self.score(template, whole).await {
+            match self.score(template, output).await {
                 Ok(score) => return Ok(score),
-                Err(failure) if tries >= SCORINGS || self.is_doomed(whole) => {
-                    return Err(Again::Failed(failure));
+                Err(failure) if tries >= SCORINGS || self.is_stale(output) => {
+                    return Err(RetryReason::Failed(failure));
                 }
                 Err(_) => actix_rt::time::sleep(Duration::from_millis(PAUSE_BOUND / 4)).await,
             }
         }
     }
 
-    async fn score(&self, template: &Template, whole: &Whole) -> Result<Option<f64>, Failure> {
+    async fn score(&self, template: &Template, output: &Output) -> Result<Option<f64>, Failure> {
         let Some(scorer) = &template.scorer else { return Ok(None) };
-        let prompt = &self.progress.spec.groups[self.place.group.0 as usize].prompt;
-        let body = json!({"prompt": prompt, "text": whole.text}).to_string();
+        let prompt = &self.progress.spec.groups[self.id.group.0 as usize].prompt;
+        let body = json!({"prompt": prompt, "text": output.text}).to_string();
         let call = ServiceCall {
             path: SCORE.to_owned(),
             media: "application/json".to_owned(),
@@ -65,7 +65,7 @@
         let avoid = Vec::new();
         let job = Job { model: scorer.clone(), floor: None, avoid, ..self.job(template, prompt) };
         let job = Job { fingerprint: Fingerprint::of(&call.body), suspect: false, ..job };
-        let served = serve::call(&self.context, job, call).await?;
+        let served = service_call::call(&self.context, job, call).await?;
         let scored = serde_json::from_slice::<Scored>(&served.answer.body);
         let scored = scored.map_err(|error| {
             let detail = format!("the scoring service's answer cannot be read: {error}");
@@ -77,21 +77,21 @@
     /// Makes the record, with the bytes still in it.
     pub(super) fn record(
         &self,
-        whole: &Whole,
+        output: &Output,
         attempts: u32,
         score: Option<f64>,
     ) -> Option<Record> {
-        let spans = whole.spans()?;
+        let spans = output.spans()?;
         // Log-probabilities that some attempt did not give cannot be matched to tokens.
-        let complete = whole.logprobs.len() == whole.tokens as usize;
+        let complete = output.logprobs.len() == output.tokens as usize;
         let sample = Sample {
             step: self.key.step,
-            group: self.place.group,
-            number: self.place.number,
-            text: whole.text.clone(),
-            tokens: whole.tokens,
+            group: self.id.group,
+            number: self.id.number,
+            text: output.text.clone(),
+            tokens: output.tokens,
             spans: spans.clone(),
-            logprobs: if complete { whole.logprobs.clone() } else { Vec::new() },
+            logprobs: if complete { output.logprobs.clone() } else { Vec::new() },
             attempts,
             score,
             age_ms: self.context.now().since(self.begun),
@@ -99,6 +99,6 @@
         let bytes = serde_json::to_vec(&sample).expect("a sample is plain data");
         let digest = Digest::of(&bytes);
         let body = Body::Inline(Bytes::from(bytes));
-        Some(Record { spans, tokens: whole.tokens, digest, body })
+        Some(Record { spans, tokens: output.tokens, digest, body })
     }
 }
--- a/components/entry/src/steps/session.rs
+++ b/components/entry/src/steps/session.rs
@@ -13,7 +13,7 @@
 use chicoryford_types::Millis;
 use chicoryford_wire::paths;
 
-use crate::bodies::audit::Auditing;
+use crate::bodies::audit::BodyAudit;
 use crate::context::Context;
 use crate::steps::handle::Notice;
 
@@ -35,7 +35,7 @@
 /// The lease is counted on this process's own monotonic clock from before the renewal was sent.
 /// An entry that was stopped or cut off therefore stops its steps before the leader gives them
 /// to another; should it not, the ledger refuses what an earlier owner records.
-pub async fn keep(context: Context, notices: Sender<Notice>, bodies: Rc<Auditing>) {
+pub async fn maintain(context: Context, notices: Sender<Notice>, bodies: Rc<BodyAudit>) {
     let mut held: Option<Held> = None;
     let mut lost: Option<u64> = None;
     loop {
@@ -96,13 +96,16 @@
     context: &Context,
     notices: &Sender<Notice>,
     held: Held,
-    bodies: &Auditing,
+    bodies: &BodyAudit,
 ) -> Option<Held> {
-    let audit = bodies.question(context, held.number);
+    let audit = bodies.next_audit(context, held.number);
     let asked = audit.is_some();
     let answer = ask(context, held.number, audit).await;
     if asked {
-        bodies.answered(context, answer.as_ref().and_then(|(renewed, _)| renewed.audited.as_ref()));
+        bodies.apply_answer(
+            context,
+            answer.as_ref().and_then(|(renewed, _)| renewed.audited.as_ref()),
+        );
     }
     match answer {
         Some((renewed, sent)) if renewed.held => {
--- a/components/entry/src/steps/rhythm.rs
+++ b/components/entry/src/steps/staleness.rs
@@ -11,7 +11,7 @@
 
 /// What is learned of one model.
 #[derive(Clone, Debug, Default)]
-struct Beat {
+struct ModelStats {
     newest: Version,
     since: Millis,
     /// The mean time between two versions, in milliseconds; none until two were seen.
@@ -22,36 +22,36 @@
 
 /// Learned intervals between versions and durations of samples, by model.
 #[derive(Clone, Debug, Default)]
-pub struct Rhythm {
-    beats: BTreeMap<Model, Beat>,
+pub struct StalenessPredictor {
+    models: BTreeMap<Model, ModelStats>,
 }
 
-impl Rhythm {
+impl StalenessPredictor {
     /// Takes in the newest published version; the same one again changes nothing.
-    pub fn published(&mut self, model: &Model, version: Version, now: Millis) {
-        let beat = self.beats.entry(model.clone()).or_default();
-        if version <= beat.newest {
+    pub fn record_version(&mut self, model: &Model, version: Version, now: Millis) {
+        let stats = self.models.entry(model.clone()).or_default();
+        if version <= stats.newest {
             return;
         }
-        if beat.newest > Version(0) {
+        if stats.newest > Version(0) {
             // Versions that came between two looks share the time between them.
-            let versions = (version.0 - beat.newest.0) as f64;
-            mix(&mut beat.interval, now.since(beat.since) as f64 / versions);
+            let versions = (version.0 - stats.newest.0) as f64;
+            update_mean(&mut stats.interval, now.since(stats.since) as f64 / versions);
         }
-        beat.newest = version;
-        beat.since = now;
+        stats.newest = version;
+        stats.since = now;
     }
 
     /// Takes in how long a sample took, from when it was let in to its end.
-    pub fn finished(&mut self, model: &Model, ms: u64) {
-        let beat = self.beats.entry(model.clone()).or_default();
-        mix(&mut beat.duration, ms as f64);
+    pub fn record_sample(&mut self, model: &Model, ms: u64) {
+        let stats = self.models.entry(model.clone()).or_default();
+        update_mean(&mut stats.duration, ms as f64);
     }
 
     /// Gives the versions that are expected to be published while a sample runs.
-    pub fn ahead(&self, model: &Model) -> u64 {
-        let Some(beat) = self.beats.get(model) else { return 0 };
-        match (beat.interval, beat.duration) {
+    pub fn expected_versions(&self, model: &Model) -> u64 {
+        let Some(stats) = self.models.get(model) else { return 0 };
+        match (stats.interval, stats.duration) {
             (Some(interval), Some(duration)) if interval >= 1.0 => (duration / interval) as u64,
             _ => 0,
         }
@@ -63,11 +63,11 @@
     /// published meanwhile; its tokens would be wasted and its trainer wait for another. So the
     /// versions that are expected meanwhile are taken from the bound beforehand.
     pub fn floor(&self, model: &Model, newest: Version, bound: u64) -> Version {
-        let slack = bound.saturating_sub(self.ahead(model));
+        let slack = bound.saturating_sub(self.expected_versions(model));
         Version(newest.0.saturating_sub(slack))
     }
 }
 
-fn mix(mean: &mut Option<f64>, value: f64) {
+fn update_mean(mean: &mut Option<f64>, value: f64) {
     *mean = Some(mean.map_or(value, |mean| mean + LEARN * (value - mean)));
 }
--- a/components/entry/src/steps/step.rs
+++ b/components/entry/src/steps/step.rs
@@ -26,20 +26,20 @@
 use tokio::sync::watch;
 
 use crate::context::Context;
-use crate::router::Hedged;
-use crate::router::Late;
-use crate::router::Want;
-use crate::steps::flight::Flight;
-use crate::steps::flight::Pulse;
+use crate::router::EndpointQuery;
+use crate::router::HedgePermit;
+use crate::router::LateSample;
+use crate::steps::in_flight::InFlight;
+use crate::steps::in_flight::SampleProgress;
 use crate::steps::lengths::Lengths;
-use crate::steps::record;
-use crate::steps::rhythm::Rhythm;
-use crate::steps::rooms::Rooms;
+use crate::steps::limits::SampleLimits;
+use crate::steps::propose;
+use crate::steps::pull_waker::PullNotifier;
 use crate::steps::sample;
-use crate::steps::sample::Ended;
-use crate::steps::sample::Place;
+use crate::steps::sample::SampleEnd;
+use crate::steps::sample::SampleId;
+use crate::steps::staleness::StalenessPredictor;
 use crate::steps::timeline::Timeline;
-use crate::steps::wakes::Wakes;
 
 /// The time between two questions for a step's progress.
 const POLL: Duration = Duration::from_secs(2);
@@ -56,21 +56,21 @@
     pub predict: bool,
     /// Whether late samples get a second maker.
     pub hedge: bool,
-    /// Wakes pulls that wait.
-    pub wakes: Wakes,
+    /// PullNotifier pulls that wait.
+    pub pull_notifier: PullNotifier,
     /// Learned lengths.
     pub lengths: Rc<RefCell<Lengths>>,
     /// The rhythm of publications.
-    pub rhythm: Rc<RefCell<Rhythm>>,
+    pub staleness: Rc<RefCell<StalenessPredictor>>,
     /// Samples of each workspace that may run at once.
-    pub rooms: Rc<Rooms>,
+    pub sample_limits: Rc<SampleLimits>,
     /// Samples that may run at once.
     pub slots: Arc<Semaphore>,
     /// Whether this entry is leaving: what runs goes on, nothing new begins.
     pub leaving: watch::Receiver<bool>,
 }
 
-type Running = FuturesUnordered<LocalBoxFuture<'static, (Place, Ended)>>;
+type Running = FuturesUnordered<LocalBoxFuture<'static, (SampleId, SampleEnd)>>;
 
 struct Step {
     context: Context,
@@ -80,7 +80,7 @@
     begun: Millis,
     progress: Rc<Progress>,
     done: BTreeMap<Group, u32>,
-    in_flight: BTreeMap<Place, Flight>,
+    in_flight: BTreeMap<SampleId, InFlight>,
     whole: watch::Sender<BTreeSet<Group>>,
     running: Running,
     timeline: Rc<Timeline>,
@@ -89,7 +89,7 @@
 /// Takes a step and runs it until it is delivered, given up, or owned by another session.
 pub async fn run(context: Context, shared: Shared, session: u64, key: StepKey) {
     let command = LedgerCommand::Take { key: key.clone(), session };
-    let progress = match record::ledger(&context, command).await {
+    let progress = match propose::ledger_command(&context, command).await {
         Ok(LedgerReply::Taken(progress)) => progress,
         Ok(reply) => {
             tracing::info!(event = "step_not_taken", workspace = %key.workspace, ?reply);
@@ -101,7 +101,7 @@
         }
     };
     tracing::info!(event = "step_taken", workspace = %key.workspace, step = %key.step, session);
-    let _runs = shared.wakes.runs(&key.workspace);
+    let _runs = shared.pull_notifier.step_started(&key.workspace);
     let mut step = Step {
         begun: context.now(),
         timeline: Rc::new(Timeline::new(context.now())),
@@ -132,11 +132,11 @@
                 return;
             }
             tokio::select! {
-                Some((place, ended)) = self.running.next(), if !idle => {
+                Some((id, ended)) = self.running.next(), if !idle => {
                     match ended {
-                        Ended::Recorded => self.count(place),
-                        Ended::Unwanted => self.drop_maker(place),
-                        Ended::Over => return,
+                        SampleEnd::Recorded => self.count(id),
+                        SampleEnd::Unwanted => self.remove_run(id),
+                        SampleEnd::Over => return,
                     }
                 }
                 _ = hedge.tick() => self.hedge().await,
@@ -158,7 +158,7 @@
     /// and are run again.
     async fn poll(&mut self) -> Option<()> {
         let command = LedgerCommand::Progress { key: self.key.clone() };
-        match record::ledger(&self.context, command).await {
+        match propose::ledger_command(&self.context, command).await {
             Ok(LedgerReply::Progress(progress)) => {
                 if progress.owner != Some(self.session) || self.is_over(&progress) {
                     return None;
@@ -178,19 +178,19 @@
 
     /// Counts a recorded sample. Its other maker, if any, is told to stop; should that one have
     /// recorded the sample as well, the ledger has kept the first.
-    fn count(&mut self, place: Place) {
-        let Some(flight) = self.in_flight.remove(&place) else { return };
+    fn count(&mut self, id: SampleId) {
+        let Some(flight) = self.in_flight.remove(&id) else { return };
         flight.stop.send_replace(true);
         self.timeline.recorded(self.context.now());
-        *self.done.entry(place.group).or_default() += 1;
+        *self.done.entry(id.group).or_default() += 1;
         self.tell_whole();
     }
 
-    fn drop_maker(&mut self, place: Place) {
-        let Some(flight) = self.in_flight.get_mut(&place) else { return };
-        flight.makers -= 1;
-        if flight.makers == 0 {
-            self.in_flight.remove(&place);
+    fn remove_run(&mut self, id: SampleId) {
+        let Some(flight) = self.in_flight.get_mut(&id) else { return };
+        flight.runs -= 1;
+        if flight.runs == 0 {
+            self.in_flight.remove(&id);
         }
     }
 
@@ -202,48 +202,47 @@
         if *self.shared.leaving.borrow() || !self.shared.hedge {
             return;
         }
-        for place in self.late() {
-            let Some(straggler) = self.straggler(place) else { continue };
+        for id in self.late() {
+            let Some(straggler) = self.straggler(id) else { continue };
             let Some(hedged) = self.context.router.hedge(straggler).await else { continue };
-            let Some(flight) = self.in_flight.get_mut(&place) else { continue };
+            let Some(flight) = self.in_flight.get_mut(&id) else { continue };
             flight.hedged = true;
-            flight.makers += 1;
-            let avoid = flight.pulse.endpoint.borrow().iter().cloned().collect();
-            tracing::info!(event = "sample_hedged", group = %place.group, number = %place.number);
-            self.start(place, Rc::default(), avoid, Some(hedged));
+            flight.runs += 1;
+            let avoid = flight.run_progress.endpoint.borrow().iter().cloned().collect();
+            tracing::info!(event = "sample_hedged", group = %id.group, number = %id.number);
+            self.start(id, Rc::default(), avoid, Some(hedged));
         }
     }
 
     /// Lists the samples that might be hedged: those that run, in groups that lack only a few.
-    fn late(&self) -> Vec<Place> {
+    fn late(&self) -> Vec<SampleId> {
         let wanted = self.progress.spec.samples;
         let few = |group: &Group| {
             let done = self.done.get(group).copied().unwrap_or_default();
             (wanted.saturating_sub(done)) * FEW <= wanted.max(FEW)
         };
-        let runs = |flight: &Flight| !flight.hedged && flight.pulse.begun.get().is_some();
-        let late =
-            self.in_flight.iter().filter(|(place, flight)| few(&place.group) && runs(flight));
-        late.map(|(place, _)| *place).collect()
+        let runs = |flight: &InFlight| !flight.hedged && flight.run_progress.begun.get().is_some();
+        let late = self.in_flight.iter().filter(|(id, flight)| few(&id.group) && runs(flight));
+        late.map(|(id, _)| *id).collect()
     }
 
-    fn straggler(&self, place: Place) -> Option<Late> {
-        let flight = self.in_flight.get(&place)?;
+    fn straggler(&self, id: SampleId) -> Option<LateSample> {
+        let flight = self.in_flight.get(&id)?;
         let spec = &self.progress.spec;
-        let done = self.done.get(&place.group).copied().unwrap_or_default();
-        let want = Want {
+        let done = self.done.get(&id.group).copied().unwrap_or_default();
+        let query = EndpointQuery {
             workspace: self.key.workspace.clone(),
             model: spec.model.clone(),
             tokens: spec.max_tokens,
-            avoid: flight.pulse.endpoint.borrow().iter().cloned().collect(),
-            ..Want::default()
+            avoid: flight.run_progress.endpoint.borrow().iter().cloned().collect(),
+            ..EndpointQuery::default()
         };
-        Some(Late {
-            want,
+        Some(LateSample {
+            query,
             group: spec.samples,
             left: spec.samples.saturating_sub(done),
-            ran_ms: self.context.now().since(flight.pulse.begun.get()?),
-            tokens: flight.pulse.tokens.get(),
+            ran_ms: self.context.now().since(flight.run_progress.begun.get()?),
+            tokens: flight.run_progress.tokens.get(),
         })
     }
 
@@ -259,7 +258,7 @@
             differs
         });
         if changed {
-            self.shared.wakes.whole(&self.key.workspace);
+            self.shared.pull_notifier.group_completed(&self.key.workspace);
         }
     }
 
@@ -274,14 +273,14 @@
         self.tell_whole();
         let mut missing = self.missing();
         let spec = &self.progress.spec;
-        let prompt = |place: &Place| prompt_of(&spec.groups[place.group.0 as usize].prompt);
+        let prompt = |id: &SampleId| prompt_of(&spec.groups[id.group.0 as usize].prompt);
         self.shared.lengths.borrow().sort(&mut missing, prompt);
-        for place in missing {
-            self.begin(place);
+        for id in missing {
+            self.begin(id);
         }
     }
 
-    fn missing(&self) -> Vec<Place> {
+    fn missing(&self) -> Vec<SampleId> {
         let spec = &self.progress.spec;
         let mut missing = Vec::new();
         for group in (0..spec.groups.len() as u32).map(Group) {
@@ -289,44 +288,44 @@
                 continue;
             }
             for number in (0..spec.samples + spec.extra).map(SampleNo) {
-                let place = Place { group, number };
+                let id = SampleId { group, number };
                 let recorded = self.progress.done.contains(&(group, number));
-                if !recorded && !self.in_flight.contains_key(&place) {
-                    missing.push(place);
+                if !recorded && !self.in_flight.contains_key(&id) {
+                    missing.push(id);
                 }
             }
         }
         missing
     }
 
-    fn begin(&mut self, place: Place) {
+    fn begin(&mut self, id: SampleId) {
         if *self.shared.leaving.borrow() {
             return;
         }
-        let flight = Flight::default();
-        let pulse = flight.pulse.clone();
-        self.in_flight.insert(place, flight);
-        self.start(place, pulse, Vec::new(), None);
+        let flight = InFlight::default();
+        let run_progress = flight.run_progress.clone();
+        self.in_flight.insert(id, flight);
+        self.start(id, run_progress, Vec::new(), None);
     }
 
     fn start(
         &mut self,
-        place: Place,
-        pulse: Rc<Pulse>,
+        id: SampleId,
+        run_progress: Rc<SampleProgress>,
         avoid: Vec<Endpoint>,
-        hedged: Option<Hedged>,
+        hedged: Option<HedgePermit>,
     ) {
-        let Some(flight) = self.in_flight.get(&place) else { return };
+        let Some(flight) = self.in_flight.get(&id) else { return };
         let mut stop = flight.stop.subscribe();
-        let task = sample::Task {
-            pulse,
+        let task = sample::SampleTask {
+            run_progress,
             avoid,
             context: self.context.clone(),
             shared: self.shared.clone(),
             progress: self.progress.clone(),
             session: self.session,
             key: self.key.clone(),
-            place,
+            id,
             begun: self.begun,
             timeline: self.timeline.clone(),
         };
@@ -335,10 +334,10 @@
             let _hedged = hedged;
             let ended = tokio::select! {
                 ended = task.run() => ended,
-                _ = whole.wait_for(|whole| whole.contains(&place.group)) => Ended::Unwanted,
-                _ = stop.wait_for(|stop| *stop) => Ended::Unwanted,
+                _ = whole.wait_for(|whole| whole.contains(&id.group)) => SampleEnd::Unwanted,
+                _ = stop.wait_for(|stop| *stop) => SampleEnd::Unwanted,
             };
-            (place, ended)
+            (id, ended)
         }));
     }
 }
--- a/components/entry/src/steps/timeline.rs
+++ b/components/entry/src/steps/timeline.rs
@@ -11,13 +11,13 @@
 
 /// A mean and the greatest of some durations, in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spent {
+pub struct DurationStats {
     count: u64,
     sum: u64,
     most: u64,
 }
 
-impl Spent {
+impl DurationStats {
     /// Takes in a duration.
     pub fn add(&mut self, ms: u64) {
         self.count += 1;
@@ -33,15 +33,15 @@
 
 /// The parts of the way of one sample.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Parts {
-    /// Waiting to be let in: for a place of its workspace and entry, and for admission.
-    pub waited: Spent,
+pub struct PhaseTimes {
+    /// Waiting to be let in: for a id of its workspace and entry, and for admission.
+    pub waited: DurationStats,
     /// Being generated.
-    pub generated: Spent,
+    pub generated: DurationStats,
     /// Being scored.
-    pub scored: Spent,
+    pub scored: DurationStats,
     /// Being recorded by the control processes.
-    pub recorded: Spent,
+    pub recorded: DurationStats,
 }
 
 /// The course of a step at this entry.
@@ -51,7 +51,7 @@
     first: Cell<Option<Millis>>,
     last: Cell<Millis>,
     whole: Cell<Millis>,
-    parts: RefCell<Parts>,
+    parts: RefCell<PhaseTimes>,
 }
 
 impl Timeline {
@@ -61,7 +61,7 @@
     }
 
     /// Changes the parts.
-    pub fn add(&self, change: impl FnOnce(&mut Parts)) {
+    pub fn add(&self, change: impl FnOnce(&mut PhaseTimes)) {
         change(&mut self.parts.borrow_mut());
     }
 
@@ -80,7 +80,7 @@
     /// samples.
     pub fn log(&self, key: &StepKey, now: Millis) {
         let since = |then: Millis| then.since(self.taken);
-        let Parts { waited, generated, scored, recorded } = *self.parts.borrow();
+        let PhaseTimes { waited, generated, scored, recorded } = *self.parts.borrow();
         tracing::info!(
             event = "step_ended",
             workspace = %key.workspace,
--- a/components/entry/src/trainer.rs
+++ b/components/entry/src/trainer.rs
@@ -19,12 +19,12 @@
 use serde::Deserialize;
 use serde_json::json;
 
+use crate::admit;
 use crate::bodies::batch;
-use crate::bodies::keep;
+use crate::bodies::replicate;
 use crate::context::Context;
-use crate::door;
 use crate::steps::Steps;
-use crate::steps::record;
+use crate::steps::propose;
 use crate::steps::step::prompt_of;
 
 /// When to pull again after nothing was ready, in milliseconds.
@@ -35,7 +35,7 @@
 
 /// Asks for a batch.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Pull {
+pub struct PullRequest {
     /// The workspace.
     pub workspace: Workspace,
     /// The cursor: one more than the last acknowledged.
@@ -53,7 +53,7 @@
 
 /// Acknowledges a batch.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Ack {
+pub struct AckRequest {
     /// The workspace.
     pub workspace: Workspace,
     /// The cursor of the batch.
@@ -66,43 +66,43 @@
 
 /// Opens a step.
 pub async fn open(context: Context, steps: Steps, call: Call) -> Reply {
-    answer(try_open(&context, &steps, &call).await)
+    into_reply(try_open(&context, &steps, &call).await)
 }
 
 /// Hands out a batch.
 pub async fn pull(context: Context, steps: Steps, call: Call) -> Reply {
-    answer(try_pull(&context, &steps, &call).await)
+    into_reply(try_pull(&context, &steps, &call).await)
 }
 
 /// Takes an acknowledgement.
 pub async fn ack(context: Context, call: Call) -> Reply {
-    answer(try_ack(&context, &call).await)
+    into_reply(try_ack(&context, &call).await)
 }
 
-pub(crate) fn answer(result: Result<Reply, Failure>) -> Reply {
+pub(crate) fn into_reply(result: Result<Reply, Failure>) -> Reply {
     result.unwrap_or_else(|failure| reply::failure(&failure))
 }
 
 async fn try_open(context: &Context, steps: &Steps, call: &Call) -> Result<Reply, Failure> {
     let mut spec: StepSpec = call.json()?;
-    let template = admit(context, call, &spec.workspace)?;
-    door::open(
+    let template = authorize(context, call, &spec.workspace)?;
+    admit::check_not_draining(
         context.kernel.phases.now(),
         &context.config.current(),
         &context.node,
-        &context.place,
+        &context.data_centre,
     )?;
     check(&spec, &template)?;
     for group in &spec.groups {
         // The step could never be whole, and its trainer would wait for it.
-        door::acquitted(prompt_of(&group.prompt), &context.config.current())?;
+        admit::check_not_convicted(prompt_of(&group.prompt), &context.config.current())?;
     }
     if let Some(identity) = &call.identity {
         spec.trainer = identity.principal.clone();
     }
     let key = StepKey { workspace: spec.workspace.clone(), step: spec.step };
     let bound = template.freshness.versions;
-    match record::ledger(context, LedgerCommand::Open { spec, bound }).await? {
+    match propose::ledger_command(context, LedgerCommand::Open { spec, bound }).await? {
         LedgerReply::Opened => {
             steps.opened(key);
             Ok(reply::json(200, &json!({"opened": true})))
@@ -131,8 +131,8 @@
 }
 
 async fn try_pull(context: &Context, steps: &Steps, call: &Call) -> Result<Reply, Failure> {
-    let pull: Pull = call.json()?;
-    admit(context, call, &pull.workspace)?;
+    let pull: PullRequest = call.json()?;
+    authorize(context, call, &pull.workspace)?;
     let own = pull.workspace.clone();
     match wait_for_batch(context, steps, pull).await? {
         LedgerReply::Batch { cursor, samples, .. } => {
@@ -160,15 +160,15 @@
 async fn wait_for_batch(
     context: &Context,
     steps: &Steps,
-    pull: Pull,
+    pull: PullRequest,
 ) -> Result<LedgerReply, Failure> {
-    let Pull { workspace, cursor, groups, newest, wait_ms } = pull;
+    let PullRequest { workspace, cursor, groups, newest, wait_ms } = pull;
     let until = context.now() + wait_ms.min(WAIT_BOUND);
-    let mut wake = steps.wakes.follow(&workspace);
+    let mut waiter = steps.pull_notifier.subscribe(&workspace);
     let command = LedgerCommand::Pull { workspace, cursor, groups, newest };
     loop {
-        wake.asking();
-        let reply = record::ledger(context, command.clone()).await?;
+        waiter.mark_seen();
+        let reply = propose::ledger_command(context, command.clone()).await?;
         let left = until.since(context.now());
         let phases = &context.kernel.phases;
         if reply != LedgerReply::NotReady || left == 0 || phases.now() > Phase::Running {
@@ -176,19 +176,19 @@
         }
         tokio::select! {
             () = phases.reached(Phase::Draining) => {}
-            () = wake.wait(Duration::from_millis(left)) => {}
+            () = waiter.wait(Duration::from_millis(left)) => {}
         }
     }
 }
 
 async fn try_ack(context: &Context, call: &Call) -> Result<Reply, Failure> {
-    let Ack { workspace, cursor } = call.json()?;
-    admit(context, call, &workspace)?;
+    let AckRequest { workspace, cursor } = call.json()?;
+    authorize(context, call, &workspace)?;
     let own = workspace.clone();
-    match record::ledger(context, LedgerCommand::Ack { workspace, cursor }).await? {
+    match propose::ledger_command(context, LedgerCommand::Ack { workspace, cursor }).await? {
         LedgerReply::Acked => {
-            let held = context.bodies.acknowledged(&own, cursor);
-            actix_rt::spawn(keep::discard(context.clone(), held));
+            let held = context.bodies.take_batch(&own, cursor);
+            actix_rt::spawn(replicate::discard(context.clone(), held));
             Ok(reply::json(200, &json!({"acknowledged": cursor})))
         }
         LedgerReply::BadCursor { expected } => {
@@ -200,13 +200,13 @@
 }
 
 /// Lets in the trainers that the template names.
-pub(crate) fn admit(
+pub(crate) fn authorize(
     context: &Context,
     call: &Call,
     workspace: &Workspace,
 ) -> Result<Template, Failure> {
     let config = context.config.current();
-    let template = door::template(workspace, &config)?;
+    let template = admit::find_template(workspace, &config)?;
     let named =
         call.identity.as_ref().is_some_and(|who| template.trainers.contains(&who.principal));
     if !named {
--- a/components/entry/tests/learning.rs
+++ b/components/entry/tests/learning.rs
@@ -1,8 +1,8 @@
-//! What the steps duty learns: lengths of answers, the rhythm of publications.
+//! What the steps duty learns: lengths of answers, the predictor of publications.
 
 use chicoryford_entry::steps::lengths::Lengths;
-use chicoryford_entry::steps::rhythm::Rhythm;
-use chicoryford_entry::steps::rooms::Rooms;
+use chicoryford_entry::steps::limits::SampleLimits;
+use chicoryford_entry::steps::staleness::StalenessPredictor;
 use chicoryford_types::Fingerprint;
 use chicoryford_types::Millis;
 use chicoryford_types::Model;
@@ -30,14 +30,14 @@
     // Sequence: a trainer opens a step of thousands of samples.
     // Cause: samples fill the limit that callers share with them.
     let limits = Limits { running: 100, ..Limits::default() };
-    let rooms = Rooms::default();
+    let sample_limits = SampleLimits::default();
     let workspace = Workspace::from("desk");
-    assert_eq!(rooms.of(&workspace, &limits, 1).available_permits(), 75);
-    let held = rooms.of(&workspace, &limits, 1).try_acquire_many_owned(70).unwrap();
-    assert_eq!(rooms.of(&workspace, &limits, 1).available_permits(), 5);
-    assert_eq!(rooms.of(&workspace, &limits, 4).available_permits(), 18);
+    assert_eq!(sample_limits.semaphore(&workspace, &limits, 1).available_permits(), 75);
+    let held = sample_limits.semaphore(&workspace, &limits, 1).try_acquire_many_owned(70).unwrap();
+    assert_eq!(sample_limits.semaphore(&workspace, &limits, 1).available_permits(), 5);
+    assert_eq!(sample_limits.semaphore(&workspace, &limits, 4).available_permits(), 18);
     drop(held);
-    assert_eq!(rooms.of(&workspace, &limits, 4).available_permits(), 18);
+    assert_eq!(sample_limits.semaphore(&workspace, &limits, 4).available_permits(), 18);
 }
 
 #[test]
@@ -46,15 +46,15 @@
     // Sequence: a sample of 25 s begins at the edge of a bound of 3 versions, published every 10 s.
     // Cause: freshness judged by the version in force when the sample began.
     let model = Model::from("m");
-    let mut rhythm = Rhythm::default();
-    assert_eq!(rhythm.floor(&model, Version(9), 3), Version(6), "nothing is known yet");
+    let mut predictor = StalenessPredictor::default();
+    assert_eq!(predictor.floor(&model, Version(9), 3), Version(6), "nothing is known yet");
     for version in 1..=4 {
-        rhythm.published(&model, Version(version), Millis(version * 10_000));
-        rhythm.published(&model, Version(version), Millis(version * 10_000 + 5_000));
+        predictor.record_version(&model, Version(version), Millis(version * 10_000));
+        predictor.record_version(&model, Version(version), Millis(version * 10_000 + 5_000));
     }
-    assert_eq!(rhythm.ahead(&model), 0);
-    rhythm.finished(&model, 25_000);
-    assert_eq!(rhythm.ahead(&model), 2);
-    assert_eq!(rhythm.floor(&model, Version(9), 3), Version(8));
-    assert_eq!(rhythm.floor(&model, Version(9), 1), Version(9), "never above the newest");
+    assert_eq!(predictor.expected_versions(&model), 0);
+    predictor.record_sample(&model, 25_000);
+    assert_eq!(predictor.expected_versions(&model), 2);
+    assert_eq!(predictor.floor(&model, Version(9), 3), Version(8));
+    assert_eq!(predictor.floor(&model, Version(9), 1), Version(9), "never above the newest");
 }
--- a/components/entry/tests/rescue.rs
+++ b/components/entry/tests/rescue.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::Ordering;
 
-use chicoryford_entry::run::first::Firsts;
+use chicoryford_entry::run::first_token::FirstTokenTimes;
 use chicoryford_types::Class;
 use chicoryford_types::Model;
 use chicoryford_types::Template;
@@ -129,17 +129,17 @@
 #[test]
 fn the_time_until_a_request_counts_as_silent_is_learned() {
     let model = Model::from(MODEL);
-    let mut firsts = Firsts::new(1_200);
-    assert_eq!(firsts.patience(&model, 60_000).as_millis(), 1_200);
-    assert_eq!(firsts.patience(&model, 1_000).as_millis(), 500, "half of what is left");
+    let mut times = FirstTokenTimes::new(1_200);
+    assert_eq!(times.rescue_delay(&model, 60_000).as_millis(), 1_200);
+    assert_eq!(times.rescue_delay(&model, 1_000).as_millis(), 500, "half of what is left");
     for _ in 0..100 {
-        firsts.learn(&model, 40);
+        times.record(&model, 40);
     }
-    let fast = firsts.patience(&model, 60_000).as_millis();
+    let fast = times.rescue_delay(&model, 60_000).as_millis();
     assert!((100..200).contains(&fast), "{fast}");
     for _ in 0..100 {
-        firsts.learn(&model, 3_000);
+        times.record(&model, 3_000);
     }
-    let slow = firsts.patience(&model, 60_000).as_millis();
+    let slow = times.rescue_delay(&model, 60_000).as_millis();
     assert!((3_000..4_000).contains(&slow), "{slow}");
 }
--- a/components/entry/tests/book.rs
+++ b/components/entry/tests/router_state.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use chicoryford_entry::router::Book;
-use chicoryford_entry::router::Verdict;
-use chicoryford_entry::router::Want;
-use chicoryford_entry::router::book::Bounds;
-use chicoryford_entry::router::book::Entering;
+use chicoryford_entry::router::AttemptEnd;
+use chicoryford_entry::router::EndpointQuery;
+use chicoryford_entry::router::RouterState;
+use chicoryford_entry::router::state::AdmitResult;
+use chicoryford_entry::router::state::Bounds;
 use chicoryford_types::Class;
 use chicoryford_types::Config;
 use chicoryford_types::Endpoint;
@@ -75,9 +75,9 @@
     Arc::new(config)
 }
 
-/// Drives a book and keeps its own account of what it was told.
+/// Drives a state and keeps its own account of what it was told.
 struct Run {
-    book: Book,
+    state: RouterState,
     now: Millis,
     next: u64,
     waiting: BTreeSet<RequestId>,
@@ -88,14 +88,14 @@
 impl Run {
     fn new(seed: u64) -> Self {
         let bounds = Bounds { running: 16, waiting: 8, subset: 48, ..Bounds::default() };
-        let mut book = Book::new(bounds, seed);
-        book.members(members(0xff, 0), Millis(0));
-        book.configure(config(None), Millis(0));
+        let mut state = RouterState::new(bounds, seed);
+        state.update_members(members(0xff, 0), Millis(0));
+        state.update_config(config(None), Millis(0));
         let (waiting, running) = (BTreeSet::new(), Vec::new());
-        Self { book, now: Millis(1), next: 0, waiting, running, stopped: None }
+        Self { state, now: Millis(1), next: 0, waiting, running, stopped: None }
     }
 
-    fn take(&mut self, request: RequestId, entering: Entering) {
+    fn take(&mut self, request: RequestId, entering: AdmitResult) {
         match entering {
             Ok((place, pick)) => {
                 assert_ne!(Some(&pick.endpoint), self.stopped.as_ref(), "a stopped endpoint");
@@ -108,16 +108,16 @@
     fn enter(&mut self, random: u8) {
         self.next += 1;
         let request = RequestId(0, self.next);
-        let want = Want {
+        let query = EndpointQuery {
             request,
             workspace: Workspace::from("w"),
             model: Model::from("m"),
             class: [Class::Batch, Class::Normal, Class::Urgent][usize::from(random % 3)],
             deadline: self.now + u64::from(random) * 20,
             tokens: u32::from(random),
-            ..Want::default()
+            ..EndpointQuery::default()
         };
-        match self.book.enter(want, self.now) {
+        match self.state.admit(query, self.now) {
             Some(entering) => self.take(request, entering),
             None => assert!(self.waiting.insert(request)),
         }
@@ -130,14 +130,14 @@
         let at = usize::from(random) % self.running.len();
         let (request, place, _) = self.running.swap_remove(at);
         let verdict = match random % 5 {
-            0 => Verdict::Failed,
-            1 => Verdict::Leaving,
-            2 => Verdict::Dropped,
-            _ => Verdict::Ran(None),
+            0 => AttemptEnd::Failed,
+            1 => AttemptEnd::Leaving,
+            2 => AttemptEnd::Dropped,
+            _ => AttemptEnd::Ran(None),
         };
-        let ran = matches!(verdict, Verdict::Ran(_));
-        self.book.ended(place, verdict, u32::from(random % 7), self.now);
-        self.book.leave(request, ran, self.now);
+        let ran = matches!(verdict, AttemptEnd::Ran(_));
+        self.state.attempt_ended(place, verdict, u32::from(random % 7), self.now);
+        self.state.request_ended(request, ran, self.now);
     }
 
     fn step(&mut self, (kind, random): (u8, u8)) {
@@ -145,23 +145,23 @@
         match kind % 10 {
             0..=3 => self.enter(random),
             4..=6 => self.end(random),
-            7 => self.book.members(members(random | 1, random >> 5), self.now),
+            7 => self.state.update_members(members(random | 1, random >> 5), self.now),
             8 => {
                 let stopped = (random % 2 == 0).then_some(random);
-                self.book.configure(config(stopped), self.now);
+                self.state.update_config(config(stopped), self.now);
                 self.stopped = stopped.map(|n| Endpoint(format!("endpoint-{}", n % ENDPOINTS)));
             }
-            _ => self.book.tick(self.now),
+            _ => self.state.tick(self.now),
         }
         self.poll();
-        assert_eq!(self.book.routing.counts().broken, 0);
-        assert_eq!(self.book.admission.counts().broken, 0);
-        assert_eq!(self.book.admission.running(), self.running.len());
-        assert_eq!(self.book.admission.waiting(), self.waiting.len());
+        assert_eq!(self.state.routing.counts().broken, 0);
+        assert_eq!(self.state.admission.counts().broken, 0);
+        assert_eq!(self.state.admission.running(), self.running.len());
+        assert_eq!(self.state.admission.waiting(), self.waiting.len());
     }
 
     fn poll(&mut self) {
-        for (request, entering) in self.book.poll(self.now) {
+        for (request, entering) in self.state.poll(self.now) {
             assert!(self.waiting.remove(&request), "answered once, and only if it waited");
             self.take(request, entering);
         }
@@ -184,9 +184,9 @@
             run.poll();
         }
         let idle = (0..ENDPOINTS).all(|n| {
-            let seat = run.book.routing.find(&Endpoint(format!("endpoint-{n}")));
-            seat.and_then(|seat| run.book.routing.state(seat)).is_none_or(|state| state.own == 0)
+            let seat = run.state.routing.find(&Endpoint(format!("endpoint-{n}")));
+            seat.and_then(|seat| run.state.routing.state(seat)).is_none_or(|state| state.own == 0)
         });
-        idle && run.book.admission.running() == 0
+        idle && run.state.admission.running() == 0
     }
 }
