--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -60,13 +60,13 @@
                 return control::refused(StatusCode::BAD_REQUEST, &error.to_string());
             }
         };
-        self.take(asked).await
+        self.handle(asked).await
     }
 
     /// Answers a call that was read.
-    pub async fn take(&self, asked: Asked) -> Reply {
+    pub async fn handle(&self, asked: Asked) -> Reply {
         match asked {
-            Asked::Announce(said) if self.hears(&said) => {
+            Asked::Announce(said) if self.record_unchanged(&said) => {
                 metrics::ANNOUNCEMENTS.with_label_values(&["here"]).inc();
                 self.heard()
             }
@@ -96,7 +96,7 @@
     /// fallen into this state stays in it (docs/SCALE.md). What is acknowledged so is only that an
     /// endpoint lives; one that leaves or changes anything is the leader's in any case. The next leader
     /// is told who was heard, and when.
-    fn hears(&self, said: &Announcement) -> bool {
+    fn record_unchanged(&self, said: &Announcement) -> bool {
         let known = self.view.endpoint(&said.id);
         let led = self.link.is_connected() || self.link.silent_ms() < UNLED_MS;
         led && self.hearing.borrow_mut().hear(known.as_deref(), said, clock::now())
@@ -108,11 +108,11 @@
 
     /// Tells the leader who was heard, for as long as the process lives. What does not leave for want
     /// of a leader is told the next one, with its age.
-    pub async fn tell_on(self: Rc<Self>) {
+    pub async fn report_periodically(self: Rc<Self>) {
         loop {
             tokio::time::sleep(SIGNS).await;
             let signs = self.hearing.borrow().signs(clock::now());
-            if !signs.is_empty() && self.link.tell_heard(signs) {
+            if !signs.is_empty() && self.link.report_signs(signs) {
                 self.hearing.borrow_mut().clear();
             }
         }
--- a/components/node/src/copies.rs
+++ b/components/node/src/copies.rs
@@ -21,9 +21,9 @@
 
 use crate::clock;
 use crate::followers::Followers;
-use crate::lead::Lead;
-use crate::message::Ask;
-use crate::message::Told;
+use crate::leader::Leader;
+use crate::message::StoreReply;
+use crate::message::StoreRequest;
 use crate::metrics;
 use crate::settings::Settings;
 
@@ -150,9 +150,9 @@
         let missing = self.wanted.saturating_sub(have.len());
         let mut asking = FuturesUnordered::new();
         let ask = |store: StoreId| async move {
-            let ask = Ask::Put(part, bytes.clone());
-            let told = self.followers.ask(&store, ask, PUT).await;
-            (store, matches!(told, Some(Told::Kept)))
+            let ask = StoreRequest::Put(part, bytes.clone());
+            let told = self.followers.request(&store, ask, PUT).await;
+            (store, matches!(told, Some(StoreReply::Kept)))
         };
         for store in left.drain(..missing.min(left.len())).collect::<Vec<_>>() {
             asking.push(ask(store));
@@ -202,8 +202,8 @@
     async fn get(&self, part: PartId, stores: &BTreeSet<StoreId>) -> Option<Bytes> {
         let mut left: VecDeque<StoreId> = self.stores.borrow().holders(stores).into();
         let ask = |store: StoreId| async move {
-            match self.followers.ask(&store, Ask::Get(part), GET).await {
-                Some(Told::Part(bytes)) => bytes,
+            match self.followers.request(&store, StoreRequest::Get(part), GET).await {
+                Some(StoreReply::Part(bytes)) => bytes,
                 _ => None,
             }
         };
@@ -224,8 +224,8 @@
     }
 
     /// Finds parts with too few copies, and those in the log itself, if a store could take one.
-    fn lacking(&self, lead: &Lead) -> Vec<(PartId, Place, BTreeSet<StoreId>)> {
-        let state = lead.parts.core.state();
+    fn lacking(&self, leader: &Leader) -> Vec<(PartId, Place, BTreeSet<StoreId>)> {
+        let state = leader.context.replica.state();
         let stores = self.stores.borrow();
         let now = clock::now();
         let able = stores.count(|node| !state.retired.contains(node));
@@ -240,19 +240,25 @@
         lacks.take(AT_ONCE).collect()
     }
 
-    async fn repair(&self, lead: &Lead, part: PartId, place: Place, counted: BTreeSet<StoreId>) {
+    async fn repair(
+        &self,
+        leader: &Leader,
+        part: PartId,
+        place: Place,
+        counted: BTreeSet<StoreId>,
+    ) {
         let Some(bytes) = self.read(part, &place).await else { return };
-        let avoid = lead.parts.core.state().retired.clone();
+        let avoid = leader.context.replica.state().retired.clone();
         let before = counted.len();
         let stores = self.put(part, &bytes, counted, &avoid).await;
         if stores.len() >= self.wanted || stores.len() > before.max(1) && before > 0 {
-            lead.commit(Command::Move { part, stores }).await;
+            leader.commit(Command::Move { part, stores }).await;
         }
     }
 
     /// Tells each store what it is to keep.
-    fn tell_wanted(&self, lead: &Lead) {
-        let state = lead.parts.core.state();
+    fn tell_wanted(&self, leader: &Leader) {
+        let state = leader.context.replica.state();
         let mut wanted: BTreeMap<StoreId, BTreeSet<PartId>> = BTreeMap::new();
         for (id, part) in &state.parts {
             let Place::Stores(stores) = &part.place else { continue };
@@ -261,27 +267,27 @@
             }
         }
         for (store, parts) in wanted {
-            self.followers.tell_store(&store, Ask::Keep(parts));
+            self.followers.notify_store(&store, StoreRequest::Keep(parts));
         }
     }
 }
 
 /// Makes new copies for as long as this process leads.
-pub async fn keep(lead: Weak<Lead>) {
+pub async fn keep(leader: Weak<Leader>) {
     let mut looks = 0;
     loop {
         tokio::time::sleep(LOOK).await;
-        let Some(lead) = lead.upgrade() else { return };
+        let Some(leader) = leader.upgrade() else { return };
         let mut copied = 0;
         loop {
-            let lacking = lead.copies.lacking(&lead);
-            if lacking.is_empty() || !lead.leads() {
+            let lacking = leader.copies.lacking(&leader);
+            if lacking.is_empty() || !leader.leads() {
                 break;
             }
             copied += lacking.len();
             let all = lacking
                 .into_iter()
-                .map(|(part, place, counted)| lead.copies.repair(&lead, part, place, counted));
+                .map(|(part, place, counted)| leader.copies.repair(&leader, part, place, counted));
             let began = clock::now();
             futures_util::future::join_all(all).await;
             if clock::now().since(began) > LOOK.as_millis() as u64 {
@@ -293,7 +299,7 @@
         }
         looks += 1;
         if looks % FORGET_LOOKS == 0 {
-            lead.copies.tell_wanted(&lead);
+            leader.copies.tell_wanted(&leader);
         }
     }
 }
--- a/components/node/src/crashes.rs
+++ b/components/node/src/crashes.rs
@@ -88,17 +88,17 @@
     }
 
     /// Tells the leader for as long as the process lives.
-    pub async fn tell_on(self: Rc<Self>, link: Rc<Link>) {
+    pub async fn report_periodically(self: Rc<Self>, link: Rc<Link>) {
         loop {
             tokio::time::sleep(TELL).await;
             self.untold.borrow_mut().retain(|crash| {
-                let told = link.tell_crash(crash.clone());
+                let told = link.report_crash(crash.clone());
                 if told {
                     self.told.borrow_mut().insert(crash.content);
                 }
                 !told
             });
-            self.cleared.borrow_mut().retain(|content| !link.tell_cleared(*content));
+            self.cleared.borrow_mut().retain(|content| !link.report_cleared(*content));
             let mut told = self.told.borrow_mut();
             while told.len() > UNTOLD {
                 told.pop_first();
--- a/components/node/src/entry.rs
+++ b/components/node/src/entry.rs
@@ -29,12 +29,12 @@
 use crate::forward::Budget;
 use crate::forward::Forwarder;
 use crate::forward::Outcome;
-use crate::forward::User;
+use crate::forward::Requester;
 use crate::link::CallError;
 use crate::link::Link;
 use crate::message::Answer;
 use crate::message::Call;
-use crate::message::News;
+use crate::message::Update;
 use crate::metrics;
 use crate::parts::Reader;
 use crate::stall::Stall;
@@ -56,7 +56,7 @@
 const ASK: Duration = Duration::from_millis(1_500);
 /// Bytes of results that an entry keeps to give them again. Readers come back to a step within
 /// seconds of its results; with three times as much, no more of them found what they asked for.
-pub const RECENT: usize = 4 << 20;
+pub const RECENT_RESULTS_BYTES: usize = 4 << 20;
 /// How long results that were listed since are waited for by a reader who gets others in any case. The
 /// leader answers within a few milliseconds.
 const MORE: Duration = Duration::from_millis(250);
@@ -195,10 +195,10 @@
         let asked = plain::budget_ms(request);
         let limit_ms = asked.unwrap_or(BUDGET_MS).min(route.timeout_ms.unwrap_or(BUDGET_MS));
         let name = workspace.map(|workspace| workspace.name.as_str());
-        let user = User {
+        let user = Requester {
             workspace: name.unwrap_or_default(),
             rank: workspace.and_then(|one| one.urgency).unwrap_or(route.priority),
-            ticket: self.usage.as_ref().zip(name).map(|(usage, name)| usage.came(name)),
+            usage: self.usage.as_ref().zip(name).map(|(usage, name)| usage.came(name)),
         };
         let budget = Budget::new(began + self.left_ms(route, began, limit_ms));
         let outcome = self.forwarder.forward(route, request, &budget, limit_ms, user).await;
@@ -387,8 +387,8 @@
 }
 
 /// Keeps a server's bounds as the configuration says.
-pub fn follow_limits(server: &Server, news: &News) {
-    let News::Config(config) = news else { return };
+pub fn follow_limits(server: &Server, news: &Update) {
+    let Update::Config(config) = news else { return };
     let Some(limits) = config.limits else { return };
     server.set_bounds(Bounds {
         head: limits.head as usize,
--- a/components/node/src/followers.rs
+++ b/components/node/src/followers.rs
@@ -20,13 +20,13 @@
 
 use crate::clock;
 use crate::frame::encode;
-use crate::message::Ask;
-use crate::message::Down;
-use crate::message::News;
-use crate::message::Told;
+use crate::message::LeaderMessage;
+use crate::message::StoreReply;
+use crate::message::StoreRequest;
+use crate::message::Update;
 use crate::metrics;
+use crate::traffic::Direction;
 use crate::traffic::Traffic;
-use crate::traffic::Way;
 
 /// Milliseconds between two looks at what members' times of day read.
 const WALL_MS: u64 = 500;
@@ -40,7 +40,7 @@
 }
 
 impl Queued {
-    pub(crate) fn word(frame: Bytes) -> Self {
+    pub(crate) fn message(frame: Bytes) -> Self {
         Self { frame, work: false }
     }
 }
@@ -68,7 +68,7 @@
     traffic: Rc<Traffic>,
     next: Cell<u64>,
     all: RefCell<BTreeMap<u64, Follower>>,
-    asked: RefCell<BTreeMap<u64, oneshot::Sender<Told>>>,
+    asked: RefCell<BTreeMap<u64, oneshot::Sender<StoreReply>>>,
     /// How far the fleet's time of day is ahead of this process's clock, and when that was found.
     offset: Cell<(Millis, Option<Offset>)>,
 }
@@ -87,28 +87,28 @@
 
     /// Tells all members something. One whose queue is full would believe what is out of date from
     /// then on, so its connection ends, and it is told all there is when it follows anew.
-    pub fn tell(&self, news: &News) {
-        self.tell_those(news, |_| true);
+    pub fn broadcast(&self, news: &Update) {
+        self.broadcast_where(news, |_| true);
     }
 
     /// Tells the members that may lead next something that only a leader needs.
-    pub fn tell_replicas(&self, news: &News) {
-        self.tell_those(news, |follower| follower.replica);
+    pub fn broadcast_to_replicas(&self, news: &Update) {
+        self.broadcast_where(news, |follower| follower.replica);
     }
 
     /// Tells the members that were not told of all endpoints something.
-    pub fn tell_others(&self, news: &News) {
-        self.tell_those(news, |follower| !follower.replica);
+    pub fn broadcast_to_others(&self, news: &Update) {
+        self.broadcast_where(news, |follower| !follower.replica);
     }
 
-    fn tell_those(&self, news: &News, wanted: impl Fn(&Follower) -> bool) {
-        let frame = encode(&Down::News(news.clone()));
+    fn broadcast_where(&self, news: &Update, wanted: impl Fn(&Follower) -> bool) {
+        let frame = encode(&LeaderMessage::News(news.clone()));
         self.all.borrow_mut().retain(|_, follower| {
             if !wanted(follower) {
                 return true;
             }
             self.count(news.kind(), &follower.data_centre, &frame);
-            let sent = follower.frames.try_send(Queued::word(frame.clone())).is_ok();
+            let sent = follower.frames.try_send(Queued::message(frame.clone())).is_ok();
             if !sent {
                 follower.cut.notify_one();
             }
@@ -117,8 +117,13 @@
     }
 
     /// Asks a store; none if it does not answer in time or is not connected.
-    pub async fn ask(&self, store: &StoreId, ask: Ask, limit: Duration) -> Option<Told> {
-        let number = self.number();
+    pub async fn request(
+        &self,
+        store: &StoreId,
+        ask: StoreRequest,
+        limit: Duration,
+    ) -> Option<StoreReply> {
+        let number = self.next_number();
         let frames = {
             let all = self.all.borrow();
             let found = all.values().find(|follower| follower.store.as_ref() == Some(store));
@@ -129,9 +134,9 @@
         self.asked.borrow_mut().insert(number, answer);
         let asking = async {
             let kind = ask.kind();
-            let frame = encode(&Down::Ask { number, ask });
+            let frame = encode(&LeaderMessage::Ask { number, ask });
             self.count(kind, &data_centre, &frame);
-            frames.send(Queued::word(frame)).await.ok()?;
+            frames.send(Queued::message(frame)).await.ok()?;
             told.await.ok()
         };
         let told = tokio::time::timeout(limit, asking).await.ok().flatten();
@@ -142,12 +147,12 @@
     /// Gives a host work; tells whether it is connected and has room for it. One whose queue is full
     /// would never hear of a run that it is to stop, so its connection ends; it tells of all its runs
     /// when it follows anew, and is told to stop those that nobody wants then.
-    pub fn work(&self, host: &str, work: Work) -> bool {
+    pub fn send_work(&self, host: &str, work: Work) -> bool {
         let mut all = self.all.borrow_mut();
         let hosts = |f: &Follower| f.store.as_ref().is_some_and(|store| store.node == host);
         let found = all.iter().rev().find(|(_, follower)| hosts(follower));
         let Some((number, follower)) = found else { return false };
-        let frame = encode(&Down::Work { heard: follower.clock, work });
+        let frame = encode(&LeaderMessage::Work { heard: follower.clock, work });
         self.count("work", &follower.data_centre, &frame);
         let sent = follower.frames.try_send(Queued { frame, work: true }).is_ok();
         if !sent {
@@ -166,18 +171,18 @@
     }
 
     /// Tells a store something that it does not answer.
-    pub fn tell_store(&self, store: &StoreId, ask: Ask) {
+    pub fn notify_store(&self, store: &StoreId, ask: StoreRequest) {
         let all = self.all.borrow();
         let found = all.values().find(|follower| follower.store.as_ref() == Some(store));
         if let Some(follower) = found {
             // It is told again later.
-            let frame = encode(&Down::Ask { number: 0, ask });
-            let _ = follower.frames.try_send(Queued::word(frame));
+            let frame = encode(&LeaderMessage::Ask { number: 0, ask });
+            let _ = follower.frames.try_send(Queued::message(frame));
         }
     }
 
     /// Takes in what a store answered.
-    pub(crate) fn told(&self, number: u64, told: Told) {
+    pub(crate) fn complete_request(&self, number: u64, told: StoreReply) {
         if let Some(asked) = self.asked.borrow_mut().remove(&number) {
             // Whoever asked may have left.
             let _ = asked.send(told);
@@ -185,14 +190,14 @@
     }
 
     /// Notes a follower's clock.
-    pub(crate) fn heard(&self, number: u64, clock: Millis) {
+    pub(crate) fn record_clock(&self, number: u64, clock: Millis) {
         if let Some(follower) = self.all.borrow_mut().get_mut(&number) {
             follower.clock = clock;
         }
     }
 
     /// Notes what a follower's time of day reads.
-    pub(crate) fn read_wall(&self, number: u64, wall: Unix) {
+    pub(crate) fn record_wall_clock(&self, number: u64, wall: Unix) {
         if let Some(follower) = self.all.borrow_mut().get_mut(&number) {
             follower.wall = Some(Offset::of(wall, clock::now()));
         }
@@ -221,11 +226,11 @@
 
     /// Counts what is sent to a data centre.
     pub(crate) fn count(&self, kind: &'static str, there: &str, frame: &Bytes) {
-        self.traffic.count(kind, Way::Out, there, frame.len());
+        self.traffic.count(kind, Direction::Out, there, frame.len());
     }
 
     /// Draws a number that no other follower or question has.
-    pub(crate) fn number(&self) -> u64 {
+    pub(crate) fn next_number(&self) -> u64 {
         self.next.set(self.next.get() + 1);
         self.next.get()
     }
--- a/components/node/src/forward/attempt.rs
+++ b/components/node/src/forward/attempt.rs
@@ -15,10 +15,10 @@
 use crate::metrics;
 
 /// What became of a request's attempts, for its log line.
-pub(super) type Tries = Rc<RefCell<Vec<Try>>>;
+pub(super) type AttemptLog = Rc<RefCell<Vec<AttemptRecord>>>;
 
 /// One attempt: why it went where it went, and how it ended.
-pub(super) struct Try {
+pub(super) struct AttemptRecord {
     /// Where it went.
     pub(super) target: Target,
     /// Milliseconds after the request came.
@@ -29,7 +29,7 @@
     pub(super) end: Option<(Ending, u64)>,
 }
 
-impl Try {
+impl AttemptRecord {
     /// Gives when the endpoint began to run the request, as far as is known; none if it did not.
     pub(super) fn began(&self) -> Option<Millis> {
         let refused = matches!(self.end, Some((Ending::Refused | Ending::Moved, _)));
@@ -37,7 +37,7 @@
     }
 }
 
-impl std::fmt::Display for Try {
+impl std::fmt::Display for AttemptRecord {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let Target { id, expected_ms, running, penalty_ms, .. } = &self.target;
         write!(f, "{id} at={} expected={expected_ms} beside={running}", self.at_ms)?;
@@ -64,7 +64,7 @@
     /// Whether its end was noted.
     pub(super) ended: bool,
     /// Where it is written down.
-    pub(super) note: (Tries, usize),
+    pub(super) note: (AttemptLog, usize),
 }
 
 impl Attempt<'_> {
--- a/components/node/src/forward/carry.rs
+++ b/components/node/src/forward/dispatch.rs
@@ -15,6 +15,7 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 
+use super::AttemptResult;
 use super::Budget;
 use super::CRASHES;
 use super::FULL_AFTER_MS;
@@ -22,10 +23,9 @@
 use super::NONE_AFTER_MS;
 use super::Outcome;
 use super::REFUSED_AFTER_MS;
-use super::Tried;
-use super::User;
-use super::attempt::Tries;
-use super::attempt::Try;
+use super::Requester;
+use super::attempt::AttemptLog;
+use super::attempt::AttemptRecord;
 use crate::clock;
 use crate::crashes;
 use crate::metrics;
@@ -42,7 +42,7 @@
 const FULL_MS: u64 = 90;
 
 /// One request on its way.
-pub(super) struct Carry<'a> {
+pub(super) struct Dispatch<'a> {
     pub(super) forwarder: &'a Forwarder,
     pub(super) service: &'a str,
     pub(super) route: &'a str,
@@ -64,28 +64,28 @@
     pub(super) runs: u32,
     pub(super) last: Option<Reply>,
     pub(super) began: Millis,
-    pub(super) tries: Tries,
-    pub(super) user: User<'a>,
+    pub(super) tries: AttemptLog,
+    pub(super) user: Requester<'a>,
 }
 
-impl Drop for Carry<'_> {
+impl Drop for Dispatch<'_> {
     /// Notes for its workspace whether the request began to run, and when. It counts once, however
     /// many endpoints ran it.
     fn drop(&mut self) {
-        let Some(ticket) = &mut self.user.ticket else { return };
+        let Some(usage) = &mut self.user.usage else { return };
         let tries = self.tries.borrow();
-        if let Some(began) = tries.iter().filter_map(Try::began).min() {
-            ticket.began(began);
+        if let Some(began) = tries.iter().filter_map(AttemptRecord::began).min() {
+            usage.began(began);
         }
     }
 }
 
-impl<'a> Carry<'a> {
+impl<'a> Dispatch<'a> {
     /// Carries it until that is settled.
     pub(super) async fn run(&mut self) -> Outcome {
         let mut running = FuturesUnordered::new();
         let mut hedged = self.once || !self.forwarder.second;
-        if self.forwarder.lines.is_closed(self.service) && !self.wait().await {
+        if self.forwarder.queues.is_closed(self.service) && !self.wait().await {
             return self.give_up(Nowhere::AllTried);
         }
         loop {
@@ -97,7 +97,7 @@
                     Ok(target) => running.push(self.start(target)),
                     Err(Nowhere::AllTried) if self.left > 0 && !self.is_bound() => {
                         self.tried.clear();
-                        self.forwarder.lines.found_full(self.service);
+                        self.forwarder.queues.found_full(self.service);
                         if !self.wait().await {
                             return self.give_up(Nowhere::AllTried);
                         }
@@ -129,7 +129,7 @@
         let until = began + FULL_MS.saturating_sub(self.waited_ms);
         let user = (self.user.workspace, self.user.rank);
         let place = self.place.take();
-        self.place = self.forwarder.lines.turn(self.service, user, place, until).await;
+        self.place = self.forwarder.queues.turn(self.service, user, place, until).await;
         self.waited_ms += clock::now().since(began);
         self.place.is_some()
     }
@@ -162,7 +162,7 @@
         picker.pick(self.service, self.route, fits, clock::now())
     }
 
-    fn start(&mut self, target: Target) -> impl Future<Output = (String, Tried)> + use<'a> {
+    fn start(&mut self, target: Target) -> impl Future<Output = (String, AttemptResult)> + use<'a> {
         let why = match (self.tries.borrow().is_empty(), self.under_way()) {
             (true, _) => "first",
             (false, true) => "beside",
@@ -178,7 +178,12 @@
             self.budget.grown.notify_one();
         }
         let at_ms = clock::now().since(self.began);
-        self.tries.borrow_mut().push(Try { target: target.clone(), at_ms, sent: None, end: None });
+        self.tries.borrow_mut().push(AttemptRecord {
+            target: target.clone(),
+            at_ms,
+            sent: None,
+            end: None,
+        });
         let note = (self.tries.clone(), self.tries.borrow().len() - 1);
         let (forwarder, route, request) = (self.forwarder, self.route, self.request);
         let (deadline, once) = (self.budget.deadline, self.once);
@@ -191,9 +196,9 @@
     }
 
     /// Takes in how an attempt ended; gives the outcome if that settles the request.
-    fn take(&mut self, (id, tried): (String, Tried)) -> Option<Outcome> {
+    fn take(&mut self, (id, tried): (String, AttemptResult)) -> Option<Outcome> {
         match tried {
-            Tried::Answered(reply) => {
+            AttemptResult::Answered(reply) => {
                 // Only this status says that the endpoint failed at it; samples are given up for it.
                 let failed = reply.status == StatusCode::INTERNAL_SERVER_ERROR;
                 self.forwarder.crashes.ran(self.request, self.user.workspace);
@@ -204,7 +209,7 @@
                 self.last = Some(reply);
                 None
             }
-            Tried::NotRun | Tried::Unsent => {
+            AttemptResult::NotRun | AttemptResult::Unsent => {
                 self.left += 1;
                 self.runs -= 1;
                 if self.added.remove(&id) {
@@ -212,8 +217,8 @@
                 }
                 None
             }
-            Tried::Lost => self.once.then_some(Outcome::Lost),
-            Tried::Broken(address) => {
+            AttemptResult::Lost => self.once.then_some(Outcome::Lost),
+            AttemptResult::Broken(address) => {
                 let content = crashes::content(self.request, self.user.workspace);
                 self.forwarder.crashes.look(Crash { content, endpoint: id }, address);
                 self.once.then_some(Outcome::Lost)
@@ -248,7 +253,7 @@
             return;
         }
         let request = plain::attempt(self.request).unwrap_or_default();
-        let tries: Vec<String> = self.tries.borrow().iter().map(Try::to_string).collect();
+        let tries: Vec<String> = self.tries.borrow().iter().map(AttemptRecord::to_string).collect();
         let tries = tries.join("; ");
         let (service, waited_ms) = (self.service, self.waited_ms);
         tracing::info!(event = "request_tried", request, service, tries, waited_ms, ms, target_ms);
--- a/components/node/src/forward/mod.rs
+++ b/components/node/src/forward/mod.rs
@@ -2,7 +2,7 @@
 
 mod attempt;
 mod budget;
-mod carry;
+mod dispatch;
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -28,12 +28,12 @@
 use crate::clock;
 use crate::crashes::Crashes;
 use crate::link::Link;
-use crate::message::News;
-use crate::usage::Ticket;
-use crate::waiting::Lines;
+use crate::message::Update;
+use crate::usage::RequestUsage;
+use crate::wait_queues::WaitQueues;
 use attempt::Attempt;
-use attempt::Tries;
-use carry::Carry;
+use attempt::AttemptLog;
+use dispatch::Dispatch;
 
 pub use budget::Budget;
 
@@ -66,7 +66,7 @@
 }
 
 /// How one attempt ended.
-enum Tried {
+enum AttemptResult {
     Answered(Reply),
     NotRun,
     Unsent,
@@ -81,19 +81,19 @@
     pool: RefCell<Pool>,
     /// Whether second attempts are made.
     second: bool,
-    lines: Lines,
+    queues: WaitQueues,
     crashes: Rc<Crashes>,
 }
 
 /// For whom a request is carried.
 #[derive(Default)]
-pub struct User<'a> {
+pub struct Requester<'a> {
     /// The workspace, empty where there are none.
     pub workspace: &'a str,
     /// The rank of the request, zero first.
     pub rank: u32,
     /// Notes what the workspace uses.
-    pub ticket: Option<Ticket>,
+    pub usage: Option<RequestUsage>,
 }
 
 impl Forwarder {
@@ -101,30 +101,30 @@
     pub fn new(policy: Policy) -> Rc<Self> {
         let picker = RefCell::new(Picker::new(rand::random()).under(policy));
         let second = policy.second_attempts;
-        let (pool, lines, crashes) = (RefCell::default(), Lines::default(), Rc::default());
-        Rc::new(Self { picker, pool, second, lines, crashes })
+        let (pool, queues, crashes) = (RefCell::default(), WaitQueues::default(), Rc::default());
+        Rc::new(Self { picker, pool, second, queues, crashes })
     }
 
     /// Takes in news of endpoints.
-    pub fn learn(&self, news: &News) {
+    pub fn apply(&self, news: &Update) {
         let mut picker = self.picker.borrow_mut();
         match news {
-            News::Endpoint(endpoint) => picker.observe(endpoint),
-            News::Forgotten(id) => picker.forget(id),
-            News::Whole(known) => picker.retain(|id| known.contains(id)),
-            News::Config(config) => {
+            Update::Endpoint(endpoint) => picker.observe(endpoint),
+            Update::Forgotten(id) => picker.forget(id),
+            Update::Whole(known) => picker.retain(|id| known.contains(id)),
+            Update::Config(config) => {
                 let routes: BTreeSet<&str> =
                     config.routes.iter().map(|route| route.name.as_str()).collect();
                 picker.retain_routes(|route| routes.contains(route));
             }
-            News::Refused(refused) => self.crashes.refuse(refused),
-            News::Controls(_) | News::Ordered(_) => {}
+            Update::Refused(refused) => self.crashes.refuse(refused),
+            Update::Controls(_) | Update::Ordered(_) => {}
         }
     }
 
     /// Tells the leader of requests that crash endpoints, for as long as the process lives.
-    pub async fn tell_crashes(&self, link: Rc<Link>) {
-        self.crashes.clone().tell_on(link).await;
+    pub async fn report_crashes(&self, link: Rc<Link>) {
+        self.crashes.clone().report_periodically(link).await;
     }
 
     /// Closes connections that were kept too long.
@@ -141,7 +141,7 @@
         request: &Request,
         budget: &Budget,
         limit_ms: u64,
-        user: User<'_>,
+        user: Requester<'_>,
     ) -> Outcome {
         let left_ms = budget.left_ms().min(limit_ms);
         if left_ms == 0 {
@@ -153,7 +153,7 @@
         let Some(service) = route.service(rand::random()) else {
             return Outcome::NotRun("the route leads nowhere", NONE_AFTER_MS);
         };
-        let mut carry = Carry {
+        let mut dispatch = Dispatch {
             forwarder: self,
             service,
             route: &route.name,
@@ -174,17 +174,17 @@
         };
         let timer = tokio::time::sleep(Duration::from_millis(left_ms));
         let outcome = tokio::select! {
-            outcome = carry.run() => Some(outcome),
+            outcome = dispatch.run() => Some(outcome),
             () = timer => None,
         };
         let outcome = outcome.unwrap_or_else(|| {
-            if carry.runs > 0 {
+            if dispatch.runs > 0 {
                 Outcome::Late
             } else {
                 Outcome::NotRun("no endpoint took it in time", FULL_AFTER_MS)
             }
         });
-        carry.explain(&outcome, route.target_ms);
+        dispatch.explain(&outcome, route.target_ms);
         outcome
     }
 
@@ -197,8 +197,8 @@
         request: &Request,
         deadline: Millis,
         once: bool,
-        note: (Tries, usize),
-    ) -> Tried {
+        note: (AttemptLog, usize),
+    ) -> AttemptResult {
         let began = clock::now();
         let mut attempt =
             Attempt { forwarder: self, id: &target.id, route, began, ended: false, note };
@@ -210,7 +210,7 @@
                 Err(error) => {
                     attempt.log(request, "unsent", &error);
                     attempt.end(Ending::Failed);
-                    return Tried::Unsent;
+                    return AttemptResult::Unsent;
                 }
             },
         };
@@ -223,28 +223,28 @@
                 let ms = clock::now().since(began);
                 let failed = reply.status.is_server_error();
                 attempt.end(if failed { Ending::Failed } else { Ending::Answered(ms) });
-                Tried::Answered(reply)
+                AttemptResult::Answered(reply)
             }
             Ok((Meaning::NotRun, _)) => {
                 attempt.end(Ending::Refused);
-                Tried::NotRun
+                AttemptResult::NotRun
             }
             Ok((Meaning::Moved, _)) => {
                 attempt.end(Ending::Moved);
-                Tried::NotRun
+                AttemptResult::NotRun
             }
             Ok((Meaning::Foreign, _)) => {
                 attempt.log(request, "foreign", &Broken::Unfit("another request's reply"));
                 attempt.end(Ending::Failed);
-                Tried::Lost
+                AttemptResult::Lost
             }
             Err(error) => {
                 attempt.log(request, "lost", &error);
                 attempt.end(Ending::Failed);
                 match error {
-                    error if error.is_unsent() => Tried::Unsent,
-                    Broken::Unfit(_) => Tried::Lost,
-                    _ => Tried::Broken(target.address),
+                    error if error.is_unsent() => AttemptResult::Unsent,
+                    Broken::Unfit(_) => AttemptResult::Lost,
+                    _ => AttemptResult::Broken(target.address),
                 }
             }
         }
--- a/components/node/src/hosts.rs
+++ b/components/node/src/hosts.rs
@@ -26,7 +26,7 @@
 const BEHIND_MS: u64 = 1_000;
 
 /// The name of the leader's own process as a host.
-pub const OWN: &str = "";
+pub const LOCAL: &str = "";
 
 #[derive(Debug)]
 struct Host {
@@ -58,7 +58,7 @@
 
     /// Notes that a host has connected and told of its runs; tells whether that counts. A word that came
     /// late on a connection before its newest one says nothing of what it tells on that.
-    pub fn found(&self, node: &str, data_centre: &str, link: u64) -> bool {
+    pub fn reported(&self, node: &str, data_centre: &str, link: u64) -> bool {
         let mut known = self.known.borrow_mut();
         let host = known.entry(node.to_owned()).or_insert(Host {
             link: None,
@@ -85,7 +85,7 @@
     }
 
     /// Notes that a host's connection has ended. One that was silent before has had its time.
-    pub fn lost(&self, node: &str, link: u64, silent: bool) {
+    pub fn disconnected(&self, node: &str, link: u64, silent: bool) {
         let mut known = self.known.borrow_mut();
         let this = |host: &&mut Host| host.link == Some(link) || host.telling == Some(link);
         if let Some(host) = known.get_mut(node).filter(this) {
@@ -97,7 +97,7 @@
     }
 
     /// Gives the hosts that have been lost for too long, and forgets them.
-    pub fn gone(&self) -> Vec<String> {
+    pub fn take_expired(&self) -> Vec<String> {
         let mut known = self.known.borrow_mut();
         let now = clock::now();
         let gone = |host: &Host| {
@@ -123,7 +123,7 @@
         let near = live().filter(|(_, host)| host.data_centre == data_centre);
         let near = near.min_by_key(|(_, host)| host.runs);
         let Some((other, least)) = fewest.map(|(name, host)| (name.clone(), host.runs)) else {
-            return OWN.to_owned();
+            return LOCAL.to_owned();
         };
         let near = near.filter(|(_, host)| self.near && host.runs <= UNEVEN * least + MORE);
         let chosen = near.map_or(other, |(name, _)| name.clone());
@@ -134,36 +134,36 @@
     }
 
     /// Notes that a host carries orders out too late, or has no room for them.
-    pub fn behind(&self, node: &str) {
+    pub fn mark_overloaded(&self, node: &str) {
         if let Some(host) = self.known.borrow_mut().get_mut(node) {
             host.behind = clock::now() + BEHIND_MS;
         }
     }
 
     /// Notes that a host has one run less.
-    pub fn done(&self, node: &str) {
+    pub fn release_run(&self, node: &str) {
         if let Some(host) = self.known.borrow_mut().get_mut(node) {
             host.runs = host.runs.saturating_sub(1);
         }
     }
 
     /// Gives a host work; tells whether it was sent.
-    pub fn work(&self, node: &str, work: Work) -> bool {
-        if node == OWN {
-            self.own.take(work);
+    pub fn send(&self, node: &str, work: Work) -> bool {
+        if node == LOCAL {
+            self.own.handle_local(work);
             return true;
         }
-        self.followers.work(node, work)
+        self.followers.send_work(node, work)
     }
 
     /// Has all hosts tell of their runs again; gives which those are. One that is telling at this moment
     /// is asked as well: what it told before may have been passed over.
-    pub fn ask_all(&self) -> BTreeSet<String> {
+    pub fn request_reports(&self) -> BTreeSet<String> {
         let mut hosts = self.followers.hosts();
         hosts.extend(self.known.borrow().keys().cloned());
         for name in &hosts {
             // One that is not connected tells when it is.
-            self.work(name, Work::Tell);
+            self.send(name, Work::Tell);
         }
         hosts
     }
@@ -171,6 +171,6 @@
     /// Stops a run, or forgets one that has ended; tells whether its host was told. One that is not
     /// connected tells of the run when it is, and is told to stop it then.
     pub fn stop(&self, node: &str, step: &str, index: u32, run: u64) -> bool {
-        self.work(node, Work::Stop { step: step.to_owned(), index, run })
+        self.send(node, Work::Stop { step: step.to_owned(), index, run })
     }
 }
--- a/components/node/src/lead/endpoints.rs
+++ b/components/node/src/leader/endpoints.rs
@@ -11,11 +11,11 @@
 use chicoryford_fleet::hearing::Sign;
 
 use crate::clock;
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::message::Answer;
-use crate::message::News;
+use crate::message::Update;
 
-impl Lead {
+impl Leader {
     pub(super) async fn announce(&self, said: Announcement) -> Answer {
         if self.registry.borrow().is_foreign(&said, self.config().as_deref()) {
             tracing::warn!(
@@ -35,7 +35,7 @@
     }
 
     /// Takes in whom a control process has heard.
-    pub fn take_signs(&self, signs: &[Sign]) {
+    pub fn record_signs(&self, signs: &[Sign]) {
         let now = clock::now();
         let mut registry = self.registry.borrow_mut();
         let mut plan = self.plan.borrow_mut();
@@ -65,19 +65,19 @@
         let Some(endpoint) = self.registry.borrow().get(id).cloned() else { return };
         self.plan.borrow_mut().observe(&endpoint);
         let service = endpoint.said.service.clone();
-        let news = News::Endpoint(endpoint);
-        self.parts.forwarder.learn(&news);
+        let news = Update::Endpoint(endpoint);
+        self.context.forwarder.apply(&news);
         if effect == Effect::Changed {
-            if let News::Endpoint(endpoint) = &news {
+            if let Update::Endpoint(endpoint) = &news {
                 let said = &endpoint.said;
                 tracing::info!(event = "endpoint_changed", endpoint = id, service = said.service,
                     standing = ?endpoint.standing, address = %said.address, born = said.born,
                     sequence = said.sequence,
                     models = ?said.models);
             }
-            self.parts.followers.tell_replicas(&news);
+            self.context.followers.broadcast_to_replicas(&news);
             if self.called.borrow().contains(&service) {
-                self.parts.followers.tell_others(&news);
+                self.context.followers.broadcast_to_others(&news);
             }
             self.kick.notify_one();
         }
@@ -96,16 +96,17 @@
         for endpoint in self.registry.borrow().all() {
             let service = &endpoint.said.service;
             if called.contains(service) && !before.contains(service) {
-                self.parts.followers.tell_others(&News::Endpoint(endpoint.clone()));
+                self.context.followers.broadcast_to_others(&Update::Endpoint(endpoint.clone()));
             }
         }
     }
 
     /// Notes in the log which endpoints are known, if others are than are noted.
     pub(super) async fn know(&self) {
-        let (live, gone) = self.registry.borrow().unlike(&self.parts.core.state().endpoints);
-        let known =
-            |endpoint: &Endpoint| self.parts.core.state().endpoints.contains_key(&endpoint.said.id);
+        let (live, gone) = self.registry.borrow().unlike(&self.context.replica.state().endpoints);
+        let known = |endpoint: &Endpoint| {
+            self.context.replica.state().endpoints.contains_key(&endpoint.said.id)
+        };
         if gone.is_empty() && live.iter().all(known) {
             return;
         }
@@ -115,7 +116,7 @@
     /// Has the log forget an endpoint that leaves. A leader that is elected later and knows nobody
     /// who heard of it would otherwise send it work again.
     pub(super) async fn forget_leaving(&self, id: &str) -> Answer {
-        if !self.parts.core.state().endpoints.contains_key(id) {
+        if !self.context.replica.state().endpoints.contains_key(id) {
             return Answer::Done;
         }
         self.commit(Command::Know { live: Vec::new(), gone: vec![id.to_owned()] }).await
@@ -128,9 +129,9 @@
         }
         for id in forgotten {
             self.plan.borrow_mut().forget(&id);
-            let news = News::Forgotten(id);
-            self.parts.forwarder.learn(&news);
-            self.parts.followers.tell(&news);
+            let news = Update::Forgotten(id);
+            self.context.forwarder.apply(&news);
+            self.context.followers.broadcast(&news);
         }
     }
 
--- a/components/node/src/lead/mod.rs
+++ b/components/node/src/leader/mod.rs
@@ -43,7 +43,6 @@
 use crate::clock;
 use crate::copies;
 use crate::copies::Copies;
-use crate::core::Core;
 use crate::followers::Followers;
 use crate::forward::Forwarder;
 use crate::hosts;
@@ -52,9 +51,10 @@
 use crate::members;
 use crate::message::Answer;
 use crate::message::Call;
-use crate::message::News;
+use crate::message::Update;
 use crate::metrics;
 use crate::orders::Orders;
+use crate::replica::LocalReplica;
 use crate::runner::Runner;
 use crate::settings::Settings;
 use crate::view::View;
@@ -72,9 +72,9 @@
 const MEMBERS_MS: u64 = 300;
 
 /// What the leader's parts share from the start.
-pub struct Parts {
+pub struct Context {
     /// The replica.
-    pub core: Rc<Core>,
+    pub replica: Rc<LocalReplica>,
     /// The members that follow.
     pub followers: Rc<Followers>,
     /// The settings.
@@ -86,9 +86,9 @@
 }
 
 /// The leader's state. It is gone with the leadership; what must survive is in the log.
-pub struct Lead {
+pub struct Leader {
     /// What the parts share.
-    pub parts: Parts,
+    pub context: Context,
     /// The epoch, which fences orders.
     pub epoch: Epoch,
     /// Parts of steps on the stores.
@@ -123,30 +123,30 @@
     ended: Cell<bool>,
 }
 
-impl Lead {
+impl Leader {
     /// Begins to lead, from what the log holds and what the leader before told this process.
-    pub fn start(parts: Parts, epoch: Epoch, view: &View) -> Rc<Self> {
+    pub fn start(context: Context, epoch: Epoch, view: &View) -> Rc<Self> {
         let now = clock::now();
         let known = view.endpoints();
         let turn = Turn {
             began: now,
-            lease_ms: parts.settings.lease_ms,
-            fenced: parts.settings.fenced,
+            lease_ms: context.settings.lease_ms,
+            fenced: context.settings.fenced,
             ordered: view.ordered(),
         };
-        let fleet_clock = parts.core.fleet_clock();
+        let fleet_clock = context.replica.fleet_clock();
         // What this process was told last is newer than what the log holds.
-        let mut endpoints = parts.core.state().endpoints.clone();
+        let mut endpoints = context.replica.state().endpoints.clone();
         endpoints.extend(known.into_iter().map(|endpoint| (endpoint.said.id.clone(), endpoint)));
-        let near = parts.settings.policy.near_hosts;
-        let hosts = Hosts::new(parts.followers.clone(), parts.runner.clone(), near);
-        let copies = Copies::new(parts.followers.clone(), &parts.settings, now);
-        let lives = Lives::new(now, parts.core.state().usage.lives().cloned());
-        let usage = usage::Usage::new(parts.settings.windows(), lives);
-        let lead = Rc::new(Self {
+        let near = context.settings.policy.near_hosts;
+        let hosts = Hosts::new(context.followers.clone(), context.runner.clone(), near);
+        let copies = Copies::new(context.followers.clone(), &context.settings, now);
+        let lives = Lives::new(now, context.replica.state().usage.lives().cloned());
+        let usage = usage::Usage::new(context.settings.windows(), lives);
+        let leader = Rc::new(Self {
             epoch,
             copies,
-            plan: RefCell::new(Plan::new(epoch).under(parts.settings.policy)),
+            plan: RefCell::new(Plan::new(epoch).under(context.settings.policy)),
             pool: RefCell::default(),
             orders: RefCell::new(Orders::new(turn)),
             began: now,
@@ -168,32 +168,35 @@
             duties: RefCell::default(),
             usage,
             ended: Cell::default(),
-            parts,
+            context,
         });
-        lead.adopt();
-        let weak = Rc::downgrade(&lead);
-        lead.parts.core.observe(Some(Box::new(move |command, done| {
-            if let Some(lead) = weak.upgrade() {
-                lead.applied(command, done);
+        leader.adopt();
+        let weak = Rc::downgrade(&leader);
+        leader.context.replica.observe(Some(Box::new(move |command, done| {
+            if let Some(leader) = weak.upgrade() {
+                leader.applied(command, done);
             }
         })));
-        let weak = Rc::downgrade(&lead);
-        lead.parts.runner.attach_own(move |report| {
-            if let Some(lead) = weak.upgrade() {
-                lead.take_report(hosts::OWN, report);
+        let weak = Rc::downgrade(&leader);
+        leader.context.runner.attach_local(move |report| {
+            if let Some(leader) = weak.upgrade() {
+                leader.handle_report(hosts::LOCAL, report);
             }
         });
         let duties = [
-            actix_rt::spawn(plan_on(Rc::downgrade(&lead))),
-            actix_rt::spawn(steps::adopt_steps(Rc::downgrade(&lead))),
-            actix_rt::spawn(copies::keep(Rc::downgrade(&lead))),
-            actix_rt::spawn(note_on(Rc::downgrade(&lead))),
-            actix_rt::spawn(crate::listing::run(Rc::downgrade(&lead))),
-            actix_rt::spawn(members::keep(Rc::downgrade(&lead), Duration::from_millis(MEMBERS_MS))),
+            actix_rt::spawn(plan_on(Rc::downgrade(&leader))),
+            actix_rt::spawn(steps::adopt_steps(Rc::downgrade(&leader))),
+            actix_rt::spawn(copies::keep(Rc::downgrade(&leader))),
+            actix_rt::spawn(note_on(Rc::downgrade(&leader))),
+            actix_rt::spawn(crate::listing::run(Rc::downgrade(&leader))),
+            actix_rt::spawn(members::keep(
+                Rc::downgrade(&leader),
+                Duration::from_millis(MEMBERS_MS),
+            )),
         ];
-        lead.duties.borrow_mut().extend(duties);
-        lead.duties.borrow_mut().extend(usage::start(&lead));
-        lead
+        leader.duties.borrow_mut().extend(duties);
+        leader.duties.borrow_mut().extend(usage::start(&leader));
+        leader
     }
 
     /// Takes over the endpoints.
@@ -205,9 +208,9 @@
         let registry = self.registry.borrow();
         for endpoint in registry.all() {
             plan.observe(endpoint);
-            self.parts.forwarder.learn(&News::Endpoint(endpoint.clone()));
+            self.context.forwarder.apply(&Update::Endpoint(endpoint.clone()));
         }
-        let steps = self.parts.core.state().steps.len();
+        let steps = self.context.replica.state().steps.len();
         let endpoints = registry.all().count();
         tracing::info!(event = "lead_begun", epoch = self.epoch.0, steps, endpoints);
     }
@@ -215,20 +218,20 @@
     /// Ends all that the leader does.
     pub fn stop(&self) {
         self.ended.set(true);
-        self.parts.core.observe(None);
+        self.context.replica.observe(None);
         for duty in self.duties.borrow_mut().drain(..) {
             duty.abort();
         }
-        self.parts.runner.detach();
-        self.parts.runner.clear();
+        self.context.runner.detach();
+        self.context.runner.clear();
         self.orders.borrow_mut().stop();
-        self.parts.followers.clear();
+        self.context.followers.clear();
         tracing::info!(event = "lead_ended", epoch = self.epoch.0);
     }
 
     /// Tells whether this leadership surely lasts.
     pub fn leads(&self) -> bool {
-        !self.ended.get() && self.parts.core.leads()
+        !self.ended.get() && self.context.replica.leads()
     }
 
     /// Tells whether this leadership is over.
@@ -238,29 +241,29 @@
 
     /// Gives all that a new follower is told: of endpoints only those that it may call, unless it may
     /// lead next.
-    pub fn all_news(&self, replica: bool) -> Vec<News> {
-        let mut news = vec![News::Controls(self.controls())];
+    pub fn all_news(&self, replica: bool) -> Vec<Update> {
+        let mut news = vec![Update::Controls(self.controls())];
         let config = self.config();
         let called = config.as_ref().map(|config| config.called_services()).unwrap_or_default();
         let told = |endpoint: &&Endpoint| replica || called.contains(&*endpoint.said.service);
         let registry = self.registry.borrow();
         let endpoints: Vec<&Endpoint> = registry.all().filter(told).collect();
         let ids = endpoints.iter().map(|endpoint| endpoint.said.id.clone()).collect();
-        news.extend(config.as_ref().map(|config| News::Config(Arc::new(config.told()))));
-        news.extend(endpoints.into_iter().cloned().map(News::Endpoint));
-        news.push(News::Whole(ids));
-        news.push(News::Refused(self.parts.core.state().crashes.refused()));
+        news.extend(config.as_ref().map(|config| Update::Config(Arc::new(config.told()))));
+        news.extend(endpoints.into_iter().cloned().map(Update::Endpoint));
+        news.push(Update::Whole(ids));
+        news.push(Update::Refused(self.context.replica.state().crashes.refused()));
         news
     }
 
     fn controls(&self) -> BTreeSet<SocketAddr> {
-        let members = self.parts.core.status().members;
+        let members = self.context.replica.status().members;
         members.seats.values().filter_map(|seat| seat.address.parse().ok()).collect()
     }
 
     /// Tells all followers where control processes are.
-    pub fn tell_controls(&self) {
-        self.parts.followers.tell(&News::Controls(self.controls()));
+    pub fn broadcast_controls(&self) {
+        self.context.followers.broadcast(&Update::Controls(self.controls()));
     }
 
     /// Answers a call of a member.
@@ -300,7 +303,7 @@
     async fn propose(&self, command: Command) -> std::result::Result<Done, Answer> {
         let stamped = Stamped { at: self.fleet_now(), command };
         let began = clock::now();
-        let done = self.parts.core.propose(&stamped).await;
+        let done = self.context.replica.propose(&stamped).await;
         let outcome = if done.is_ok() { "committed" } else { "refused" };
         let seconds = clock::now().since(began) as f64 / 1_000.0;
         metrics::COMMITS.with_label_values(&[outcome]).inc();
@@ -317,8 +320,8 @@
     }
 
     async fn read_config(&self) -> Answer {
-        match self.parts.core.read().await {
-            Ok(()) => Answer::Config(self.parts.core.state().config.clone()),
+        match self.context.replica.read().await {
+            Ok(()) => Answer::Config(self.context.replica.state().config.clone()),
             Err(_) => Answer::NotNow,
         }
     }
@@ -330,7 +333,7 @@
         }
         match command {
             Command::Configure(config) => {
-                self.parts.followers.tell(&News::Config(Arc::new(config.told())));
+                self.context.followers.broadcast(&Update::Config(Arc::new(config.told())));
                 self.spread_called(config);
             }
             Command::Submit { step, place } => self.accepted(step, place),
@@ -342,7 +345,8 @@
                     self.release(step, listed.index);
                 }
                 let given_up = results.iter().filter(|r| r.result == Result::GivenUp).count();
-                let listed = self.parts.core.state().steps.get(step).map_or(0, |s| s.results.len());
+                let listed =
+                    self.context.replica.state().steps.get(step).map_or(0, |s| s.results.len());
                 tracing::info!(
                     event = "results_listed",
                     step,
@@ -351,7 +355,8 @@
                     listed
                 );
                 self.listed.send_modify(|count| *count += 1);
-                let over = self.parts.core.state().steps.get(step).is_none_or(|s| !s.is_open());
+                let over =
+                    self.context.replica.state().steps.get(step).is_none_or(|s| !s.is_open());
                 if over {
                     self.close(step);
                 }
@@ -376,7 +381,7 @@
 
     /// Gives the configuration in force.
     pub fn config(&self) -> Option<Arc<Config>> {
-        self.parts.core.state().config.clone()
+        self.context.replica.state().config.clone()
     }
 
     /// Starts what can start now.
@@ -387,7 +392,7 @@
         let Some(config) = self.config() else { return };
         let now = clock::now();
         crate::orders::round(self, &config, now);
-        for host in self.hosts.gone() {
+        for host in self.hosts.take_expired() {
             let orphaned = self.plan.borrow_mut().orphan(&host);
             tracing::warn!(event = "host_lost", host, orphaned);
         }
@@ -421,17 +426,17 @@
     }
 }
 
-async fn plan_on(lead: Weak<Lead>) {
+async fn plan_on(leader: Weak<Leader>) {
     let mut forgotten = clock::now();
     loop {
-        let Some(strong) = lead.upgrade() else { return };
+        let Some(strong) = leader.upgrade() else { return };
         strong.round();
         strong.tick_registry();
         if clock::now().since(forgotten) >= FORGET_MS {
             forgotten = clock::now();
             strong.forget_old().await;
             strong.pool.borrow_mut().sweep(|_| true);
-            strong.parts.forwarder.sweep();
+            strong.context.forwarder.sweep();
         }
         tokio::select! {
             () = strong.kick.notified() => {}
@@ -441,15 +446,15 @@
 }
 
 /// Notes what would be lost with all processes at once.
-async fn note_on(lead: Weak<Lead>) {
+async fn note_on(leader: Weak<Leader>) {
     let mut knows = clock::now();
     loop {
         tokio::time::sleep(NOTE).await;
-        let Some(lead) = lead.upgrade() else { return };
-        lead.note().await;
+        let Some(leader) = leader.upgrade() else { return };
+        leader.note().await;
         if clock::now().since(knows) >= KNOW_MS {
             knows = clock::now();
-            lead.know().await;
+            leader.know().await;
         }
     }
 }
--- a/components/node/src/lead/runs.rs
+++ b/components/node/src/leader/runs.rs
@@ -11,11 +11,11 @@
 use chicoryford_fleet::run::Work;
 
 use crate::clock;
-use crate::lead::Lead;
-use crate::listing::Settled;
+use crate::leader::Leader;
+use crate::listing::SampleVerdict;
 use crate::metrics;
 
-impl Lead {
+impl Leader {
     pub(super) fn start_run(&self, assignment: Assignment) {
         let Assignment { run, step, index, endpoint, address, version, made, beside, .. } =
             assignment;
@@ -55,10 +55,10 @@
             cost,
         };
         self.plan.borrow_mut().hosted(&step.id, index, &host);
-        if !self.hosts.work(&host, Work::Run(Box::new(job))) {
+        if !self.hosts.send(&host, Work::Run(Box::new(job))) {
             // The next look gives it to another host. To look at once would choose this one again,
             // and again, until its connection has ended.
-            self.hosts.behind(&host);
+            self.hosts.mark_overloaded(&host);
             self.finish_run(&step.id, index, RunEnd::Late);
         }
     }
@@ -88,7 +88,7 @@
         let host = self.plan.borrow().host(step, index);
         if let Some((host, run)) = host {
             self.hosts.stop(&host, step, index, run);
-            self.hosts.done(&host);
+            self.hosts.release_run(&host);
         }
     }
 
@@ -99,8 +99,8 @@
     }
 
     /// Notes that a host is connected and has told of its runs.
-    pub fn host_found(&self, host: &str, data_centre: &str, link: u64) {
-        if !self.hosts.found(host, data_centre, link) {
+    pub fn host_ready(&self, host: &str, data_centre: &str, link: u64) {
+        if !self.hosts.reported(host, data_centre, link) {
             return;
         }
         let orphaned = self.plan.borrow_mut().orphan_untold(host);
@@ -111,12 +111,12 @@
 
     /// Notes that the connection to a host has ended; `silent` if nothing was heard for too long.
     pub fn host_lost(&self, host: &str, link: u64, silent: bool) {
-        self.hosts.lost(host, link, silent);
+        self.hosts.disconnected(host, link, silent);
         self.kick.notify_one();
     }
 
     /// Takes in what a host tells of a run.
-    pub fn take_report(&self, host: &str, report: &Report) {
+    pub fn handle_report(&self, host: &str, report: &Report) {
         let (step, index) = (&report.step, report.index);
         let told = self.plan.borrow_mut().told(host, report, clock::now());
         match told {
@@ -125,7 +125,8 @@
                 // The step may still be on its way from the stores; the host is asked again then.
                 // One that has ended never comes: nobody would stop its run, and its scorer would
                 // be called for as long as it does not answer.
-                let open = self.parts.core.state().steps.get(step).is_some_and(|s| s.is_open());
+                let open =
+                    self.context.replica.state().steps.get(step).is_some_and(|s| s.is_open());
                 let unread = open && self.unread.borrow().contains(step);
                 let (run, standing) = (report.run, &report.standing);
                 tracing::info!(event = "report_refused", step, index, run, host, ?standing, unread);
@@ -147,7 +148,7 @@
             }
             Standing::Ended(end) => {
                 if *end == RunEnd::Late {
-                    self.hosts.behind(host);
+                    self.hosts.mark_overloaded(host);
                 }
                 self.end_run(step, index, *end);
             }
@@ -172,7 +173,7 @@
     pub(super) fn settle(&self, step: &str, index: u32, verdict: Verdict) {
         let sample = self.plan.borrow_mut().settled(step, index);
         if let Some(sample) = sample {
-            self.outbox.put(step, Settled { index, sample, verdict });
+            self.outbox.put(step, SampleVerdict { index, sample, verdict });
         }
     }
 }
--- a/components/node/src/lead/steps.rs
+++ b/components/node/src/leader/steps.rs
@@ -24,8 +24,8 @@
 
 use crate::clock;
 use crate::copies;
-use crate::lead::LOOK;
-use crate::lead::Lead;
+use crate::leader::LOOK;
+use crate::leader::Leader;
 use crate::message::Answer;
 
 /// Milliseconds for which hosts may tell that they run samples of a step that was taken over from
@@ -33,10 +33,10 @@
 /// the next one is elected.
 const HELD_MS: u64 = 500;
 
-impl Lead {
+impl Leader {
     /// Accepts a step: its samples are on enough stores, and the log says where.
     pub(super) async fn submit(&self, step: Arc<Step>) -> Answer {
-        if self.parts.core.state().steps.contains_key(&step.id) {
+        if self.context.replica.state().steps.contains_key(&step.id) {
             return Answer::Done;
         }
         // It may be submitted twice at once, so each submission has its own mark.
@@ -52,7 +52,7 @@
     async fn write_step(&self, step: &Arc<Step>) -> Answer {
         let part = PartId(rand::random());
         let bytes = Bytes::from(rmp_serde::to_vec(&**step).expect("steps are plain data"));
-        let retired = self.parts.core.state().retired.clone();
+        let retired = self.context.replica.state().retired.clone();
         let place = self.copies.write(part, &bytes, &retired).await;
         let outline = Outline {
             id: step.id.clone(),
@@ -100,7 +100,7 @@
             }
             let left = until.since(clock::now());
             let ready = {
-                let state = self.parts.core.state();
+                let state = self.context.replica.state();
                 let Some(found) = state.steps.get(step) else { return Answer::Unknown };
                 found.results.len() as u64 > after || !found.is_open() || left == 0
             };
@@ -122,7 +122,7 @@
     /// the caller can read in its own data centre stay out; within the leader's own it is as near.
     async fn results(&self, step: &str, after: u64, near: &str) -> Answer {
         let (total, chosen, places) = {
-            let state = self.parts.core.state();
+            let state = self.context.replica.state();
             let Some(found) = state.steps.get(step) else { return Answer::Unknown };
             let chosen = choose_results(&found.results, after);
             let parts: BTreeSet<PartId> = chosen.iter().filter_map(|one| one.part()).collect();
@@ -133,7 +133,7 @@
         };
         let mut texts: BTreeMap<PartId, Vec<String>> = BTreeMap::new();
         let mut beside: BTreeMap<PartId, SocketAddr> = BTreeMap::new();
-        let far = !near.is_empty() && near != self.parts.settings.data_centre;
+        let far = !near.is_empty() && near != self.context.settings.data_centre;
         for (part, place) in places {
             let address = if far { self.copies.beside(&place, near) } else { None };
             if let Some(address) = address {
@@ -154,7 +154,7 @@
 
     pub(super) async fn body(&self, step: &str, sample: &str) -> Answer {
         let found = {
-            let state = self.parts.core.state();
+            let state = self.context.replica.state();
             let Some(found) = state.steps.get(step) else { return Answer::Unknown };
             let part = found.step.part;
             state.parts.get(&part).map(|known| (part, known.place.clone()))
@@ -166,7 +166,7 @@
     }
 
     pub(super) async fn end(&self, step: String) -> Answer {
-        if !self.parts.core.state().steps.contains_key(&step) {
+        if !self.context.replica.state().steps.contains_key(&step) {
             // A step on its way to the stores will be in the log in a moment. Were its end answered as
             // that of an unknown step, its samples would run for nobody; so the caller comes again.
             let coming = self.submitting.borrow().contains(&step);
@@ -181,7 +181,7 @@
             if unread {
                 // What hosts told of its runs was passed over, and they say nothing more of those
                 // whose scorers they call; asked again, they are told to stop them.
-                self.hosts.ask_all();
+                self.hosts.request_reports();
                 tracing::info!(event = "step_closed", step, unread);
             }
             return;
@@ -192,7 +192,7 @@
             if !self.hosts.stop(host, step, *index, *run) {
                 untold += 1;
             }
-            self.hosts.done(host);
+            self.hosts.release_run(host);
         }
         let stopped = hosted.len();
         self.listed.send_modify(|count| *count += 1);
@@ -202,7 +202,7 @@
     /// Takes over an open step of the leader before; tells whether that is done.
     pub(super) async fn adopt_step(&self, id: &str) -> bool {
         let found = {
-            let state = self.parts.core.state();
+            let state = self.context.replica.state();
             let open = state.steps.get(id).filter(|step| step.is_open());
             open.and_then(|step| {
                 let place = state.parts.get(&step.step.part)?.place.clone();
@@ -212,7 +212,7 @@
         let Some((part, place)) = found else { return true };
         let Some(step) = self.read_step(part, &place).await else { return false };
         let notes = self.read_notes(id).await;
-        let state = self.parts.core.state();
+        let state = self.context.replica.state();
         if let Some(open) = state.steps.get(id).filter(|step| step.is_open()) {
             let at = self.began.0.saturating_sub(self.fleet_clock.saturating_sub(open.at));
             let mut plan = self.plan.borrow_mut();
@@ -226,8 +226,8 @@
 
     /// Has all hosts tell of their runs again. Steps that were taken over wait for it.
     fn ask_hosts(&self) {
-        let mut hosts = self.hosts.ask_all();
-        hosts.extend(self.parts.core.state().store_nodes());
+        let mut hosts = self.hosts.request_reports();
+        hosts.extend(self.context.replica.state().store_nodes());
         self.plan.borrow_mut().await_hosts(hosts, clock::now());
         self.kick.notify_one();
     }
@@ -242,7 +242,7 @@
     /// Reads what was noted of a step's samples. A note that cannot be read only costs time.
     pub(super) async fn read_notes(&self, id: &str) -> Vec<Note> {
         let places: Vec<(PartId, copies::Place)> = {
-            let state = self.parts.core.state();
+            let state = self.context.replica.state();
             let parts = state.steps.get(id).map(|step| step.notes.clone()).unwrap_or_default();
             let place = |part: PartId| Some((part, state.parts.get(&part)?.place.clone()));
             parts.into_iter().filter_map(place).collect()
@@ -261,7 +261,7 @@
     /// Notes on the stores what long runs have made.
     pub(super) async fn note(&self) {
         let notes = self.plan.borrow_mut().to_note();
-        let retired = self.parts.core.state().retired.clone();
+        let retired = self.context.replica.state().retired.clone();
         let writes = notes.into_iter().map(|(step, notes)| {
             let retired = &retired;
             async move {
@@ -279,8 +279,8 @@
 
     pub(super) async fn forget_old(&self) {
         let now = self.fleet_now();
-        let keep_ms = self.parts.settings.keep_s * 1_000;
-        let steps = self.parts.core.state().expired(now, keep_ms);
+        let keep_ms = self.context.settings.keep_s * 1_000;
+        let steps = self.context.replica.state().expired(now, keep_ms);
         if !steps.is_empty() {
             tracing::info!(event = "steps_forgotten", count = steps.len());
             self.commit(Command::Forget { steps }).await;
@@ -295,19 +295,19 @@
 /// once for all steps that were read meanwhile. To tell all runs takes a host and the leader some
 /// tenths of a second of their processors. Asked at each look while a step cannot be read, hosts and
 /// leader fall behind by seconds, each order waits in that line, and the leadership is lost again.
-pub(super) async fn adopt_steps(lead: Weak<Lead>) {
-    if let Some(lead) = lead.upgrade() {
-        let state = lead.parts.core.state();
+pub(super) async fn adopt_steps(leader: Weak<Leader>) {
+    if let Some(leader) = leader.upgrade() {
+        let state = leader.context.replica.state();
         let open = state.steps.iter().filter(|(_, step)| step.is_open());
-        lead.unread.borrow_mut().extend(open.map(|(id, _)| id.clone()));
+        leader.unread.borrow_mut().extend(open.map(|(id, _)| id.clone()));
     }
     let mut reading = FuturesUnordered::new();
     let mut begun = BTreeSet::new();
     loop {
-        let Some(lead) = lead.upgrade() else { return };
-        for id in lead.unread.borrow().iter() {
+        let Some(leader) = leader.upgrade() else { return };
+        for id in leader.unread.borrow().iter() {
             if begun.insert(id.clone()) {
-                reading.push(read_in(lead.clone(), id.clone()));
+                reading.push(read_in(leader.clone(), id.clone()));
             }
         }
         let pause = tokio::time::sleep(LOOK);
@@ -319,7 +319,7 @@
                     begun.remove(&id);
                     read |= done;
                     if read && reading.is_empty() {
-                        lead.ask_hosts();
+                        leader.ask_hosts();
                         read = false;
                     }
                 }
@@ -327,16 +327,16 @@
             }
         }
         if read {
-            lead.ask_hosts();
+            leader.ask_hosts();
         }
     }
 }
 
 /// Takes over one step of the leader before; tells which, and whether that is done.
-async fn read_in(lead: Rc<Lead>, id: String) -> (String, bool) {
-    let done = lead.plan.borrow().has(&id) || lead.adopt_step(&id).await;
+async fn read_in(leader: Rc<Leader>, id: String) -> (String, bool) {
+    let done = leader.plan.borrow().has(&id) || leader.adopt_step(&id).await;
     if done {
-        lead.unread.borrow_mut().retain(|other| *other != id);
+        leader.unread.borrow_mut().retain(|other| *other != id);
     }
     (id, done)
 }
--- a/components/node/src/lead/stores.rs
+++ b/components/node/src/leader/stores.rs
@@ -3,12 +3,12 @@
 use chicoryford_fleet::Command;
 
 use crate::copies;
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::message::Answer;
 
-impl Lead {
+impl Leader {
     pub(super) async fn retire(&self, node: String) -> Answer {
-        let retired = self.parts.core.state().retired.clone();
+        let retired = self.context.replica.state().retired.clone();
         if retired.contains(&node) {
             return Answer::Done;
         }
@@ -16,7 +16,7 @@
             return Answer::Unknown;
         }
         let left = self.copies.count(|other| other != node && !retired.contains(other));
-        if left < self.parts.settings.tolerated as usize + 1 {
+        if left < self.context.settings.tolerated as usize + 1 {
             return Answer::TooFew;
         }
         tracing::info!(event = "store_retires", store = node, left);
@@ -24,7 +24,7 @@
     }
 
     pub(super) fn retired(&self, node: &str) -> Answer {
-        let state = self.parts.core.state();
+        let state = self.context.replica.state();
         if !state.retired.contains(node) {
             return Answer::Unknown;
         }
--- a/components/node/src/lead/usage.rs
+++ b/components/node/src/leader/usage.rs
@@ -25,7 +25,7 @@
 use chicoryford_types::Millis;
 
 use crate::clock;
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::metrics;
 
 /// How often it is looked what is to be written, closed or reported.
@@ -64,9 +64,9 @@
     }
 }
 
-impl Lead {
+impl Leader {
     /// Takes in what an entry has counted.
-    pub fn take_usage(&self, told: Told) {
+    pub fn record_usage(&self, told: Told) {
         self.usage.untold.borrow_mut().push(told);
     }
 
@@ -90,8 +90,8 @@
     /// Closes the next window if that is due.
     async fn close_window(&self) {
         let keyed = self.config().is_some_and(|config| !config.workspaces.is_empty());
-        let Some(wall) = self.parts.followers.wall().filter(|_| keyed) else { return };
-        let next = self.parts.core.state().usage.next();
+        let Some(wall) = self.context.followers.wall().filter(|_| keyed) else { return };
+        let next = self.context.replica.state().usage.next();
         let accepted = self.usage.accepted.get();
         let Some(window) = next else {
             let window = self.usage.windows.at(wall).saturating_sub(1);
@@ -112,8 +112,8 @@
     /// Reports the next window that is closed; gives how it was taken, if there was a call.
     async fn report_usage(&self, platform: SocketAddr) -> Option<Taken> {
         let (window, counts) = self.next_report()?;
-        let (node, token) = (&self.parts.settings.node, self.epoch.0);
-        let held = self.parts.core.state().holding.clone();
+        let (node, token) = (&self.context.settings.node, self.epoch.0);
+        let held = self.context.replica.state().holding.clone();
         let left_ms = match Holding::turn(held.as_ref(), node, token, self.fleet_now()) {
             Turn::Wait => return None,
             Turn::Take => {
@@ -149,7 +149,7 @@
     }
 
     fn next_report(&self) -> Option<(u64, Counts)> {
-        let state = self.parts.core.state();
+        let state = self.context.replica.state();
         let next = state.usage.unreported(self.usage.accepted.get());
         next.map(|(window, counts)| (window, counts.clone()))
     }
@@ -179,30 +179,30 @@
 }
 
 /// Keeps the log's account of usage, for as long as this process leads.
-pub(super) async fn keep_book(lead: Weak<Lead>) {
+pub(super) async fn keep_book(leader: Weak<Leader>) {
     let mut written = Millis::default();
     loop {
         tokio::time::sleep(LOOK).await;
-        let Some(lead) = lead.upgrade() else { return };
+        let Some(leader) = leader.upgrade() else { return };
         if clock::now().since(written) >= WRITE_MS {
             written = clock::now();
-            lead.write_usage().await;
+            leader.write_usage().await;
         }
-        lead.close_window().await;
+        leader.close_window().await;
     }
 }
 
 /// Reports usage, for as long as this process leads and no other has called with a higher token.
-pub(super) async fn report(lead: Weak<Lead>, platform: SocketAddr) {
+pub(super) async fn report(leader: Weak<Leader>, platform: SocketAddr) {
     let mut pause = PAUSE;
     loop {
         tokio::time::sleep(LOOK).await;
-        let Some(lead) = lead.upgrade() else { return };
-        match lead.report_usage(platform).await {
+        let Some(leader) = leader.upgrade() else { return };
+        match leader.report_usage(platform).await {
             None => {}
             Some(Taken::Done | Taken::Unfit) => pause = PAUSE,
             Some(Taken::Fenced) => {
-                tracing::error!(event = "duty_lost", token = lead.epoch.0);
+                tracing::error!(event = "duty_lost", token = leader.epoch.0);
                 return;
             }
             Some(Taken::Busy | Taken::Unclear) => {
@@ -214,11 +214,11 @@
 }
 
 /// Starts what this module does, as far as the settings ask for it.
-pub(super) fn start(lead: &Rc<Lead>) -> Vec<tokio::task::JoinHandle<()>> {
-    let settings = &lead.parts.settings;
+pub(super) fn start(leader: &Rc<Leader>) -> Vec<tokio::task::JoinHandle<()>> {
+    let settings = &leader.context.settings;
     let Some(platform) = settings.usage_address() else { return Vec::new() };
     vec![
-        actix_rt::spawn(keep_book(Rc::downgrade(lead))),
-        actix_rt::spawn(report(Rc::downgrade(lead), platform)),
+        actix_rt::spawn(keep_book(Rc::downgrade(leader))),
+        actix_rt::spawn(report(Rc::downgrade(leader), platform)),
     ]
 }
--- a/components/node/src/link.rs
+++ b/components/node/src/link.rs
@@ -32,13 +32,13 @@
 use crate::frame::encode;
 use crate::frame::frames;
 use crate::message::Answer;
-use crate::message::Ask;
 use crate::message::Call;
 use crate::message::Depot;
-use crate::message::Down;
 use crate::message::Hello;
-use crate::message::Told;
-use crate::message::Up;
+use crate::message::LeaderMessage;
+use crate::message::MemberMessage;
+use crate::message::StoreReply;
+use crate::message::StoreRequest;
 use crate::runner::Runner;
 use crate::view::View;
 
@@ -101,7 +101,7 @@
     view: Rc<View>,
     seeds: RefCell<Vec<SocketAddr>>,
     leader: Cell<Option<SocketAddr>>,
-    up: RefCell<Option<mpsc::Sender<Up>>>,
+    up: RefCell<Option<mpsc::Sender<MemberMessage>>>,
     waiting: RefCell<BTreeMap<u64, oneshot::Sender<Answer>>>,
     next: Cell<u64>,
     heard: Cell<Millis>,
@@ -160,7 +160,7 @@
         let (answer, answered) = oneshot::channel();
         self.waiting.borrow_mut().insert(number, answer);
         let _waiting = Waiting { link: self, number };
-        up.try_send(Up::Call { number, call }).map_err(|_| CallError::NoLeader)?;
+        up.try_send(MemberMessage::Call { number, call }).map_err(|_| CallError::NoLeader)?;
         match tokio::time::timeout(limit, answered).await {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(_)) => Err(CallError::Lost),
@@ -169,26 +169,26 @@
     }
 
     /// Tells the leader whom this process has heard; tells whether that is on its way.
-    pub fn tell_heard(&self, signs: Vec<Sign>) -> bool {
-        self.send(Up::Heard(signs))
+    pub fn report_signs(&self, signs: Vec<Sign>) -> bool {
+        self.send(MemberMessage::Heard(signs))
     }
 
     /// Tells the leader what workspaces used; tells whether that is on its way.
-    pub fn tell_used(&self, told: usage::Told) -> bool {
-        self.send(Up::Used(told))
+    pub fn report_usage(&self, told: usage::Told) -> bool {
+        self.send(MemberMessage::Used(told))
     }
 
     /// Tells the leader that an endpoint crashed; tells whether that is on its way.
-    pub fn tell_crash(&self, crash: Crash) -> bool {
-        self.send(Up::Crashed(crash))
+    pub fn report_crash(&self, crash: Crash) -> bool {
+        self.send(MemberMessage::Crashed(crash))
     }
 
     /// Tells the leader that a content ran to its end; tells whether that is on its way.
-    pub fn tell_cleared(&self, content: Fingerprint) -> bool {
-        self.send(Up::Cleared(content))
+    pub fn report_cleared(&self, content: Fingerprint) -> bool {
+        self.send(MemberMessage::Cleared(content))
     }
 
-    fn send(&self, word: Up) -> bool {
+    fn send(&self, word: MemberMessage) -> bool {
         let up = self.up.borrow();
         up.as_ref().is_some_and(|up| up.try_send(word).is_ok())
     }
@@ -273,8 +273,8 @@
     async fn follow(&self, address: SocketAddr) {
         let Some(mut socket) = self.open(address).await else { return };
         match next(&mut socket, WELCOME).await {
-            Some(Down::Welcome) => self.connect(address, socket).await,
-            Some(Down::NotLeader { leader }) => {
+            Some(LeaderMessage::Welcome) => self.connect(address, socket).await,
+            Some(LeaderMessage::NotLeader { leader }) => {
                 self.leader.set(leader.filter(|leader| *leader != address));
             }
             _ => {}
@@ -306,7 +306,7 @@
             loop {
                 let frame = tokio::time::timeout(SILENCE, stream.next()).await;
                 let Ok(Some(Ok(frame))) = frame else { return };
-                let Ok(down) = decode::<Down>(&frame) else { return };
+                let Ok(down) = decode::<LeaderMessage>(&frame) else { return };
                 self.heard.set(clock::now());
                 if !self.take(down) {
                     return;
@@ -320,36 +320,36 @@
     }
 
     /// Takes what the leader sends; tells whether it still leads.
-    fn take(&self, down: Down) -> bool {
+    fn take(&self, down: LeaderMessage) -> bool {
         match down {
-            Down::Everything(all) => {
-                all.into_iter().for_each(|news| self.view.learn(news));
+            LeaderMessage::Everything(all) => {
+                all.into_iter().for_each(|news| self.view.apply(news));
                 self.connected.send_replace(true);
             }
-            Down::News(news) => self.view.learn(news),
-            Down::Answer { number, answer } => {
+            LeaderMessage::News(news) => self.view.apply(news),
+            LeaderMessage::Answer { number, answer } => {
                 if let Some(waiting) = self.waiting.borrow_mut().remove(&number) {
                     // Whoever waited may have left.
                     let _ = waiting.send(answer);
                 }
             }
-            Down::Ask { number, ask } => self.tell(number, ask),
-            Down::Work { heard, work } => {
+            LeaderMessage::Ask { number, ask } => self.tell(number, ask),
+            LeaderMessage::Work { heard, work } => {
                 if let Some(runner) = &self.member.runner {
-                    runner.led(heard);
-                    runner.take_order(work, clock::now().since(heard));
+                    runner.record_leader_sign(heard);
+                    runner.handle_order(work, clock::now().since(heard));
                 }
             }
-            Down::Alive { heard, wall } => {
+            LeaderMessage::Alive { heard, wall } => {
                 if let Some(wall) = wall {
-                    self.view.tell_time(wall);
+                    self.view.set_wall_clock(wall);
                 }
                 if let Some(runner) = &self.member.runner {
-                    runner.led(heard);
+                    runner.record_leader_sign(heard);
                 }
             }
-            Down::Welcome => {}
-            Down::NotLeader { leader } => {
+            LeaderMessage::Welcome => {}
+            LeaderMessage::NotLeader { leader } => {
                 self.leader.set(leader);
                 return false;
             }
@@ -358,27 +358,27 @@
     }
 
     /// Answers what the leader asks of this process's depot.
-    fn tell(&self, number: u64, ask: Ask) {
+    fn tell(&self, number: u64, ask: StoreRequest) {
         let (Some(depot), Some(up)) = (self.member.depot.clone(), self.up.borrow().clone()) else {
             return;
         };
         actix_rt::spawn(async move {
             let told = match ask {
-                Ask::Put(part, bytes) => {
+                StoreRequest::Put(part, bytes) => {
                     if depot.put(part, bytes).await {
-                        Told::Kept
+                        StoreReply::Kept
                     } else {
-                        Told::Failed
+                        StoreReply::Failed
                     }
                 }
-                Ask::Get(part) => Told::Part(depot.get(part).await),
-                Ask::Keep(wanted) => {
+                StoreRequest::Get(part) => StoreReply::Part(depot.get(part).await),
+                StoreRequest::Keep(wanted) => {
                     depot.keep(wanted);
                     return;
                 }
             };
             // Without the answer the leader asks another store.
-            let _ = up.send(Up::Told { number, told }).await;
+            let _ = up.send(MemberMessage::Told { number, told }).await;
         });
     }
 
@@ -407,12 +407,12 @@
     }
 }
 
-async fn send(mut sink: SplitSink<Socket, Bytes>, mut calls: mpsc::Receiver<Up>) {
+async fn send(mut sink: SplitSink<Socket, Bytes>, mut calls: mpsc::Receiver<MemberMessage>) {
     loop {
         let up = match tokio::time::timeout(ALIVE, calls.recv()).await {
             Ok(Some(up)) => up,
             Ok(None) => return,
-            Err(_) => Up::Alive(clock::wall()),
+            Err(_) => MemberMessage::Alive(clock::wall()),
         };
         if sink.feed(encode(&up)).await.is_err() {
             return;
@@ -428,7 +428,7 @@
     }
 }
 
-async fn next(socket: &mut Socket, limit: Duration) -> Option<Down> {
+async fn next(socket: &mut Socket, limit: Duration) -> Option<LeaderMessage> {
     let frame = tokio::time::timeout(limit, socket.next()).await.ok()??;
     decode(&frame.ok()?).ok()
 }
--- a/components/node/src/hub.rs
+++ b/components/node/src/link_server.rs
@@ -21,22 +21,22 @@
 use tokio_util::codec::Framed;
 use tokio_util::codec::LengthDelimitedCodec;
 
-use crate::core::Core;
 use crate::followers::Follower;
 use crate::followers::Followers;
 use crate::followers::Queued;
 use crate::frame::decode;
 use crate::frame::encode;
 use crate::frame::frames;
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::message::Call;
 use crate::message::Depot;
-use crate::message::Down;
 use crate::message::Hello;
-use crate::message::Letter;
-use crate::message::Up;
+use crate::message::LeaderMessage;
+use crate::message::MemberMessage;
+use crate::message::ReplicaMessage;
+use crate::replica::LocalReplica;
+use crate::traffic::Direction;
 use crate::traffic::Traffic;
-use crate::traffic::Way;
 
 /// How long the first frame may take.
 const HELLO: Duration = Duration::from_secs(2);
@@ -65,24 +65,24 @@
 }
 
 /// Takes links for as long as the process lives.
-pub struct Hub {
+pub struct LinkServer {
     /// The replica.
-    pub core: Rc<Core>,
+    pub replica: Rc<LocalReplica>,
     /// The leader's duties, while this process leads.
-    pub lead: Rc<RefCell<Option<Rc<Lead>>>>,
+    pub leader: Rc<RefCell<Option<Rc<Leader>>>>,
     /// The members that follow.
     pub followers: Rc<Followers>,
     /// Counts what the links carry.
     pub traffic: Rc<Traffic>,
 }
 
-impl Hub {
+impl LinkServer {
     /// Accepts links.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         loop {
             let stream = socket::accept(&listener).await;
-            let hub = self.clone();
-            actix_rt::spawn(async move { hub.take(Framed::new(stream, frames())).await });
+            let server = self.clone();
+            actix_rt::spawn(async move { server.take(Framed::new(stream, frames())).await });
         }
     }
 
@@ -102,15 +102,15 @@
     async fn take_letters(&self, mut socket: Socket, data_centre: &str) {
         let mut said = Instant::now();
         while let Some(Ok(frame)) = socket.next().await {
-            self.traffic.count("letter", Way::In, data_centre, frame.len());
+            self.traffic.count("letter", Direction::In, data_centre, frame.len());
             if said.elapsed() >= SEEN {
                 said = Instant::now();
                 if socket.send(Bytes::new()).await.is_err() {
                     return;
                 }
             }
-            match decode::<Letter>(&frame) {
-                Ok(letter) => self.core.receive(letter),
+            match decode::<ReplicaMessage>(&frame) {
+                Ok(letter) => self.replica.receive(letter),
                 Err(error) => {
                     tracing::warn!(event = "link_unreadable", %error);
                     return;
@@ -121,22 +121,22 @@
 
     async fn serve(&self, mut socket: Socket, caller: Caller) {
         let Caller { node, data_centre, depot, replica, clock } = caller;
-        let lead = self.lead.borrow().clone();
-        let Some(lead) = lead.filter(|lead| lead.leads()) else {
-            let down = Down::NotLeader { leader: self.core.leader() };
+        let leader = self.leader.borrow().clone();
+        let Some(leader) = leader.filter(|leader| leader.leads()) else {
+            let down = LeaderMessage::NotLeader { leader: self.replica.leader() };
             // The member asks another process if it does not hear this.
             let _ = socket.send(encode(&down)).await;
             return;
         };
-        let first = [Down::Welcome, Down::Everything(lead.all_news(replica))];
+        let first = [LeaderMessage::Welcome, LeaderMessage::Everything(leader.all_news(replica))];
         let (frames, mut queue) = mpsc::channel(QUEUE + first.len());
         for down in first {
             let frame = encode(&down);
-            self.traffic.count("news_first", Way::Out, &data_centre, frame.len());
+            self.traffic.count("news_first", Direction::Out, &data_centre, frame.len());
             // There is room for all of them.
-            let _ = frames.try_send(Queued::word(frame));
+            let _ = frames.try_send(Queued::message(frame));
         }
-        let number = self.followers.number();
+        let number = self.followers.next_number();
         let store = depot.map(|depot| StoreId { node, identity: depot.identity });
         let cut = Rc::new(Notify::new());
         let follower = Follower {
@@ -150,11 +150,11 @@
         };
         self.followers.add(number, follower);
         if let (Some(store), Some(depot)) = (&store, depot) {
-            lead.copies.connected(store.clone(), data_centre.clone(), depot.address);
+            leader.copies.connected(store.clone(), data_centre.clone(), depot.address);
         }
         let host = store.as_ref().map(|store| store.node.clone());
         if let Some(host) = &host {
-            lead.host_connecting(host, number);
+            leader.host_connecting(host, number);
         }
         let limit = if host.is_some() { HOST_SILENCE } else { MEMBER_SILENCE };
         let following = Following {
@@ -162,16 +162,17 @@
             number,
             store,
             silent: Cell::new(false),
-            lead: lead.clone(),
+            leader: leader.clone(),
         };
         // The follower's own sender is dropped when this process stops leading, which ends the
         // queue; answers still under way hold theirs only for as long as they take.
         let answers = frames.downgrade();
         drop(frames);
         let (sink, stream) = socket.split();
-        let reading = Reading { hub: self, lead: &lead, host, data_centre: &data_centre, number };
+        let reading =
+            Reading { server: self, leader: &leader, host, data_centre: &data_centre, number };
         tokio::select! {
-            () = send_frames(sink, &mut queue, &lead, &self.followers, number) => {}
+            () = send_frames(sink, &mut queue, &leader, &self.followers, number) => {}
             silent = reading.run(stream, limit, answers) => following.silent.set(silent),
             () = cut.notified() => {}
         }
@@ -182,7 +183,7 @@
 async fn send_frames(
     mut sink: SplitSink<Socket, Bytes>,
     queue: &mut mpsc::Receiver<Queued>,
-    lead: &Lead,
+    leader: &Leader,
     followers: &Followers,
     number: u64,
 ) {
@@ -191,11 +192,11 @@
         let first = tokio::select! {
             queued = queue.recv() => queued,
             _ = alive.tick() => {
-                let leads = lead.leads();
+                let leads = leader.leads();
                 let heard = followers.clock(number);
-                let alive = Down::Alive { heard, wall: followers.wall() };
-                let word = if leads { alive } else { Down::NotLeader { leader: None } };
-                Some(Queued::word(encode(&word)))
+                let alive = LeaderMessage::Alive { heard, wall: followers.wall() };
+                let word = if leads { alive } else { LeaderMessage::NotLeader { leader: None } };
+                Some(Queued::message(encode(&word)))
             }
         };
         let Some(first) = first else { return };
@@ -205,7 +206,7 @@
             // may have ended the step. Answers and news still go out, they were true. A lease that
             // runs out for a moment is no such end: a word to stop that was dropped then would not
             // be said again, and how old an order may be is judged by the host.
-            let given = !work || !lead.has_ended();
+            let given = !work || !leader.has_ended();
             if given && sink.feed(frame).await.is_err() {
                 return;
             }
@@ -219,8 +220,8 @@
 
 /// Reads what one member says.
 struct Reading<'a> {
-    hub: &'a Hub,
-    lead: &'a Rc<Lead>,
+    server: &'a LinkServer,
+    leader: &'a Rc<Leader>,
     host: Option<String>,
     data_centre: &'a str,
     number: u64,
@@ -237,46 +238,50 @@
         loop {
             let Ok(frame) = tokio::time::timeout(limit, stream.next()).await else { return true };
             let Some(Ok(frame)) = frame else { return false };
-            let Ok(up) = decode::<Up>(&frame) else { return false };
-            self.hub.traffic.count(up.kind(), Way::In, self.data_centre, frame.len());
+            let Ok(up) = decode::<MemberMessage>(&frame) else { return false };
+            self.server.traffic.count(up.kind(), Direction::In, self.data_centre, frame.len());
             self.take(up, &answers);
         }
     }
 
-    fn take(&self, up: Up, answers: &mpsc::WeakSender<Queued>) {
+    fn take(&self, up: MemberMessage, answers: &mpsc::WeakSender<Queued>) {
         match (up, &self.host) {
-            (Up::Call { number, call }, _) => self.answer(number, call, answers.clone()),
-            (Up::Told { number, told }, _) => self.hub.followers.told(number, told),
-            (Up::Report(report), Some(host)) => self.lead.take_report(host, &report),
-            (Up::Reported, Some(host)) => {
-                self.lead.host_found(host, self.data_centre, self.number);
+            (MemberMessage::Call { number, call }, _) => self.answer(number, call, answers.clone()),
+            (MemberMessage::Told { number, told }, _) => {
+                self.server.followers.complete_request(number, told)
             }
-            (Up::Report(_) | Up::Reported, None) => {
+            (MemberMessage::Report(report), Some(host)) => self.leader.handle_report(host, &report),
+            (MemberMessage::Reported, Some(host)) => {
+                self.leader.host_ready(host, self.data_centre, self.number);
+            }
+            (MemberMessage::Report(_) | MemberMessage::Reported, None) => {
                 tracing::warn!(event = "link_unreadable", error = "a report of no host");
             }
-            (Up::Beat { clock, wall }, _) => {
-                self.hub.followers.heard(self.number, clock);
-                self.hub.followers.read_wall(self.number, wall);
+            (MemberMessage::Beat { clock, wall }, _) => {
+                self.server.followers.record_clock(self.number, clock);
+                self.server.followers.record_wall_clock(self.number, wall);
+            }
+            (MemberMessage::Used(told), _) => self.leader.record_usage(told),
+            (MemberMessage::Crashed(crash), _) => self.leader.record_crash(crash),
+            (MemberMessage::Cleared(content), _) => self.leader.record_cleared(content),
+            (MemberMessage::Heard(signs), _) => self.leader.record_signs(&signs),
+            (MemberMessage::Alive(wall), _) => {
+                self.server.followers.record_wall_clock(self.number, wall)
             }
-            (Up::Used(told), _) => self.lead.take_usage(told),
-            (Up::Crashed(crash), _) => self.lead.take_crash(crash),
-            (Up::Cleared(content), _) => self.lead.take_cleared(content),
-            (Up::Heard(signs), _) => self.lead.take_signs(&signs),
-            (Up::Alive(wall), _) => self.hub.followers.read_wall(self.number, wall),
         }
     }
 
     fn answer(&self, number: u64, call: Call, answers: mpsc::WeakSender<Queued>) {
-        let lead = self.lead.clone();
-        let (traffic, there) = (self.hub.traffic.clone(), self.data_centre.to_owned());
+        let leader = self.leader.clone();
+        let (traffic, there) = (self.server.traffic.clone(), self.data_centre.to_owned());
         actix_rt::spawn(async move {
-            let answer = lead.answer(call).await;
+            let answer = leader.answer(call).await;
             let Some(answers) = answers.upgrade() else { return };
             let kind = answer.kind();
-            let frame = encode(&Down::Answer { number, answer });
-            traffic.count(kind, Way::Out, &there, frame.len());
+            let frame = encode(&LeaderMessage::Answer { number, answer });
+            traffic.count(kind, Direction::Out, &there, frame.len());
             // Without the answer the member does not know what became of its call, and asks again.
-            let _ = answers.send(Queued::word(frame)).await;
+            let _ = answers.send(Queued::message(frame)).await;
         });
     }
 }
@@ -288,15 +293,15 @@
     store: Option<StoreId>,
     /// Whether it ended because nothing was heard for too long.
     silent: Cell<bool>,
-    lead: Rc<Lead>,
+    leader: Rc<Leader>,
 }
 
 impl Drop for Following {
     fn drop(&mut self) {
         self.followers.remove(self.number);
         if let Some(store) = &self.store {
-            self.lead.copies.disconnected(store);
-            self.lead.host_lost(&store.node, self.number, self.silent.get());
+            self.leader.copies.disconnected(store);
+            self.leader.host_lost(&store.node, self.number, self.silent.get());
         }
     }
 }
--- a/components/node/src/listing.rs
+++ b/components/node/src/listing.rs
@@ -16,7 +16,7 @@
 use tokio::sync::Notify;
 
 use crate::clock;
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::message::Answer;
 
 /// Pause after the log did not take them.
@@ -24,7 +24,7 @@
 
 /// A verdict on a sample.
 #[derive(Clone, Debug)]
-pub struct Settled {
+pub struct SampleVerdict {
     /// The place of the sample in its step.
     pub index: u32,
     /// The sample.
@@ -36,7 +36,7 @@
 /// The verdicts of one step that wait to be listed, and since when the first does.
 struct Waiting {
     since: Millis,
-    settled: Vec<Settled>,
+    settled: Vec<SampleVerdict>,
 }
 
 /// Verdicts that wait to be listed.
@@ -48,12 +48,12 @@
 
 impl Outbox {
     /// Adds a verdict.
-    pub fn put(&self, step: &str, settled: Settled) {
+    pub fn put(&self, step: &str, settled: SampleVerdict) {
         self.add(step, vec![settled]);
         self.filled.notify_one();
     }
 
-    fn add(&self, step: &str, settled: Vec<Settled>) {
+    fn add(&self, step: &str, settled: Vec<SampleVerdict>) {
         let mut waiting = self.waiting.borrow_mut();
         let since = clock::now();
         let begun = || Waiting { since, settled: Vec::new() };
@@ -71,7 +71,7 @@
         &self,
         now: Millis,
         list_at: impl Fn(&str, Millis) -> Millis,
-    ) -> (Vec<(String, Vec<Settled>)>, Option<Millis>) {
+    ) -> (Vec<(String, Vec<SampleVerdict>)>, Option<Millis>) {
         let mut due = Vec::new();
         let mut next: Option<Millis> = None;
         self.waiting.borrow_mut().retain(|step, waiting| {
@@ -88,12 +88,13 @@
 }
 
 /// Lists verdicts until the process no longer leads.
-pub async fn run(lead: Weak<Lead>) {
+pub async fn run(leader: Weak<Leader>) {
     loop {
-        let Some(lead) = lead.upgrade() else { return };
-        let outbox = lead.outbox();
-        let list_at =
-            |step: &str, since| lead.plan.borrow().list_at(step, since, lead.readers.first(step));
+        let Some(leader) = leader.upgrade() else { return };
+        let outbox = leader.outbox();
+        let list_at = |step: &str, since| {
+            leader.plan.borrow().list_at(step, since, leader.readers.first(step))
+        };
         let (due, next) = outbox.take(clock::now(), list_at);
         if due.is_empty() {
             // A verdict that comes meanwhile may be the last that others wait for.
@@ -108,9 +109,9 @@
             continue;
         }
         let listings = due.into_iter().map(|(step, settled)| {
-            let lead = lead.clone();
+            let leader = leader.clone();
             async move {
-                let answer = list(&lead, &step, &settled).await;
+                let answer = list(&leader, &step, &settled).await;
                 (step, settled, answer)
             }
         });
@@ -131,7 +132,7 @@
 
 /// Writes the texts to stores, then lists the results. In the other order a result could be read
 /// whose text is on no disk yet.
-async fn list(lead: &Lead, step: &str, settled: &[Settled]) -> Answer {
+async fn list(leader: &Leader, step: &str, settled: &[SampleVerdict]) -> Answer {
     let part = PartId(rand::random());
     let mut texts: Vec<&str> = Vec::new();
     let mut results = Vec::new();
@@ -155,8 +156,8 @@
     let mut written = None;
     if !texts.is_empty() {
         let bytes = Bytes::from(rmp_serde::to_vec(&texts).expect("texts are plain data"));
-        let retired = lead.parts.core.state().retired.clone();
-        written = Some((part, lead.copies.write(part, &bytes, &retired).await));
+        let retired = leader.context.replica.state().retired.clone();
+        written = Some((part, leader.copies.write(part, &bytes, &retired).await));
     }
-    lead.commit(Command::List { step: step.to_owned(), part: written, results }).await
+    leader.commit(Command::List { step: step.to_owned(), part: written, results }).await
 }
--- a/components/node/src/members.rs
+++ b/components/node/src/members.rs
@@ -10,11 +10,11 @@
 use chicoryford_agreement::ReplicaId;
 use chicoryford_agreement::Status;
 
-use crate::core::Core;
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::link::Link;
 use crate::message::Answer;
 use crate::message::Call;
+use crate::replica::LocalReplica;
 
 /// Milliseconds of silence after which a voter may be replaced by one that asks to join. A
 /// replica that is only slow or cut off asks to join again when it is back.
@@ -30,8 +30,8 @@
 const ANSWER: Duration = Duration::from_secs(1);
 
 /// Lets a replica join.
-pub async fn join(lead: &Rc<Lead>, id: ReplicaId) -> Answer {
-    let status = lead.parts.core.status();
+pub async fn join(leader: &Rc<Leader>, id: ReplicaId) -> Answer {
+    let status = leader.context.replica.status();
     if status.members.has(&id) {
         return Answer::Done;
     }
@@ -39,10 +39,10 @@
     let address = id.node.to_string();
     let named = replaces.as_ref().map(ToString::to_string).unwrap_or_default();
     let change = Change::Add { id: id.clone(), address, replaces };
-    let done = lead.parts.core.change(change).await;
+    let done = leader.context.replica.change(change).await;
     let outcome = done.as_ref().map_or_else(ToString::to_string, |_| "added".to_owned());
     tracing::info!(event = "replica_joins", replica = %id, replaces = named, outcome);
-    lead.tell_controls();
+    leader.broadcast_controls();
     match done {
         Ok(_) => Answer::Done,
         Err(Refusal::Unknown { .. }) => Answer::Unclear,
@@ -67,16 +67,16 @@
 }
 
 /// Removes replicas that are lost, for as long as this process leads.
-pub async fn keep(lead: Weak<Lead>, every: Duration) {
+pub async fn keep(leader: Weak<Leader>, every: Duration) {
     loop {
         tokio::time::sleep(every).await;
-        let Some(lead) = lead.upgrade() else { return };
-        let status = lead.parts.core.status();
+        let Some(leader) = leader.upgrade() else { return };
+        let status = leader.context.replica.status();
         let Some(id) = needless(&status) else { continue };
-        let done = lead.parts.core.change(Change::Remove(id.clone())).await;
+        let done = leader.context.replica.change(Change::Remove(id.clone())).await;
         let outcome = done.map_or_else(|why| why.to_string(), |_| "removed".to_owned());
         tracing::info!(event = "replica_removed", replica = %id, outcome);
-        lead.tell_controls();
+        leader.broadcast_controls();
     }
 }
 
@@ -91,14 +91,14 @@
 }
 
 /// Asks to join for as long as the leader writes nothing to this replica.
-pub async fn ask(core: Rc<Core>, link: Rc<Link>) {
+pub async fn ask(replica: Rc<LocalReplica>, link: Rc<Link>) {
     loop {
         tokio::time::sleep(ASK).await;
-        let heard = core.leader().is_some();
+        let heard = replica.leader().is_some();
         if heard || !link.is_connected() {
             continue;
         }
-        let answer = link.call(Call::Join(core.id().clone()), ANSWER).await;
-        tracing::info!(event = "join_asked", replica = %core.id(), answer = ?answer);
+        let answer = link.call(Call::Join(replica.id().clone()), ANSWER).await;
+        tracing::info!(event = "join_asked", replica = %replica.id(), answer = ?answer);
     }
 }
--- a/components/node/src/message.rs
+++ b/components/node/src/message.rs
@@ -58,11 +58,11 @@
 }
 
 /// A message of the agreement.
-pub type Letter = Message;
+pub type ReplicaMessage = Message;
 
 /// What a member sends.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub enum Up {
+pub enum MemberMessage {
     /// It asks something.
     Call {
         /// Comes back with the answer.
@@ -96,13 +96,13 @@
         /// The number of the question.
         number: u64,
         /// The answer.
-        told: Told,
+        told: StoreReply,
     },
 }
 
 /// What the leader asks of a store.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub enum Ask {
+pub enum StoreRequest {
     /// Keep a part; the answer comes when it is on the disk.
     Put(PartId, Bytes),
     /// Give a part.
@@ -113,7 +113,7 @@
 
 /// What a store answers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub enum Told {
+pub enum StoreReply {
     /// The part is on the disk.
     Kept,
     /// The part is not on the disk.
@@ -124,7 +124,7 @@
 
 /// What the leader sends to a member.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub enum Down {
+pub enum LeaderMessage {
     /// The member speaks to the leader.
     Welcome,
     /// It does not.
@@ -133,9 +133,9 @@
         leader: Option<SocketAddr>,
     },
     /// All there is, in one frame: it is right behind the welcome.
-    Everything(Vec<News>),
+    Everything(Vec<Update>),
     /// Something changed.
-    News(News),
+    News(Update),
     /// The answer to a call.
     Answer {
         /// Its number.
@@ -148,7 +148,7 @@
         /// Comes back with the answer.
         number: u64,
         /// The question.
-        ask: Ask,
+        ask: StoreRequest,
     },
     /// A host is to carry out or stop a run.
     Work {
@@ -171,7 +171,7 @@
 
 /// A change that all members are told.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub enum News {
+pub enum Update {
     /// The configuration in force.
     Config(Arc<Config>),
     /// An endpoint as it is now.
@@ -271,7 +271,7 @@
     Retired(bool),
 }
 
-impl Up {
+impl MemberMessage {
     /// Names the kind of message for counters.
     pub fn kind(&self) -> &'static str {
         match self {
@@ -281,13 +281,13 @@
             Self::Reported | Self::Alive(_) | Self::Beat { .. } => "alive",
             Self::Used(_) => "usage",
             Self::Crashed(_) | Self::Cleared(_) => "crash",
-            Self::Told { told: Told::Part(_), .. } => "part_got",
+            Self::Told { told: StoreReply::Part(_), .. } => "part_got",
             Self::Told { .. } => "part_kept",
         }
     }
 }
 
-impl Ask {
+impl StoreRequest {
     /// Names the kind of message for counters.
     pub fn kind(&self) -> &'static str {
         match self {
@@ -298,7 +298,7 @@
     }
 }
 
-impl News {
+impl Update {
     /// Names the kind of message for counters.
     pub fn kind(&self) -> &'static str {
         match self {
--- a/components/node/src/metrics.rs
+++ b/components/node/src/metrics.rs
@@ -20,9 +20,9 @@
 use prometheus::register_int_gauge;
 use prometheus::register_int_gauge_vec;
 
-use crate::core::Core;
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::link::Link;
+use crate::replica::LocalReplica;
 
 /// The first bound of the histograms in seconds, and how many there are, each twice the one
 /// before: from a round trip to more than a step's time.
@@ -110,22 +110,22 @@
     /// The way to the leader.
     pub link: Rc<Link>,
     /// The replica, in a control process.
-    pub core: Option<Rc<Core>>,
+    pub replica: Option<Rc<LocalReplica>>,
     /// The leader's duties, while this process leads.
-    pub lead: Rc<std::cell::RefCell<Option<Rc<Lead>>>>,
+    pub leader: Rc<std::cell::RefCell<Option<Rc<Leader>>>>,
 }
 
 /// Answers with all metrics as text.
 pub fn answer(sources: &Sources, _: &Request) -> Reply {
     LEADER_SILENT.set(sources.link.silent_ms() as i64);
-    LEADS.set(i64::from(sources.core.as_ref().is_some_and(|core| core.leads())));
+    LEADS.set(i64::from(sources.replica.as_ref().is_some_and(|replica| replica.leads())));
     ENDPOINTS.reset();
     SAMPLES.reset();
-    if let Some(lead) = &*sources.lead.borrow() {
-        for (standing, count) in lead.endpoint_counts() {
+    if let Some(leader) = &*sources.leader.borrow() {
+        for (standing, count) in leader.endpoint_counts() {
             ENDPOINTS.with_label_values(&[standing.as_str()]).set(count);
         }
-        for (phase, count) in lead.plan.borrow().counts() {
+        for (phase, count) in leader.plan.borrow().counts() {
             SAMPLES.with_label_values(&[phase]).set(count as i64);
         }
     }
--- a/components/node/src/orders.rs
+++ b/components/node/src/orders.rs
@@ -24,8 +24,8 @@
 use tokio::task::JoinHandle;
 
 use crate::clock;
-use crate::lead::Lead;
-use crate::message::News;
+use crate::leader::Leader;
+use crate::message::Update;
 use crate::metrics;
 
 /// How long one call to an engine may take. It answers at once; only a lost connection takes long.
@@ -85,41 +85,41 @@
 ///
 /// To look takes 0.4 ms with 3,000 engines, and rounds come with each sample that is whole, some
 /// hundreds a second; a load takes about a second, so [`LOOK_MS`] later is as good.
-pub fn round(lead: &Rc<Lead>, config: &Config, now: Millis) {
+pub fn round(leader: &Rc<Leader>, config: &Config, now: Millis) {
     {
-        let mut orders = lead.orders.borrow_mut();
+        let mut orders = leader.orders.borrow_mut();
         if orders.fenced || now.since(orders.looked) < LOOK_MS {
             return;
         }
         orders.looked = now;
     }
     for service in config.services.iter().filter(|service| !service.models.is_empty()) {
-        let claims = claims(lead, &service.models);
+        let claims = claims(leader, &service.models);
         if claims.is_empty() {
             continue;
         }
         let wishes = {
-            let plan = lead.plan.borrow();
+            let plan = leader.plan.borrow();
             let seats: Vec<&Seat> =
                 plan.seats().filter(|seat| seat.endpoint.said.service == service.name).collect();
             swap::wishes(
                 &seats,
                 &claims,
-                &lead.orders.borrow().turn,
-                lead.parts.settings.policy,
+                &leader.orders.borrow().turn,
+                leader.context.settings.policy,
                 now,
             )
         };
         for wish in wishes {
-            begin(lead, wish);
+            begin(leader, wish);
         }
     }
 }
 
-fn claims(lead: &Rc<Lead>, models: &[String]) -> Vec<Claim> {
-    let versions = lead.parts.core.state().versions.clone();
-    let plan = lead.plan.borrow();
-    let mut orders = lead.orders.borrow_mut();
+fn claims(leader: &Rc<Leader>, models: &[String]) -> Vec<Claim> {
+    let versions = leader.context.replica.state().versions.clone();
+    let plan = leader.plan.borrow();
+    let mut orders = leader.orders.borrow_mut();
     let named = models.iter().filter_map(|model| versions.get(model).map(|v| (model, *v)));
     named
         .map(|(model, version)| {
@@ -135,32 +135,32 @@
         .collect()
 }
 
-fn begin(lead: &Rc<Lead>, wish: Wish) {
+fn begin(leader: &Rc<Leader>, wish: Wish) {
     let endpoint = wish.endpoint.clone();
-    if let Some(seat) = lead.plan.borrow_mut().seat(&endpoint) {
+    if let Some(seat) = leader.plan.borrow_mut().seat(&endpoint) {
         seat.loading = Some(wish.model.clone());
     }
-    let task = actix_rt::spawn(change(lead.clone(), wish));
-    lead.orders.borrow_mut().tasks.insert(endpoint, task);
+    let task = actix_rt::spawn(change(leader.clone(), wish));
+    leader.orders.borrow_mut().tasks.insert(endpoint, task);
 }
 
-async fn change(lead: Rc<Lead>, wish: Wish) {
+async fn change(leader: Rc<Leader>, wish: Wish) {
     let began = clock::now();
-    let outcome = try_change(&lead, &wish).await;
+    let outcome = try_change(&leader, &wish).await;
     let ms = clock::now().since(began);
     let Wish { endpoint, model, version } = &wish;
     tracing::info!(event = "weights_changed", endpoint, model, version, outcome, ms);
-    if let Some(seat) = lead.plan.borrow_mut().seat(endpoint) {
+    if let Some(seat) = leader.plan.borrow_mut().seat(endpoint) {
         seat.loading = None;
     }
-    lead.orders.borrow_mut().tasks.remove(endpoint);
+    leader.orders.borrow_mut().tasks.remove(endpoint);
 }
 
-async fn try_change(lead: &Rc<Lead>, wish: &Wish) -> &'static str {
-    let runs = runs(lead, wish);
+async fn try_change(leader: &Rc<Leader>, wish: &Wish) -> &'static str {
+    let runs = runs(leader, wish);
     for _ in 0..TRIES {
-        let Some(address) = address(lead, wish) else { return "endpoint gone" };
-        let report = match ask_report(lead, wish, address).await {
+        let Some(address) = address(leader, wish) else { return "endpoint gone" };
+        let report = match ask_report(leader, wish, address).await {
             Ok(report) => report,
             Err(error) => {
                 tracing::info!(event = "report_lost", endpoint = wish.endpoint, %error);
@@ -168,24 +168,24 @@
                 continue;
             }
         };
-        if has(lead, wish, &report) {
+        if has(leader, wish, &report) {
             return "done";
         }
         if report.busy {
             tokio::time::sleep(LOAD_LOOK).await;
             continue;
         }
-        if !lead.leads() {
+        if !leader.leads() {
             return "lead lost";
         }
-        match give(lead, wish, address, &report, runs).await {
+        match give(leader, wish, address, &report, runs).await {
             Taken::Started | Taken::Holds => {
-                if await_loaded(lead, wish).await {
+                if await_loaded(leader, wish).await {
                     return "done";
                 }
             }
             Taken::Fenced => {
-                lead.orders.borrow_mut().fenced = true;
+                leader.orders.borrow_mut().fenced = true;
                 return "fenced";
             }
             Taken::Moved => return "endpoint moved",
@@ -197,33 +197,37 @@
 
 /// Tells what is to happen to the engine's runs of the model. They go on under the new version, so
 /// that nothing waits for them, unless one version must make all of a sample.
-fn runs(lead: &Rc<Lead>, wish: &Wish) -> Runs {
-    if lead.plan.borrow().is_single(&wish.model) { Runs::Finish } else { Runs::GoOn }
+fn runs(leader: &Rc<Leader>, wish: &Wish) -> Runs {
+    if leader.plan.borrow().is_single(&wish.model) { Runs::Finish } else { Runs::GoOn }
 }
 
-fn address(lead: &Rc<Lead>, wish: &Wish) -> Option<SocketAddr> {
-    let mut plan = lead.plan.borrow_mut();
+fn address(leader: &Rc<Leader>, wish: &Wish) -> Option<SocketAddr> {
+    let mut plan = leader.plan.borrow_mut();
     let seat = plan.seat(&wish.endpoint)?;
     seat.is_ready(clock::now()).then_some(seat.endpoint.said.address)
 }
 
-async fn ask_report(lead: &Rc<Lead>, wish: &Wish, address: SocketAddr) -> Result<Report, Broken> {
+async fn ask_report(
+    leader: &Rc<Leader>,
+    wish: &Wish,
+    address: SocketAddr,
+) -> Result<Report, Broken> {
     let request = endpoint::report_request(&wish.endpoint);
-    let reply = call(lead, wish, address, &request).await?;
+    let reply = call(leader, wish, address, &request).await?;
     if !reply.status.is_success() {
         return Err(Broken::Unfit("no report"));
     }
     endpoint::report(&reply.body).map_err(|_| Broken::Unfit("a report that cannot be read"))
 }
 
-fn has(lead: &Rc<Lead>, wish: &Wish, report: &Report) -> bool {
+fn has(leader: &Rc<Leader>, wish: &Wish, report: &Report) -> bool {
     let Some(held) = report.models.get(&wish.model) else { return false };
-    lead.learn_version(&wish.endpoint, &wish.model, *held);
+    leader.learn_version(&wish.endpoint, &wish.model, *held);
     *held >= wish.version && !report.busy
 }
 
 async fn give(
-    lead: &Rc<Lead>,
+    leader: &Rc<Leader>,
     wish: &Wish,
     address: SocketAddr,
     report: &Report,
@@ -234,13 +238,13 @@
         model: &wish.model,
         version: wish.version,
         runs,
-        holder: &lead.parts.settings.node,
-        fence: lead.epoch.0,
+        holder: &leader.context.settings.node,
+        fence: leader.epoch.0,
         sequence: report.sequence,
     };
-    lead.parts.followers.tell_replicas(&News::Ordered(wish.endpoint.clone()));
+    leader.context.followers.broadcast_to_replicas(&Update::Ordered(wish.endpoint.clone()));
     let request = endpoint::order(&order);
-    let taken = match call(lead, wish, address, &request).await {
+    let taken = match call(leader, wish, address, &request).await {
         Ok(reply) => endpoint::taken(reply.status),
         Err(error) => {
             tracing::info!(event = "order_unanswered", endpoint = wish.endpoint, %error);
@@ -253,7 +257,7 @@
         endpoint = wish.endpoint,
         model = wish.model,
         version = wish.version,
-        epoch = lead.epoch.0,
+        epoch = leader.epoch.0,
         sequence = report.sequence,
         ?runs,
         ?taken
@@ -273,13 +277,13 @@
     }
 }
 
-async fn await_loaded(lead: &Rc<Lead>, wish: &Wish) -> bool {
+async fn await_loaded(leader: &Rc<Leader>, wish: &Wish) -> bool {
     let until = clock::now() + LOAD_LIMIT.as_millis() as u64;
     tokio::time::sleep(LOAD).await;
     loop {
-        let Some(address) = address(lead, wish) else { return false };
-        if let Ok(report) = ask_report(lead, wish, address).await
-            && has(lead, wish, &report)
+        let Some(address) = address(leader, wish) else { return false };
+        if let Ok(report) = ask_report(leader, wish, address).await
+            && has(leader, wish, &report)
         {
             return true;
         }
@@ -291,13 +295,13 @@
 }
 
 async fn call(
-    lead: &Rc<Lead>,
+    leader: &Rc<Leader>,
     wish: &Wish,
     address: SocketAddr,
     request: &Request,
 ) -> Result<Reply, Broken> {
     let exchange = async {
-        let kept = lead.pool.borrow_mut().take(address, &wish.endpoint);
+        let kept = leader.pool.borrow_mut().take(address, &wish.endpoint);
         let connection = match kept {
             Some(connection) => connection,
             None => Connection::open(address, CALL).await?,
@@ -305,7 +309,7 @@
         let (reply, connection) = connection.start(request).await?.whole().await?;
         if let Some(connection) = connection {
             let stated = reply.headers.get("keep-alive");
-            lead.pool.borrow_mut().keep(address, &wish.endpoint, connection, stated);
+            leader.pool.borrow_mut().keep(address, &wish.endpoint, connection, stated);
         }
         Ok(reply)
     };
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -17,7 +17,7 @@
 use crate::frame::encode;
 use crate::frame::frames;
 use crate::message::Hello;
-use crate::message::Letter;
+use crate::message::ReplicaMessage;
 
 /// Messages that wait for one replica; further ones are dropped, as a network would.
 const QUEUE: usize = 512;
@@ -32,14 +32,14 @@
 const PAUSE: Duration = Duration::from_millis(50);
 /// How long what was sent may stay without a word from the other side. A connection can go silent
 /// for good while new ones work, something in between still taking its bytes; heartbeats lost that
-/// way depose a leader that is well. The other side answers within [`crate::hub::SEEN`].
+/// way depose a leader that is well. The other side answers within [`crate::link_server::SEEN`].
 const SILENT: Duration = Duration::from_millis(600);
 
 /// The ways to the other replicas, opened as they are needed.
 pub struct Peers {
     /// Where this process is; the other side is told.
     data_centre: String,
-    lanes: RefCell<BTreeMap<SocketAddr, mpsc::Sender<Letter>>>,
+    lanes: RefCell<BTreeMap<SocketAddr, mpsc::Sender<ReplicaMessage>>>,
 }
 
 impl Peers {
@@ -49,7 +49,7 @@
     }
 
     /// Sends a message. It may be lost; the replica repeats what matters.
-    pub fn send(&self, letter: Letter) {
+    pub fn send(&self, letter: ReplicaMessage) {
         let Ok(address) = letter.to.node.to_string().parse::<SocketAddr>() else {
             tracing::warn!(event = "peer_unreachable", to = %letter.to);
             return;
@@ -87,7 +87,11 @@
     }
 }
 
-async fn carry(address: SocketAddr, mut letters: mpsc::Receiver<Letter>, data_centre: String) {
+async fn carry(
+    address: SocketAddr,
+    mut letters: mpsc::Receiver<ReplicaMessage>,
+    data_centre: String,
+) {
     let mut lane: Option<Lane> = None;
     while let Some(letter) = letters.recv().await {
         if lane.as_mut().is_some_and(Lane::is_dead) {
@@ -114,8 +118,8 @@
 
 async fn pass_on(
     socket: &mut Framed<TcpStream, LengthDelimitedCodec>,
-    first: Letter,
-    letters: &mut mpsc::Receiver<Letter>,
+    first: ReplicaMessage,
+    letters: &mut mpsc::Receiver<ReplicaMessage>,
 ) -> std::io::Result<()> {
     socket.feed(encode(&first)).await?;
     while let Ok(letter) = letters.try_recv() {
--- a/components/node/src/core.rs
+++ b/components/node/src/replica.rs
@@ -53,7 +53,7 @@
 use tokio::sync::watch;
 
 use crate::clock;
-use crate::message::Letter;
+use crate::message::ReplicaMessage;
 use crate::peers::Peers;
 
 /// The replica is told about the time this often.
@@ -80,7 +80,7 @@
 
 /// The replica could not start.
 #[derive(Debug, Error)]
-pub enum CoreError {
+pub enum ReplicaError {
     /// Its data folder cannot be used.
     #[error(transparent)]
     Storage(#[from] StorageError),
@@ -102,7 +102,7 @@
 type Observer = Box<dyn Fn(&Command, Done)>;
 
 /// A replica with its disk and state.
-pub struct Core {
+pub struct LocalReplica {
     id: ReplicaId,
     replica: RefCell<Replica>,
     state: RefCell<State>,
@@ -124,9 +124,9 @@
     encoded: Sender<Report>,
 }
 
-impl Core {
+impl LocalReplica {
     /// Opens the data folder and starts the disk's thread. Gives the replica and what the disk
-    /// reports, which [`Core::run`] takes.
+    /// reports, which [`LocalReplica::run`] takes.
     ///
     /// # Errors
     ///
@@ -136,7 +136,7 @@
         own: SocketAddr,
         founders: &[SocketAddr],
         peers: Peers,
-    ) -> Result<(Rc<Self>, Receiver<Report>), CoreError> {
+    ) -> Result<(Rc<Self>, Receiver<Report>), ReplicaError> {
         let kept = StorageSettings { segment: SEGMENT, kept: TAIL, identity: new_identity() };
         let (storage, recovered) = Storage::open(folder, kept, Disk::default())?;
         let id = ReplicaId::new(Node::from(own.to_string().as_str()), recovered.identity);
@@ -166,8 +166,8 @@
         std::thread::Builder::new()
             .name("disk".to_owned())
             .spawn(move || disk::run(storage, jobs_end, &reports, GROUP))
-            .map_err(CoreError::Thread)?;
-        let core = Self {
+            .map_err(ReplicaError::Thread)?;
+        let replica = Self {
             id,
             replica: RefCell::new(replica),
             state: RefCell::new(state),
@@ -187,7 +187,7 @@
             taking: Cell::default(),
             encoded,
         };
-        Ok((Rc::new(core), reports_end))
+        Ok((Rc::new(replica), reports_end))
     }
 
     /// Lets time pass and takes the disk's reports, until the disk's thread ends.
@@ -302,7 +302,7 @@
     }
 
     /// Takes a message of another replica.
-    pub fn receive(&self, letter: Letter) {
+    pub fn receive(&self, letter: ReplicaMessage) {
         self.tell(Event::Message(letter));
     }
 
--- a/components/node/src/runner/carry.rs
+++ b/components/node/src/runner/execute.rs
@@ -24,7 +24,7 @@
 use crate::clock;
 use crate::crashes::has_crashed;
 use crate::forward::Outcome;
-use crate::forward::User;
+use crate::forward::Requester;
 
 /// How long a connection to an engine may take to come about.
 const CONNECT: Duration = Duration::from_millis(250);
@@ -41,7 +41,7 @@
 const URGENCY: u8 = 5;
 
 /// Runs a sample, calls its scorer, and notes how that stands.
-pub(super) async fn carry_out(runner: Rc<Runner>, job: Rc<Job>, state: Rc<State>) {
+pub(super) async fn execute(runner: Rc<Runner>, job: Rc<Job>, state: Rc<State>) {
     // The caller notes the run before this goes on.
     tokio::task::yield_now().await;
     let end = match try_run(&runner, &job, &state).await {
@@ -206,7 +206,7 @@
         let limit = route.timeout_ms.unwrap_or(SCORE_MS).min(SCORE_MS);
         // A call may ask several endpoints, for seconds, so it ends with the leader's sign.
         let workspace = job.workspace.as_deref().unwrap_or_default();
-        let user = User { workspace, rank: route.priority, ticket: None };
+        let user = Requester { workspace, rank: route.priority, usage: None };
         let mut pass = pin!(runner.forwarder.forward(route, &request, budget, limit, user));
         let called = loop {
             tokio::select! {
--- a/components/node/src/runner/mod.rs
+++ b/components/node/src/runner/mod.rs
@@ -1,6 +1,6 @@
 //! Hosts runs: takes orders, has them carried out, and tells the leader.
 
-mod carry;
+mod execute;
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -24,7 +24,7 @@
 use crate::clock;
 use crate::forward::Budget;
 use crate::forward::Forwarder;
-use crate::message::Up;
+use crate::message::MemberMessage;
 use crate::view::View;
 
 /// How often the leader is told of progress; what it was not told is lost with this host.
@@ -96,7 +96,7 @@
 /// Where reports go: to the leader's connection, or within the leader's own process.
 #[derive(Clone)]
 enum Sink {
-    Link(mpsc::Sender<Up>),
+    Link(mpsc::Sender<MemberMessage>),
     Own(Rc<dyn Fn(&Report)>),
 }
 
@@ -116,7 +116,7 @@
     }
 
     /// Tells a leader that was just found of all runs, and of what happens to them from now on.
-    pub fn attach(&self, up: mpsc::Sender<Up>) {
+    pub fn attach(&self, up: mpsc::Sender<MemberMessage>) {
         *self.sink.borrow_mut() = Some(Sink::Link(up));
         self.attached.set(clock::now());
         self.tell_all();
@@ -127,12 +127,12 @@
     fn beat(&self) {
         if let Some(Sink::Link(up)) = &*self.sink.borrow() {
             // A full queue says that this process lives, too.
-            let _ = up.try_send(Up::Beat { clock: clock::now(), wall: clock::wall() });
+            let _ = up.try_send(MemberMessage::Beat { clock: clock::now(), wall: clock::wall() });
         }
     }
 
     /// Notes a sign of the leader: it led after this host's clock read `heard`.
-    pub fn led(&self, heard: Millis) {
+    pub fn record_leader_sign(&self, heard: Millis) {
         self.led.set(self.led.get().max(heard));
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// Tells the leader's duties in this process.
-    pub fn attach_own(&self, tell: impl Fn(&Report) + 'static) {
+    pub fn attach_local(&self, tell: impl Fn(&Report) + 'static) {
         *self.sink.borrow_mut() = Some(Sink::Own(Rc::new(tell)));
     }
 
@@ -175,12 +175,12 @@
     }
 
     /// Takes work of this process's own duties.
-    pub fn take(self: &Rc<Self>, work: Work) {
-        self.take_order(work, 0);
+    pub fn handle_local(self: &Rc<Self>, work: Work) {
+        self.handle_order(work, 0);
     }
 
     /// Takes work that the leader gave, `age_ms` ago at most.
-    pub fn take_order(self: &Rc<Self>, work: Work, age_ms: u64) {
+    pub fn handle_order(self: &Rc<Self>, work: Work, age_ms: u64) {
         match work {
             Work::Run(job) if age_ms > ORDER_MS => self.refuse(&job, age_ms),
             Work::Run(job) => {
@@ -222,7 +222,7 @@
         let sink = self.sink.borrow();
         let Some(Sink::Link(up)) = &*sink else { return };
         let owed = self.all().iter().any(|hosted| hosted.state.owed.get());
-        self.owes_word.set(owed || up.try_send(Up::Reported).is_err());
+        self.owes_word.set(owed || up.try_send(MemberMessage::Reported).is_err());
     }
 
     /// Gives all runs. Telling of one may stop another within the leader's own process, so they
@@ -256,7 +256,7 @@
         };
         if let Some(Sink::Link(up)) = &*self.sink.borrow() {
             // Without this word the leader begins the sample anew when nothing is heard of it.
-            let _ = up.try_send(Up::Report(report));
+            let _ = up.try_send(MemberMessage::Report(report));
         }
     }
 
@@ -280,7 +280,7 @@
             told_spent: RefCell::new(job.cost.scorer.clone()),
         });
         let job = Rc::new(job);
-        let handle = actix_rt::spawn(carry::carry_out(self.clone(), job.clone(), state.clone()));
+        let handle = actix_rt::spawn(execute::execute(self.clone(), job.clone(), state.clone()));
         let hosted = Rc::new(Hosted { job, handle, state });
         self.hosted.borrow_mut().insert(key, hosted);
     }
@@ -346,7 +346,7 @@
         let spent = report.cost.scorer.clone();
         let sink = self.sink.borrow().clone();
         let sent = match sink {
-            Some(Sink::Link(up)) => up.try_send(Up::Report(report)).is_ok(),
+            Some(Sink::Link(up)) => up.try_send(MemberMessage::Report(report)).is_ok(),
             Some(Sink::Own(tell)) => {
                 drop(made);
                 tell(&report);
--- a/components/node/src/settings.rs
+++ b/components/node/src/settings.rs
@@ -147,7 +147,7 @@
     }
 
     /// Gives the addresses at which the seeds take links.
-    pub fn seed_links(&self) -> Vec<SocketAddr> {
+    pub fn seed_link_addresses(&self) -> Vec<SocketAddr> {
         self.seeds.iter().map(|seed| self.link_address(*seed)).collect()
     }
 
@@ -167,12 +167,12 @@
     }
 
     /// Gives the address to listen on for an address at which others reach this process.
-    pub fn listening(&self, reached: SocketAddr) -> SocketAddr {
+    pub fn listen_address(&self, reached: SocketAddr) -> SocketAddr {
         SocketAddr::new(self.listen_ip.unwrap_or(reached.ip()), reached.port())
     }
 
     /// Gives the address at which this process takes links.
-    pub fn own_link(&self) -> SocketAddr {
+    pub fn own_link_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.link_port)
     }
 }
--- a/components/node/src/start.rs
+++ b/components/node/src/start.rs
@@ -26,23 +26,23 @@
 
 use crate::clock;
 use crate::control::Control;
-use crate::core::Core;
-use crate::core::CoreError;
 use crate::entry;
 use crate::entry::Entry;
 use crate::followers::Followers;
 use crate::forward::Forwarder;
 use crate::frame;
-use crate::hub::Hub;
-use crate::lead::Lead;
-use crate::lead::Parts;
+use crate::leader::Context;
+use crate::leader::Leader;
 use crate::link::Link;
 use crate::link::Member;
+use crate::link_server::LinkServer;
 use crate::members;
 use crate::metrics;
 use crate::parts;
 use crate::peers::Peers;
 use crate::ready::Readiness;
+use crate::replica::LocalReplica;
+use crate::replica::ReplicaError;
 use crate::runner::Runner;
 use crate::settings;
 use crate::settings::Settings;
@@ -81,7 +81,7 @@
     Settings(#[from] SettingsError),
     /// The replica could not start.
     #[error(transparent)]
-    Core(#[from] CoreError),
+    LocalReplica(#[from] ReplicaError),
     /// The depot could not start.
     #[error(transparent)]
     Depot(#[from] DepotError),
@@ -118,10 +118,10 @@
     view: Rc<View>,
     forwarder: Rc<Forwarder>,
     runner: Rc<Runner>,
-    lead: Rc<RefCell<Option<Rc<Lead>>>>,
+    leader: Rc<RefCell<Option<Rc<Leader>>>>,
     stopping: Rc<Cell<bool>>,
     server: Rc<Server>,
-    core: Option<Rc<Core>>,
+    replica: Option<Rc<LocalReplica>>,
     depot_failed: Option<oneshot::Receiver<DepotError>>,
 }
 
@@ -130,7 +130,7 @@
     let mut interrupt = signal(SignalKind::interrupt()).map_err(StartError::Signals)?;
     let mut reload = signal(SignalKind::hangup()).map_err(StartError::Signals)?;
     let mut process = Process::start(settings)?;
-    let mut failed = process.core.as_ref().map(|core| core.failed());
+    let mut failed = process.replica.as_ref().map(|replica| replica.failed());
     let depot_failed = process.depot_failed.take();
     let depot_failed = async {
         match depot_failed {
@@ -190,16 +190,16 @@
         let member = Member {
             node: settings.node.clone(),
             data_centre: settings.data_centre.clone(),
-            address: settings.own_link(),
+            address: settings.own_link_address(),
             replica: settings.data.is_some() && settings.control.is_some(),
             runner: depot.is_some().then(|| runner.clone()),
             depot: depot.clone(),
         };
-        let link = Link::new(member, view.clone(), settings.seed_links());
+        let link = Link::new(member, view.clone(), settings.seed_link_addresses());
         let process = Self {
-            lead: Rc::default(),
+            leader: Rc::default(),
             runner,
-            core: None,
+            replica: None,
             depot_failed,
             stopping: Rc::default(),
             server: Rc::default(),
@@ -209,26 +209,27 @@
             forwarder,
         };
         let (server, forwarder) = (process.server.clone(), process.forwarder.clone());
-        process.view.listen(move |news| {
+        process.view.subscribe(move |news| {
             entry::follow_limits(&server, news);
-            forwarder.learn(news);
+            forwarder.apply(news);
         });
         if process.settings.data.is_some() {
             actix_rt::spawn(process.runner.clone().run());
         }
-        let core = process.start_core()?;
+        let replica = process.start_core()?;
         if let Some(depot) = depot {
-            let listener = listen(process.settings.listening(process.settings.own_link()))?;
+            let listener =
+                listen(process.settings.listen_address(process.settings.own_link_address()))?;
             actix_rt::spawn(parts::serve(listener, depot));
         }
         process.start_control()?;
         process.start_entry()?;
         process.start_ready()?;
-        process.start_metrics(core.clone())?;
+        process.start_metrics(replica.clone())?;
         let link = process.link.clone();
         actix_rt::spawn(async move { link.run().await });
         let (forwarder, link) = (process.forwarder.clone(), process.link.clone());
-        actix_rt::spawn(async move { forwarder.tell_crashes(link).await });
+        actix_rt::spawn(async move { forwarder.report_crashes(link).await });
         let forwarder = process.forwarder.clone();
         actix_rt::spawn(async move {
             loop {
@@ -238,52 +239,52 @@
         });
         let settings = &process.settings;
         tracing::info!(event = "started", node = settings.node, ip = %settings.ip,
-            first_start = settings.first_start, replica = core.is_some(),
+            first_start = settings.first_start, replica = replica.is_some(),
             entry = settings.entry.is_some(), seeds = ?settings.seeds);
-        Ok(Self { core, ..process })
+        Ok(Self { replica, ..process })
     }
 
-    fn start_core(&self) -> Result<Option<Rc<Core>>, StartError> {
+    fn start_core(&self) -> Result<Option<Rc<LocalReplica>>, StartError> {
         let settings = &self.settings;
         let (Some(data), Some(_)) = (&settings.data, settings.control) else { return Ok(None) };
-        let own = settings.own_link();
-        let listener = listen(settings.listening(own))?;
-        let seeds = settings.seed_links();
+        let own = settings.own_link_address();
+        let listener = listen(settings.listen_address(own))?;
+        let seeds = settings.seed_link_addresses();
         let founds = settings.first_start && seeds.contains(&own);
         let founders = if founds { seeds } else { Vec::new() };
         let folder = data.join(FOLDER);
-        let (core, reports) =
-            match Core::open(&folder, own, &founders, Peers::new(&settings.data_centre)) {
-                Err(CoreError::Storage(damage @ StorageError::Corrupt { .. })) => {
+        let (replica, reports) =
+            match LocalReplica::open(&folder, own, &founders, Peers::new(&settings.data_centre)) {
+                Err(ReplicaError::Storage(damage @ StorageError::Corrupt { .. })) => {
                     set_aside(&folder, &damage)?;
-                    Core::open(&folder, own, &[], Peers::new(&settings.data_centre))?
+                    LocalReplica::open(&folder, own, &[], Peers::new(&settings.data_centre))?
                 }
                 opened => opened?,
             };
-        let running = core.clone();
+        let running = replica.clone();
         actix_rt::spawn(async move { running.run(reports).await });
-        let lead = self.lead.clone();
+        let leader = self.leader.clone();
         let traffic = Traffic::new(&settings.data_centre);
         let followers = Rc::new(Followers::new(traffic.clone()));
-        let hub = Hub {
-            core: core.clone(),
-            lead: lead.clone(),
+        let link_server = LinkServer {
+            replica: replica.clone(),
+            leader: leader.clone(),
             followers: followers.clone(),
             traffic: traffic.clone(),
         };
         actix_rt::spawn(traffic::report_on(traffic));
-        actix_rt::spawn(Rc::new(hub).run(listener));
-        actix_rt::spawn(members::ask(core.clone(), self.link.clone()));
+        actix_rt::spawn(Rc::new(link_server).run(listener));
+        actix_rt::spawn(members::ask(replica.clone(), self.link.clone()));
         actix_rt::spawn(lead_when_elected(
-            core.clone(),
-            lead,
+            replica.clone(),
+            leader,
             followers,
             settings.clone(),
             self.forwarder.clone(),
             self.runner.clone(),
             self.view.clone(),
         ));
-        Ok(Some(core))
+        Ok(Some(replica))
     }
 
     fn start_control(&self) -> Result<(), StartError> {
@@ -294,24 +295,24 @@
             own: address,
             hearing: RefCell::default(),
         });
-        actix_rt::spawn(control.clone().tell_on());
-        let address = self.settings.listening(address);
+        actix_rt::spawn(control.clone().report_periodically());
+        let address = self.settings.listen_address(address);
         let server = Rc::new(Server::default());
         serve(server, address, move |request| control.clone().answer(request))
     }
 
     fn start_entry(&self) -> Result<(), StartError> {
         let Some(address) = self.settings.entry else { return Ok(()) };
-        let address = self.settings.listening(address);
+        let address = self.settings.listen_address(address);
         let near = Some(self.settings.data_centre.clone());
         let near = near.filter(|_| self.settings.policy.near_reads).unwrap_or_default();
-        let kept = if self.settings.policy.kept_results { entry::RECENT } else { 0 };
+        let kept = if self.settings.policy.kept_results { entry::RECENT_RESULTS_BYTES } else { 0 };
         let usage = self
             .settings
             .usage_address()
             .map(|_| Usage::new(&self.settings.node, self.settings.windows(), self.view.clone()));
         if let Some(usage) = &usage {
-            actix_rt::spawn(usage.clone().tell_on(self.link.clone()));
+            actix_rt::spawn(usage.clone().report_periodically(self.link.clone()));
         }
         let stall = Rc::new(Stall::new(clock::now()));
         let watched = stall.clone();
@@ -333,7 +334,7 @@
 
     fn start_ready(&self) -> Result<(), StartError> {
         let Some(address) = self.settings.ready else { return Ok(()) };
-        let address = self.settings.listening(address);
+        let address = self.settings.listen_address(address);
         let readiness = Rc::new(Readiness {
             view: self.view.clone(),
             link: self.link.clone(),
@@ -345,11 +346,14 @@
         })
     }
 
-    fn start_metrics(&self, core: Option<Rc<Core>>) -> Result<(), StartError> {
+    fn start_metrics(&self, replica: Option<Rc<LocalReplica>>) -> Result<(), StartError> {
         let Some(address) = self.settings.metrics else { return Ok(()) };
-        let sources =
-            Rc::new(metrics::Sources { link: self.link.clone(), core, lead: self.lead.clone() });
-        serve(Rc::new(Server::default()), self.settings.listening(address), move |request| {
+        let sources = Rc::new(metrics::Sources {
+            link: self.link.clone(),
+            replica,
+            leader: self.leader.clone(),
+        });
+        serve(Rc::new(Server::default()), self.settings.listen_address(address), move |request| {
             let sources = sources.clone();
             async move { metrics::answer(&sources, &request) }
         })
@@ -358,7 +362,7 @@
     fn reload(&self, path: &Path, signalled: bool) {
         match settings::load(path) {
             Ok(new) => {
-                self.link.set_seeds(new.seed_links());
+                self.link.set_seeds(new.seed_link_addresses());
                 tracing::info!(event = "reloaded", signalled, seeds = ?new.seeds);
             }
             // The settings read before stay in force: a half-written file must stop nothing.
@@ -371,9 +375,9 @@
         self.stopping.set(true);
         self.server.close();
         tracing::info!(event = "draining", in_progress = self.server.busy());
-        if let Some(core) = &self.core {
-            core.hand_over();
-            while core.leads() && clock::now().since(began) < HAND_OVER_MS {
+        if let Some(replica) = &self.replica {
+            replica.hand_over();
+            while replica.leads() && clock::now().since(began) < HAND_OVER_MS {
                 tokio::time::sleep(DRAIN_LOOK).await;
             }
         }
@@ -442,15 +446,15 @@
 
 /// Takes up the leader's duties whenever this process is elected, and lays them down.
 async fn lead_when_elected(
-    core: Rc<Core>,
-    slot: Rc<RefCell<Option<Rc<Lead>>>>,
+    replica: Rc<LocalReplica>,
+    slot: Rc<RefCell<Option<Rc<Leader>>>>,
     followers: Rc<Followers>,
     settings: Rc<Settings>,
     forwarder: Rc<Forwarder>,
     runner: Rc<Runner>,
     view: Rc<View>,
 ) {
-    let mut leading = core.leading();
+    let mut leading = replica.leading();
     loop {
         let epoch = *leading.borrow_and_update();
         let before = slot.borrow_mut().take();
@@ -458,14 +462,14 @@
             before.stop();
         }
         if let Some(epoch) = epoch {
-            let parts = Parts {
-                core: core.clone(),
+            let context = Context {
+                replica: replica.clone(),
                 followers: followers.clone(),
                 settings: settings.clone(),
                 forwarder: forwarder.clone(),
                 runner: runner.clone(),
             };
-            *slot.borrow_mut() = Some(Lead::start(parts, epoch, &view));
+            *slot.borrow_mut() = Some(Leader::start(context, epoch, &view));
         }
         if leading.changed().await.is_err() {
             return;
--- a/components/node/src/traffic.rs
+++ b/components/node/src/traffic.rs
@@ -19,7 +19,7 @@
 
 /// Which way a message went.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Way {
+pub enum Direction {
     /// From the process that took the link.
     Out,
     /// To it.
@@ -39,9 +39,9 @@
     }
 
     /// Counts a message.
-    pub fn count(&self, kind: &'static str, way: Way, there: &str, bytes: usize) {
+    pub fn count(&self, kind: &'static str, way: Direction, there: &str, bytes: usize) {
         let here = self.data_centre.as_str();
-        let (from, to) = if way == Way::Out { (here, there) } else { (there, here) };
+        let (from, to) = if way == Direction::Out { (here, there) } else { (there, here) };
         let bytes = (bytes + FRAME_BYTES) as u64;
         metrics::LINK_BYTES.with_label_values(&[kind, from, to]).inc_by(bytes);
         *self.sums.borrow_mut().entry((kind, here != there)).or_default() += bytes;
--- a/components/node/src/usage.rs
+++ b/components/node/src/usage.rs
@@ -30,14 +30,14 @@
     }
 
     /// Notes that a request of a workspace came.
-    pub fn came(self: &Rc<Self>, workspace: &str) -> Ticket {
+    pub fn came(self: &Rc<Self>, workspace: &str) -> RequestUsage {
         let came = self.windows.at(self.view.wall());
         self.meter.borrow_mut().came(came);
-        Ticket { usage: self.clone(), workspace: workspace.to_owned(), came, began: None }
+        RequestUsage { usage: self.clone(), workspace: workspace.to_owned(), came, began: None }
     }
 
     /// Tells the leader for as long as the process lives.
-    pub async fn tell_on(self: Rc<Self>, link: Rc<Link>) {
+    pub async fn report_periodically(self: Rc<Self>, link: Rc<Link>) {
         let mut told_on = 0;
         loop {
             tokio::time::sleep(TELL).await;
@@ -51,7 +51,7 @@
             }
             let told = self.meter.borrow_mut().tell(self.windows.at(self.view.wall()));
             if let Some(told) = told
-                && !link.tell_used(told)
+                && !link.report_usage(told)
             {
                 // It is told as on a new connection.
                 told_on = 0;
@@ -61,21 +61,21 @@
 }
 
 /// A request of a workspace that is under way. Dropped, it is counted if it began to run.
-pub struct Ticket {
+pub struct RequestUsage {
     usage: Rc<Usage>,
     workspace: String,
     came: u64,
     began: Option<u64>,
 }
 
-impl Ticket {
+impl RequestUsage {
     /// Notes that the request began to run when the steady clock read `at`.
     pub fn began(&mut self, at: Millis) {
         self.began = Some(self.usage.windows.at(self.usage.view.wall_at(at)));
     }
 }
 
-impl Drop for Ticket {
+impl Drop for RequestUsage {
     fn drop(&mut self) {
         self.usage.meter.borrow_mut().ended(self.came, &self.workspace, self.began);
     }
--- a/components/node/src/view.rs
+++ b/components/node/src/view.rs
@@ -14,9 +14,9 @@
 use chicoryford_types::Unix;
 
 use crate::clock;
-use crate::message::News;
+use crate::message::Update;
 
-type Listener = Box<dyn Fn(&News)>;
+type Listener = Box<dyn Fn(&Update)>;
 
 /// What a member believes.
 pub struct View {
@@ -43,36 +43,36 @@
 
 impl View {
     /// Calls `listener` after each piece of news.
-    pub fn listen(&self, listener: impl Fn(&News) + 'static) {
+    pub fn subscribe(&self, listener: impl Fn(&Update) + 'static) {
         self.listeners.borrow_mut().push(Box::new(listener));
     }
 
     /// Takes in a piece of news.
-    pub fn learn(&self, news: News) {
+    pub fn apply(&self, news: Update) {
         match &news {
-            News::Config(config) => {
+            Update::Config(config) => {
                 if !self.take_config(config) {
                     return;
                 }
             }
-            News::Endpoint(endpoint) => {
+            Update::Endpoint(endpoint) => {
                 let id = endpoint.said.id.clone();
                 self.endpoints.borrow_mut().insert(id, endpoint.clone());
             }
-            News::Forgotten(id) => {
+            Update::Forgotten(id) => {
                 self.endpoints.borrow_mut().remove(id);
                 self.ordered.borrow_mut().remove(id);
             }
-            News::Whole(known) => {
+            Update::Whole(known) => {
                 self.endpoints.borrow_mut().retain(|id, _| known.contains(id));
                 self.ordered.borrow_mut().retain(|id, _| known.contains(id));
             }
-            News::Ordered(id) => {
+            Update::Ordered(id) => {
                 self.ordered.borrow_mut().insert(id.clone(), clock::now());
             }
             // Whoever forwards requests listens.
-            News::Refused(_) => {}
-            News::Controls(controls) => *self.controls.borrow_mut() = controls.clone(),
+            Update::Refused(_) => {}
+            Update::Controls(controls) => *self.controls.borrow_mut() = controls.clone(),
         }
         for listener in self.listeners.borrow().iter() {
             listener(&news);
@@ -94,7 +94,7 @@
     }
 
     /// Takes in the time of day as the leader told it.
-    pub fn tell_time(&self, wall: Unix) {
+    pub fn set_wall_clock(&self, wall: Unix) {
         self.time.borrow_mut().tell(wall, clock::now());
     }
 
--- a/components/node/src/waiting.rs
+++ b/components/node/src/wait_queues.rs
@@ -13,12 +13,12 @@
 
 /// The lines of all services.
 #[derive(Default)]
-pub struct Lines {
+pub struct WaitQueues {
     all: RefCell<BTreeMap<String, Line>>,
     moved: Notify,
 }
 
-impl Lines {
+impl WaitQueues {
     /// Tells whether a request that comes now waits.
     pub fn is_closed(&self, service: &str) -> bool {
         self.all.borrow().get(service).is_some_and(|line| line.is_closed(clock::now()))
@@ -72,7 +72,7 @@
 
 /// A request in its line; dropped, it leaves.
 struct Stay<'a> {
-    lines: &'a Lines,
+    lines: &'a WaitQueues,
     service: &'a str,
     place: Place,
 }
--- a/components/node/tests/crashes.rs
+++ b/components/node/tests/crashes.rs
@@ -20,8 +20,8 @@
 use chicoryford_node::forward::Budget;
 use chicoryford_node::forward::Forwarder;
 use chicoryford_node::forward::Outcome;
-use chicoryford_node::forward::User;
-use chicoryford_node::message::News;
+use chicoryford_node::forward::Requester;
+use chicoryford_node::message::Update;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
@@ -70,7 +70,7 @@
 async fn forwarder(endpoints: usize, does: Does) -> (Rc<Forwarder>, Asked) {
     let (forwarder, asked) = (Forwarder::new(Policy::default()), Asked::default());
     for number in 0..endpoints {
-        forwarder.learn(&News::Endpoint(crashing(number, does, asked.clone()).await));
+        forwarder.apply(&Update::Endpoint(crashing(number, does, asked.clone()).await));
     }
     (forwarder, asked)
 }
@@ -85,7 +85,8 @@
 async fn send(forwarder: &Forwarder, body: &'static str) -> Outcome {
     let route = route("desk", Kind::Idempotent, 2);
     let budget = Budget::new(clock::now() + 1_000);
-    let outcome = forwarder.forward(&route, &request(body), &budget, 1_000, User::default()).await;
+    let outcome =
+        forwarder.forward(&route, &request(body), &budget, 1_000, Requester::default()).await;
     // Until it is known whether endpoints have crashed.
     tokio::time::sleep(Duration::from_millis(200)).await;
     outcome
@@ -119,7 +120,7 @@
 async fn a_content_that_the_fleet_refuses_is_sent_to_no_endpoint() {
     let (forwarder, asked) = forwarder(2, Does::Close).await;
     let content = crashes::content(&request("bad"), "");
-    forwarder.learn(&News::Refused(BTreeSet::from([content])));
+    forwarder.apply(&Update::Refused(BTreeSet::from([content])));
     assert!(matches!(send(&forwarder, "bad").await, Outcome::NotRun(..)));
     assert!(asked.borrow().is_empty());
 }
--- a/components/node/tests/entry.rs
+++ b/components/node/tests/entry.rs
@@ -30,7 +30,7 @@
 use chicoryford_node::forward::Forwarder;
 use chicoryford_node::link::Link;
 use chicoryford_node::link::Member;
-use chicoryford_node::message::News;
+use chicoryford_node::message::Update;
 use chicoryford_node::stall::Stall;
 use chicoryford_node::view::View;
 use chicoryford_types::Millis;
@@ -68,7 +68,7 @@
 fn entry() -> Rc<Entry> {
     let (view, forwarder) = (Rc::new(View::default()), Forwarder::new(Policy::default()));
     let learns = forwarder.clone();
-    view.listen(move |news| learns.learn(news));
+    view.subscribe(move |news| learns.apply(news));
     let member = Member {
         node: "f".to_owned(),
         data_centre: "z".to_owned(),
@@ -100,8 +100,8 @@
     let view = entry.view.clone();
     actix_rt::spawn(async move {
         tokio::time::sleep(Duration::from_millis(300)).await;
-        view.learn(News::Config(Arc::new(config())));
-        view.learn(News::Endpoint(endpoint));
+        view.apply(Update::Config(Arc::new(config())));
+        view.apply(Update::Endpoint(endpoint));
     });
     let mut request = Request::new(Method::POST, "/desk/1", "");
     request.headers.set("host", "h");
@@ -122,8 +122,8 @@
 async fn time_in_which_a_request_lay_unread_is_not_handed_on() {
     let (entry, ends) = (entry(), Rc::default());
     let endpoint = noting(Rc::clone(&ends)).await;
-    entry.view.learn(News::Config(Arc::new(config())));
-    entry.view.learn(News::Endpoint(endpoint));
+    entry.view.apply(Update::Config(Arc::new(config())));
+    entry.view.apply(Update::Endpoint(endpoint));
     let (watched, stall) = (entry.stall.clone(), Duration::from_millis(900));
     actix_rt::spawn(async move { watched.watch().await });
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/components/node/tests/forward.rs
+++ b/components/node/tests/forward.rs
@@ -21,8 +21,8 @@
 use chicoryford_node::forward::Budget;
 use chicoryford_node::forward::Forwarder;
 use chicoryford_node::forward::Outcome;
-use chicoryford_node::forward::User;
-use chicoryford_node::message::News;
+use chicoryford_node::forward::Requester;
+use chicoryford_node::message::Update;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
@@ -100,7 +100,7 @@
     for (number, stub) in stubs.iter().enumerate() {
         let slots = if number == 0 { 1_000 } else { 1 };
         let endpoint = endpoint("desk", &format!("i{number}"), stub.address, slots);
-        forwarder.learn(&News::Endpoint(endpoint));
+        forwarder.apply(&Update::Endpoint(endpoint));
     }
     forwarder
 }
@@ -122,7 +122,8 @@
     let budget = Budget::new(clock::now() + budget_ms);
     let (route, request) = (route("desk", kind, attempts), request());
     let forwarder = forwarder(stubs);
-    let outcome = forwarder.forward(&route, &request, &budget, budget_ms, User::default()).await;
+    let outcome =
+        forwarder.forward(&route, &request, &budget, budget_ms, Requester::default()).await;
     (outcome, budget.spent().failures)
 }
 
--- a/components/node/tests/hosts.rs
+++ b/components/node/tests/hosts.rs
@@ -20,8 +20,8 @@
     let followers = Rc::new(Followers::new(Traffic::new("here")));
     let runner = Runner::new(Rc::new(View::default()), Forwarder::new(Policy::default()));
     let hosts = Hosts::new(followers, runner, true);
-    hosts.found("a", "here", 1);
-    hosts.found("b", "there", 2);
+    hosts.reported("a", "here", 1);
+    hosts.reported("b", "there", 2);
     hosts
 }
 
@@ -36,9 +36,9 @@
 fn a_host_that_is_behind_is_given_nothing_while_another_is_not() {
     let hosts = hosts();
     assert_eq!(chosen(&hosts), BTreeSet::from(["a".to_owned()]), "the nearest one");
-    hosts.behind("a");
+    hosts.mark_overloaded("a");
     assert_eq!(chosen(&hosts), BTreeSet::from(["b".to_owned()]));
-    hosts.behind("b");
+    hosts.mark_overloaded("b");
     let both = BTreeSet::from(["a".to_owned(), "b".to_owned()]);
     assert!(chosen(&hosts).is_subset(&both), "one that is behind is better than none");
 }
@@ -48,11 +48,11 @@
 #[tokio::test]
 async fn a_host_that_is_telling_is_not_gone() {
     let hosts = hosts();
-    hosts.lost("a", 1, false);
+    hosts.disconnected("a", 1, false);
     hosts.connecting("a", 3);
     tokio::time::sleep(ABSENT).await;
-    assert_eq!(hosts.gone(), Vec::<String>::new());
-    hosts.lost("a", 3, false);
+    assert_eq!(hosts.take_expired(), Vec::<String>::new());
+    hosts.disconnected("a", 3, false);
     tokio::time::sleep(ABSENT).await;
-    assert_eq!(hosts.gone(), ["a".to_owned()]);
+    assert_eq!(hosts.take_expired(), ["a".to_owned()]);
 }
--- a/components/node/tests/lead/fleet.rs
+++ b/components/node/tests/leader/fleet.rs
@@ -29,17 +29,17 @@
 use chicoryford_fleet::run::Work;
 use chicoryford_node::Settings;
 use chicoryford_node::clock;
-use chicoryford_node::core::Core;
 use chicoryford_node::followers::Followers;
 use chicoryford_node::forward::Forwarder;
 use chicoryford_node::frame::encode;
-use chicoryford_node::hub::Hub;
-use chicoryford_node::lead::Lead;
-use chicoryford_node::lead::Parts;
+use chicoryford_node::leader::Context;
+use chicoryford_node::leader::Leader;
+use chicoryford_node::link_server::LinkServer;
 use chicoryford_node::message::Answer;
 use chicoryford_node::message::Call;
-use chicoryford_node::message::Up;
+use chicoryford_node::message::MemberMessage;
 use chicoryford_node::peers::Peers;
+use chicoryford_node::replica::LocalReplica;
 use chicoryford_node::runner::Runner;
 use chicoryford_node::traffic::Traffic;
 use chicoryford_node::view::View;
@@ -62,9 +62,9 @@
 /// One control process, whose replica is alone and so leads.
 pub struct Fleet {
     settings: Rc<Settings>,
-    pub core: Rc<Core>,
+    pub replica: Rc<LocalReplica>,
     pub followers: Rc<Followers>,
-    pub slot: Rc<RefCell<Option<Rc<Lead>>>>,
+    pub slot: Rc<RefCell<Option<Rc<Leader>>>>,
     epoch: Cell<Epoch>,
     pub links: SocketAddr,
     _folder: TempDir,
@@ -81,70 +81,70 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let links = listener.local_addr().unwrap();
         let settings = Rc::new(change(settings(links)));
-        let (core, reports) =
-            Core::open(folder.path(), links, &[links], Peers::new("here")).unwrap();
-        let running = core.clone();
+        let (replica, reports) =
+            LocalReplica::open(folder.path(), links, &[links], Peers::new("here")).unwrap();
+        let running = replica.clone();
         actix_rt::spawn(async move { running.run(reports).await });
         let traffic = Traffic::new("here");
         let followers = Rc::new(Followers::new(traffic.clone()));
-        let slot: Rc<RefCell<Option<Rc<Lead>>>> = Rc::default();
-        let hub = Hub {
-            core: core.clone(),
-            lead: slot.clone(),
+        let slot: Rc<RefCell<Option<Rc<Leader>>>> = Rc::default();
+        let link_server = LinkServer {
+            replica: replica.clone(),
+            leader: slot.clone(),
             followers: followers.clone(),
             traffic: traffic.clone(),
         };
-        actix_rt::spawn(Rc::new(hub).run(listener));
-        until("the replica leads", || core.leads()).await;
-        let epoch = Cell::new(core.leading().borrow().unwrap());
-        let fleet = Self { settings, core, followers, slot, epoch, links, _folder: folder };
-        fleet.next_lead();
-        let configured = fleet.lead().commit(Command::Configure(Arc::new(config()))).await;
+        actix_rt::spawn(Rc::new(link_server).run(listener));
+        until("the replica leads", || replica.leads()).await;
+        let epoch = Cell::new(replica.leading().borrow().unwrap());
+        let fleet = Self { settings, replica, followers, slot, epoch, links, _folder: folder };
+        fleet.next_leader();
+        let configured = fleet.leader().commit(Command::Configure(Arc::new(config()))).await;
         assert!(matches!(configured, Answer::Done), "{configured:?}");
         fleet
     }
 
     /// Starts one whose step "a" was accepted by the leader before, and has been read by this one.
-    pub async fn taken_over() -> (Self, Rc<Lead>, Member) {
+    pub async fn taken_over() -> (Self, Rc<Leader>, Member) {
         let (fleet, kept) = (Self::start().await, Kept::default());
         let store = fleet.store(&kept).await;
         fleet.submit("a").await;
         drop(store);
-        let lead = fleet.next_lead();
+        let leader = fleet.next_leader();
         let store = fleet.store(&kept).await;
-        until("the step is read", || lead.plan.borrow().has("a")).await;
-        (fleet, lead, store)
+        until("the step is read", || leader.plan.borrow().has("a")).await;
+        (fleet, leader, store)
     }
 
     /// Has another leader follow, which knows what the log holds and nothing else.
-    pub fn next_lead(&self) -> Rc<Lead> {
+    pub fn next_leader(&self) -> Rc<Leader> {
         if let Some(before) = self.slot.borrow_mut().take() {
             before.stop();
         }
         let view = Rc::new(View::default());
         let forwarder = Forwarder::new(Policy::default());
-        let parts = Parts {
-            core: self.core.clone(),
+        let context = Context {
+            replica: self.replica.clone(),
             followers: self.followers.clone(),
             settings: self.settings.clone(),
             forwarder: forwarder.clone(),
             runner: Runner::new(view.clone(), forwarder),
         };
-        let lead = Lead::start(parts, self.epoch.get(), &view);
+        let leader = Leader::start(context, self.epoch.get(), &view);
         self.epoch.set(self.epoch.get().next());
-        *self.slot.borrow_mut() = Some(lead.clone());
-        lead
+        *self.slot.borrow_mut() = Some(leader.clone());
+        leader
     }
 
-    pub fn lead(&self) -> Rc<Lead> {
+    pub fn leader(&self) -> Rc<Leader> {
         self.slot.borrow().clone().unwrap()
     }
 
     /// Has a step accepted, whose part lies on a store.
     pub async fn submit(&self, id: &str) {
-        let answer = self.lead().answer(Call::Submit(step(id))).await;
+        let answer = self.leader().answer(Call::Submit(step(id))).await;
         assert!(matches!(answer, Answer::Done), "{answer:?}");
-        let state = self.core.state();
+        let state = self.replica.state();
         let part = &state.parts[&state.steps[id].step.part];
         assert!(matches!(part.place, Place::Stores(_)), "{part:?}");
     }
@@ -155,20 +155,20 @@
         for number in 0..6 {
             let place = Place::Stores(stores.clone());
             let note = Command::Note { step: id.to_owned(), part: PartId(number), place };
-            assert!(matches!(self.lead().commit(note).await, Answer::Done));
+            assert!(matches!(self.leader().commit(note).await, Answer::Done));
         }
     }
 
     /// Ends a step; the end is acknowledged when this returns.
     pub async fn end(&self, id: &str) {
-        let answer = self.lead().answer(Call::End(id.to_owned())).await;
+        let answer = self.leader().answer(Call::End(id.to_owned())).await;
         assert!(matches!(answer, Answer::Done), "{answer:?}");
     }
 
     pub async fn store(&self, kept: &Kept) -> Member {
         let store = Member::connect(self.links, "s", kept.clone(), Vec::new()).await;
-        let lead = self.lead();
-        until("the store is connected", || lead.copies.count(|node| node == "s") == 1).await;
+        let leader = self.leader();
+        until("the store is connected", || leader.copies.count(|node| node == "s") == 1).await;
         store
     }
 
@@ -180,12 +180,12 @@
     pub async fn slow_host(&self) -> (SplitStream<Socket>, JoinHandle<()>) {
         let (mut sink, stream) = greet(self.links, "h").await.split();
         let alive = actix_rt::spawn(async move {
-            while sink.send(encode(&Up::Alive(clock::wall()))).await.is_ok() {
+            while sink.send(encode(&MemberMessage::Alive(clock::wall()))).await.is_ok() {
                 tokio::time::sleep(ALIVE).await;
             }
         });
-        let lead = self.lead();
-        until("the host is connected", || lead.copies.count(|node| node == "h") == 1).await;
+        let leader = self.leader();
+        until("the host is connected", || leader.copies.count(|node| node == "h") == 1).await;
         (stream, alive)
     }
 
@@ -195,14 +195,14 @@
         let body: Vec<u8> = (0..8 << 10).map(|_| rand::random()).collect();
         let (body, mut given) = (Bytes::from(body), 0);
         loop {
-            while self.followers.work("h", Work::Run(Box::new(job(given, body.clone())))) {
+            while self.followers.send_work("h", Work::Run(Box::new(job(given, body.clone())))) {
                 given += 1;
                 if given.is_multiple_of(100) {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
-            if !self.followers.work("h", Work::Run(Box::new(job(given, body.clone())))) {
+            if !self.followers.send_work("h", Work::Run(Box::new(job(given, body.clone())))) {
                 assert!(given > 4_000, "only {given} fitted");
                 return given;
             }
--- a/components/node/tests/lead/keys.rs
+++ b/components/node/tests/leader/keys.rs
@@ -99,7 +99,7 @@
         };
         let link = Link::new(member, view.clone(), vec![fleet.links]);
         let learns = forwarder.clone();
-        view.listen(move |news| learns.learn(news));
+        view.subscribe(move |news| learns.apply(news));
         let follows = link.clone();
         actix_rt::spawn(async move { follows.run().await });
         let entry = Rc::new(Entry {
@@ -121,14 +121,14 @@
     }
 
     async fn announce(&self, said: Announcement) {
-        let answer = self.fleet.lead().answer(Call::Announce(said)).await;
+        let answer = self.fleet.leader().answer(Call::Announce(said)).await;
         assert!(matches!(answer, Answer::Heard), "{answer:?}");
         pause(50).await;
     }
 
     async fn configure(&self, config: Config) {
         let version = config.version;
-        let configured = self.fleet.lead().commit(Command::Configure(Arc::new(config))).await;
+        let configured = self.fleet.leader().commit(Command::Configure(Arc::new(config))).await;
         assert!(matches!(configured, Answer::Done), "{configured:?}");
         let view = &self.entry.view;
         until("it is in force", || view.config().is_some_and(|held| held.version >= version)).await;
@@ -149,7 +149,7 @@
     }
 
     async fn lose_leader(&self) {
-        self.fleet.lead().stop();
+        self.fleet.leader().stop();
         self.fleet.slot.borrow_mut().take();
         until("the leader is lost", || !self.entry.link.is_connected()).await;
     }
@@ -200,7 +200,7 @@
     rig.lose_leader().await;
     pause(500).await;
     assert_eq!(rig.desk("k1").await, 503);
-    rig.fleet.next_lead();
+    rig.fleet.next_leader();
     until("a leader is found", || rig.entry.link.is_connected()).await;
     rig.announce(endpoint(rig.seen.clone()).await).await;
     assert_eq!(rig.desk("k1").await, 200);
@@ -223,7 +223,7 @@
     // A key that is taken away ends no step; any other of the workspace goes on with it.
     rig.configure(keyed(3, [&["k3"], &["k2"]])).await;
     assert_eq!((read("k1").await, read("k3").await), (401, 200));
-    assert!(rig.fleet.core.state().steps["w/job"].is_open());
+    assert!(rig.fleet.replica.state().steps["w/job"].is_open());
     assert_eq!(end("k3").await, 200);
-    assert!(!rig.fleet.core.state().steps["w/job"].is_open());
+    assert!(!rig.fleet.replica.state().steps["w/job"].is_open());
 }
--- a/components/node/tests/lead/member.rs
+++ b/components/node/tests/leader/member.rs
@@ -15,12 +15,12 @@
 use chicoryford_node::frame::decode;
 use chicoryford_node::frame::encode;
 use chicoryford_node::frame::frames;
-use chicoryford_node::message::Ask;
 use chicoryford_node::message::Depot;
-use chicoryford_node::message::Down;
 use chicoryford_node::message::Hello;
-use chicoryford_node::message::Told;
-use chicoryford_node::message::Up;
+use chicoryford_node::message::LeaderMessage;
+use chicoryford_node::message::MemberMessage;
+use chicoryford_node::message::StoreReply;
+use chicoryford_node::message::StoreRequest;
 use futures_util::SinkExt;
 use futures_util::StreamExt;
 use tokio::net::TcpStream;
@@ -65,7 +65,7 @@
 /// A VM that stores and hosts, as far as the leader sees it: like one, it keeps parts and gives those
 /// that it has, tells of its runs when it connects and when it is asked, and stops them.
 pub struct Member {
-    pub up: mpsc::UnboundedSender<Up>,
+    pub up: mpsc::UnboundedSender<MemberMessage>,
     pub runs: Rc<RefCell<Vec<Report>>>,
     /// Words about runs that came.
     pub asked: Rc<Cell<u32>>,
@@ -79,7 +79,7 @@
         let (up, mut ups) = mpsc::unbounded_channel();
         let (runs, asked) = (Rc::new(RefCell::new(runs)), Rc::<Cell<u32>>::default());
         for run in runs.borrow().iter() {
-            up.send(Up::Report(run.clone())).unwrap();
+            up.send(MemberMessage::Report(run.clone())).unwrap();
         }
         let (says, has, counts) = (up.clone(), runs.clone(), asked.clone());
         let task = actix_rt::spawn(async move {
@@ -92,7 +92,7 @@
                         continue;
                     }
                     Some(said) = ups.recv() => said,
-                    _ = alive.tick() => Up::Alive(clock::wall()),
+                    _ = alive.tick() => MemberMessage::Alive(clock::wall()),
                 };
                 if socket.send(encode(&said)).await.is_err() {
                     return;
@@ -104,7 +104,7 @@
 
     /// Tells that all runs have been told.
     pub fn reported(&self) {
-        self.up.send(Up::Reported).unwrap();
+        self.up.send(MemberMessage::Reported).unwrap();
     }
 
     /// Tells whether the host still has a run of a step.
@@ -129,32 +129,32 @@
 }
 
 fn take(
-    down: Down,
-    up: &mpsc::UnboundedSender<Up>,
+    down: LeaderMessage,
+    up: &mpsc::UnboundedSender<MemberMessage>,
     kept: &Kept,
     runs: &Rc<RefCell<Vec<Report>>>,
     asked: &Rc<Cell<u32>>,
 ) {
     match down {
-        Down::Ask { number, ask: Ask::Put(part, bytes) } => {
+        LeaderMessage::Ask { number, ask: StoreRequest::Put(part, bytes) } => {
             kept.borrow_mut().insert(part, bytes);
-            up.send(Up::Told { number, told: Told::Kept }).unwrap();
+            up.send(MemberMessage::Told { number, told: StoreReply::Kept }).unwrap();
         }
         // A part that is not here stands for one on a disk that stalls: no answer comes.
-        Down::Ask { number, ask: Ask::Get(part) } => {
+        LeaderMessage::Ask { number, ask: StoreRequest::Get(part) } => {
             if let Some(bytes) = kept.borrow().get(&part) {
-                let told = Told::Part(Some(bytes.clone()));
-                up.send(Up::Told { number, told }).unwrap();
+                let told = StoreReply::Part(Some(bytes.clone()));
+                up.send(MemberMessage::Told { number, told }).unwrap();
             }
         }
-        Down::Work { work: Work::Tell, .. } => {
+        LeaderMessage::Work { work: Work::Tell, .. } => {
             asked.set(asked.get() + 1);
             for run in runs.borrow().iter() {
-                up.send(Up::Report(run.clone())).unwrap();
+                up.send(MemberMessage::Report(run.clone())).unwrap();
             }
-            up.send(Up::Reported).unwrap();
+            up.send(MemberMessage::Reported).unwrap();
         }
-        Down::Work { work: Work::Stop { step, index, run }, .. } => {
+        LeaderMessage::Work { work: Work::Stop { step, index, run }, .. } => {
             let same = |one: &Report| one.step == step && one.index == index && one.run == run;
             runs.borrow_mut().retain(|one| !same(one));
         }
--- a/components/node/tests/lead/news.rs
+++ b/components/node/tests/leader/news.rs
@@ -20,9 +20,9 @@
 use chicoryford_node::link::Member;
 use chicoryford_node::message::Answer;
 use chicoryford_node::message::Call;
-use chicoryford_node::message::Down;
-use chicoryford_node::message::News;
-use chicoryford_node::message::Up;
+use chicoryford_node::message::LeaderMessage;
+use chicoryford_node::message::MemberMessage;
+use chicoryford_node::message::Update;
 use chicoryford_node::metrics;
 use chicoryford_node::view::View;
 use chicoryford_platform::control::Call as Asked;
@@ -62,7 +62,7 @@
 }
 
 async fn configure(fleet: &Fleet, config: Config) {
-    let configured = fleet.lead().commit(Command::Configure(Arc::new(config))).await;
+    let configured = fleet.leader().commit(Command::Configure(Arc::new(config))).await;
     assert!(matches!(configured, Answer::Done), "{configured:?}");
 }
 
@@ -71,12 +71,12 @@
     let mut told = Vec::new();
     while let Ok(frame) = tokio::time::timeout(Duration::from_millis(150), next(socket)).await {
         let news = match frame {
-            Down::Everything(all) => all,
-            Down::News(news) => vec![news],
+            LeaderMessage::Everything(all) => all,
+            LeaderMessage::News(news) => vec![news],
             _ => Vec::new(),
         };
         told.extend(news.into_iter().filter_map(|news| match news {
-            News::Endpoint(endpoint) => Some(endpoint.said.id),
+            Update::Endpoint(endpoint) => Some(endpoint.said.id),
             _ => None,
         }));
     }
@@ -84,17 +84,17 @@
 }
 
 /// Gives the next word other than that the leader lives, which comes all the time.
-async fn next(socket: &mut Socket) -> Down {
+async fn next(socket: &mut Socket) -> LeaderMessage {
     loop {
         let down = decode(&socket.next().await.unwrap().unwrap()).unwrap();
-        if !matches!(down, Down::Alive { .. }) {
+        if !matches!(down, LeaderMessage::Alive { .. }) {
             return down;
         }
     }
 }
 
 async fn announce(fleet: &Fleet, said: Announcement) {
-    let answer = fleet.lead().answer(Call::Announce(said)).await;
+    let answer = fleet.leader().answer(Call::Announce(said)).await;
     assert!(matches!(answer, Answer::Heard), "{answer:?}");
 }
 
@@ -159,7 +159,7 @@
     configure(&fleet, with_desk(2)).await;
     let (control, link) = control(&fleet).await;
     let heard = async |said| {
-        let reply = control.take(Asked::Announce(said)).await;
+        let reply = control.handle(Asked::Announce(said)).await;
         (reply.status.as_u16(), String::from_utf8_lossy(&reply.body).contains("10.0.0.7:80"))
     };
     let here = || metrics::ANNOUNCEMENTS.with_label_values(&["here"]).get();
@@ -173,7 +173,7 @@
     assert_eq!((heard(newer(3)).await, here()), ((200, true), 1), "what changes is the leader's");
     pause(100).await;
     assert_eq!((heard(newer(4)).await, here()), ((200, true), 2));
-    fleet.lead().stop();
+    fleet.leader().stop();
     fleet.slot.borrow_mut().take();
     until("the leader is lost", || !link.is_connected()).await;
     assert_eq!((heard(newer(5)).await, here()), ((200, true), 3), "an election takes a while");
@@ -197,20 +197,20 @@
     let fleet = Fleet::start().await;
     configure(&fleet, with_desk(2)).await;
     for number in 0..ENDPOINTS {
-        let answer = fleet.lead().answer(Call::Announce(engine(&number.to_string(), 1))).await;
+        let answer = fleet.leader().answer(Call::Announce(engine(&number.to_string(), 1))).await;
         assert!(matches!(answer, Answer::Heard), "{answer:?}");
     }
     let (control, link) = control(&fleet).await;
-    fleet.lead().stop();
+    fleet.leader().stop();
     fleet.slot.borrow_mut().take();
     until("the leader is lost", || !link.is_connected()).await;
     for number in 0..ENDPOINTS {
-        let reply = control.take(Asked::Announce(engine(&number.to_string(), 2))).await;
+        let reply = control.handle(Asked::Announce(engine(&number.to_string(), 2))).await;
         assert_eq!(reply.status.as_u16(), 200, "endpoint {number}");
     }
-    fleet.next_lead();
+    fleet.next_leader();
     until("the next leader is found", || link.is_connected()).await;
-    actix_rt::spawn(control.clone().tell_on());
+    actix_rt::spawn(control.clone().report_periodically());
     until("it is told", || control.hearing.borrow().signs(clock::now()).is_empty()).await;
 }
 
@@ -226,10 +226,10 @@
     let sign = |sequence| Sign { id: "e".to_owned(), born: 0, sequence, age_ms: 0 };
     for sequence in 2..9 {
         pause(1_000).await;
-        replica.send(encode(&Up::Heard(vec![sign(sequence)]))).await.unwrap();
+        replica.send(encode(&MemberMessage::Heard(vec![sign(sequence)]))).await.unwrap();
     }
     pause(100).await;
-    let counts = fleet.lead().endpoint_counts();
+    let counts = fleet.leader().endpoint_counts();
     assert_eq!(counts.get("ready"), Some(&1), "{counts:?}");
 }
 
@@ -245,11 +245,11 @@
     let content = Fingerprint(7);
     for (entry, endpoint) in entries.iter_mut().zip(["d1", "d2", "d3"]) {
         let crash = Crash { content, endpoint: endpoint.to_owned() };
-        entry.send(encode(&Up::Crashed(crash))).await.unwrap();
+        entry.send(encode(&MemberMessage::Crashed(crash))).await.unwrap();
     }
-    until("it is refused", || fleet.core.state().crashes.refuses(content)).await;
+    until("it is refused", || fleet.replica.state().crashes.refuses(content)).await;
     assert!(refused(&mut entries[0]).await.contains(&content));
-    fleet.next_lead();
+    fleet.next_leader();
     let mut entry = greet_as(fleet.links, "d", false).await;
     assert!(refused(&mut entry).await.contains(&content));
 }
@@ -259,12 +259,12 @@
     let mut refused = BTreeSet::new();
     while let Ok(down) = tokio::time::timeout(Duration::from_millis(150), next(socket)).await {
         let news = match down {
-            Down::Everything(all) => all,
-            Down::News(news) => vec![news],
+            LeaderMessage::Everything(all) => all,
+            LeaderMessage::News(news) => vec![news],
             _ => Vec::new(),
         };
         for news in news {
-            if let News::Refused(contents) = news {
+            if let Update::Refused(contents) = news {
                 refused.extend(contents);
             }
         }
--- a/components/node/tests/lead/scorers.rs
+++ b/components/node/tests/leader/scorers.rs
@@ -27,7 +27,7 @@
 use chicoryford_node::link;
 use chicoryford_node::link::Link;
 use chicoryford_node::message::Answer;
-use chicoryford_node::message::News;
+use chicoryford_node::message::Update;
 use chicoryford_node::runner::Runner;
 use chicoryford_node::view::View;
 use chicoryford_storage::Disk;
@@ -156,15 +156,15 @@
     config.routes.push(route);
     config.version = 2;
     assert!(matches!(
-        fleet.lead().commit(Command::Configure(Arc::new(config))).await,
+        fleet.leader().commit(Command::Configure(Arc::new(config))).await,
         Answer::Done
     ));
     let store = fleet.store(&kept).await;
     fleet.submit("a").await;
     drop(store);
-    let lead = fleet.next_lead();
+    let leader = fleet.next_leader();
     let _store = fleet.store(&kept).await;
-    until("the step is read", || lead.plan.borrow().has("a")).await;
+    until("the step is read", || leader.plan.borrow().has("a")).await;
 
     let (address, called) = scorer().await;
     let view = Rc::new(View::default());
@@ -180,7 +180,7 @@
         models: BTreeMap::new(),
         sequence: 1,
     };
-    forwarder.learn(&News::Endpoint(Endpoint { said, standing: endpoint::Standing::Ready }));
+    forwarder.apply(&Update::Endpoint(Endpoint { said, standing: endpoint::Standing::Ready }));
     let runner = Runner::new(view.clone(), forwarder);
     actix_rt::spawn(runner.clone().run());
     let folder = TempDir::new().unwrap();
@@ -220,8 +220,8 @@
         address: engine("a0", finish.clone()).await,
         ..job(1, Bytes::new())
     };
-    assert!(fleet.followers.work("h", Work::Run(Box::new(order))));
-    let hosted = || lead.plan.borrow().host("a", 0) == Some(("h".to_owned(), 1));
+    assert!(fleet.followers.send_work("h", Work::Run(Box::new(order))));
+    let hosted = || leader.plan.borrow().host("a", 0) == Some(("h".to_owned(), 1));
     until("the run is known", hosted).await;
     from.set(Some(Instant::now()));
     tokio::time::sleep(LAG * 2).await;
--- a/components/node/tests/lead/steps.rs
+++ b/components/node/tests/leader/steps.rs
@@ -8,8 +8,8 @@
 use chicoryford_node::frame::encode;
 use chicoryford_node::message::Answer;
 use chicoryford_node::message::Call;
-use chicoryford_node::message::Down;
-use chicoryford_node::message::Up;
+use chicoryford_node::message::LeaderMessage;
+use chicoryford_node::message::MemberMessage;
 use chicoryford_types::Unix;
 use futures_util::SinkExt;
 use futures_util::StreamExt;
@@ -32,7 +32,7 @@
     let store = fleet.store(&kept).await;
     fleet.submit("a").await;
     drop(store);
-    fleet.next_lead();
+    fleet.next_leader();
     let host = fleet.host(vec![scoring("a")]).await;
     host.reported();
     pause(100).await;
@@ -46,11 +46,11 @@
     let (fleet, kept) = (Fleet::start().await, Kept::default());
     let _store = fleet.store(&kept).await;
     fleet.submit("a").await;
-    let before = fleet.lead();
+    let before = fleet.leader();
     let read = before.fleet_now();
     before.stop();
     pause(900).await;
-    let next = fleet.next_lead();
+    let next = fleet.next_leader();
     let (clock, most) = (next.fleet_now(), before.fleet_now());
     assert!(clock >= read + 800, "{clock} is {} ms after {read}", clock - read);
     assert!(clock <= most, "{clock} is ahead of {most}");
@@ -67,7 +67,7 @@
     let store = fleet.store(&kept).await;
     fleet.submit("a").await;
     drop(store);
-    fleet.next_lead();
+    fleet.next_leader();
     let host = fleet.host(Vec::new()).await;
     host.reported();
     pause(100).await;
@@ -86,11 +86,11 @@
     let (mut stream, alive) = fleet.slow_host().await;
     // The last of them lie in the queue, and those before in the sockets.
     let given = fleet.fill().await - 1_000;
-    fleet.lead().stop();
+    fleet.leader().stop();
     let mut got = Vec::new();
     let limit = Duration::from_secs(2);
     while let Ok(Some(Ok(frame))) = tokio::time::timeout(limit, stream.next()).await {
-        if let Down::Work { work: Work::Run(job), .. } = decode(&frame).unwrap() {
+        if let LeaderMessage::Work { work: Work::Run(job), .. } = decode(&frame).unwrap() {
             got.push(job.run);
         }
     }
@@ -105,11 +105,11 @@
 /// Cause: a word to stop that finds no room is dropped, and nobody says it again.
 #[actix_rt::test]
 async fn a_word_to_stop_that_finds_no_room_is_said_again() {
-    let (fleet, lead, _store) = Fleet::taken_over().await;
+    let (fleet, leader, _store) = Fleet::taken_over().await;
     let (mut stream, alive) = fleet.slow_host().await;
-    lead.take_report("h", &scoring("a"));
-    lead.host_found("h", "here", u64::MAX);
-    assert_eq!(lead.plan.borrow().host("a", 0), Some(("h".to_owned(), 1)));
+    leader.handle_report("h", &scoring("a"));
+    leader.host_ready("h", "here", u64::MAX);
+    assert_eq!(leader.plan.borrow().host("a", 0), Some(("h".to_owned(), 1)));
     fleet.fill().await;
     fleet.end("a").await;
     let ended = Instant::now();
@@ -117,8 +117,11 @@
     while open && !stopped && ended.elapsed() < BOUND {
         match tokio::time::timeout(BOUND, stream.next()).await {
             Ok(Some(Ok(frame))) => {
-                let down: Down = decode(&frame).unwrap();
-                stopped = matches!(down, Down::Work { work: Work::Stop { .. } | Work::Tell, .. });
+                let down: LeaderMessage = decode(&frame).unwrap();
+                stopped = matches!(
+                    down,
+                    LeaderMessage::Work { work: Work::Stop { .. } | Work::Tell, .. }
+                );
             }
             Ok(_) => open = false,
             Err(_) => {}
@@ -139,12 +142,12 @@
     let store = fleet.store(&kept).await;
     fleet.submit("a").await;
     drop(store);
-    let lead = fleet.next_lead();
+    let leader = fleet.next_leader();
     let host = fleet.host(vec![scoring("a")]).await;
     pause(100).await;
-    assert!(!lead.plan.borrow().has("a"), "it cannot be read yet");
+    assert!(!leader.plan.borrow().has("a"), "it cannot be read yet");
     let _store = fleet.store(&kept).await;
-    until("the step is read", || lead.plan.borrow().has("a")).await;
+    until("the step is read", || leader.plan.borrow().has("a")).await;
     pause(100).await;
     host.reported();
     pause(100).await;
@@ -165,7 +168,7 @@
     fleet.submit("b").await;
     fleet.note("a").await;
     drop(store);
-    fleet.next_lead();
+    fleet.next_leader();
     let _store = fleet.store(&kept).await;
     let host = fleet.host(vec![scoring("b")]).await;
     host.reported();
@@ -181,10 +184,10 @@
 /// called is not told again.
 #[actix_rt::test]
 async fn a_host_that_is_telling_when_its_time_is_up_keeps_its_runs() {
-    let (fleet, lead, _store) = Fleet::taken_over().await;
+    let (fleet, leader, _store) = Fleet::taken_over().await;
     let first = fleet.host(vec![scoring("a")]).await;
     first.reported();
-    until("the run is known", || lead.plan.borrow().host("a", 0).is_some()).await;
+    until("the run is known", || leader.plan.borrow().host("a", 0).is_some()).await;
     drop(first);
     pause(100).await;
     let host = fleet.host(vec![scoring("a")]).await;
@@ -202,17 +205,17 @@
 #[actix_rt::test]
 async fn an_end_that_comes_while_its_step_is_being_submitted_is_not_answered_as_unknown() {
     let fleet = Fleet::start().await;
-    let lead = fleet.lead();
+    let leader = fleet.leader();
     // It answers nothing.
     let _store = greet(fleet.links, "s").await;
-    until("the store is connected", || lead.copies.count(|node| node == "s") == 1).await;
-    let submitting = lead.clone();
+    until("the store is connected", || leader.copies.count(|node| node == "s") == 1).await;
+    let submitting = leader.clone();
     let submitted =
         actix_rt::spawn(async move { submitting.answer(Call::Submit(step("a"))).await });
     pause(200).await;
-    let ended = lead.answer(Call::End("a".to_owned())).await;
+    let ended = leader.answer(Call::End("a".to_owned())).await;
     let submitted = submitted.await.unwrap();
-    let runs = lead.plan.borrow().has("a");
+    let runs = leader.plan.borrow().has("a");
     assert!(
         !(runs && matches!(ended, Answer::Unknown)),
         "submission: {submitted:?}, end: {ended:?}, and its samples run"
@@ -228,21 +231,21 @@
 #[actix_rt::test]
 async fn a_word_to_stop_is_not_lost_when_the_lease_runs_out_for_a_moment() {
     let fleet = Fleet::start().await;
-    let lead = fleet.lead();
+    let leader = fleet.leader();
     // Nobody knows its step any more. What it tells by itself was answered when it connected, so it
     // gets the run only after that.
     let host = fleet.host(Vec::new()).await;
     host.reported();
-    until("the host is connected", || lead.copies.count(|node| node == "h") == 1).await;
+    until("the host is connected", || leader.copies.count(|node| node == "h") == 1).await;
     pause(300).await;
     host.runs.borrow_mut().push(scoring("a"));
-    lead.take_report("h", &scoring("a"));
+    leader.handle_report("h", &scoring("a"));
     // The leader's loop is held up for longer than its lease.
     std::thread::sleep(Duration::from_millis(460));
-    assert!(!lead.leads(), "the lease holds");
-    until("the lease holds again", || lead.leads()).await;
+    assert!(!leader.leads(), "the lease holds");
+    until("the lease holds again", || leader.leads()).await;
     let stopped = host.stops("a").await;
-    let same = lead.leads() && !host.task.is_finished();
+    let same = leader.leads() && !host.task.is_finished();
     assert!(stopped || !same, "the same leadership and connection, and the run goes on");
 }
 
@@ -254,11 +257,11 @@
 #[actix_rt::test]
 async fn the_connection_of_a_host_with_a_full_queue_ends() {
     let fleet = Fleet::start().await;
-    let lead = fleet.lead();
+    let leader = fleet.leader();
     let (mut stream, alive) = fleet.slow_host().await;
     fleet.fill().await;
     let began = Instant::now();
-    let connected = || lead.copies.count(|node| node == "h") == 1;
+    let connected = || leader.copies.count(|node| node == "h") == 1;
     // Two hundred frames a second.
     while connected() && began.elapsed() < BOUND {
         for _ in 0..10 {
@@ -282,7 +285,7 @@
     fleet.submit("a").await;
     fleet.note("a").await;
     drop(store);
-    fleet.next_lead();
+    fleet.next_leader();
     let _store = fleet.store(&kept).await;
     let host = fleet.host(vec![scoring("a")]).await;
     host.reported();
@@ -299,10 +302,10 @@
 /// telling.
 #[actix_rt::test]
 async fn a_late_word_of_the_connection_before_does_not_take_a_hosts_runs_away() {
-    let (fleet, lead, _store) = Fleet::taken_over().await;
+    let (fleet, leader, _store) = Fleet::taken_over().await;
     let first = fleet.host(vec![scoring("a")]).await;
     first.reported();
-    until("the run is known", || lead.plan.borrow().host("a", 0).is_some()).await;
+    until("the run is known", || leader.plan.borrow().host("a", 0).is_some()).await;
     let host = fleet.host(vec![scoring("a")]).await;
     pause(100).await;
     first.reported();
@@ -320,18 +323,18 @@
 #[actix_rt::test]
 async fn the_leader_gives_the_hosts_newest_clock_back_with_orders_and_signs() {
     let fleet = Fleet::start().await;
-    let lead = fleet.lead();
+    let leader = fleet.leader();
     let (mut sink, mut stream) = greet(fleet.links, "h").await.split();
-    until("the host is connected", || lead.copies.count(|node| node == "h") == 1).await;
+    until("the host is connected", || leader.copies.count(|node| node == "h") == 1).await;
     let clock = clock::now() + 60_000;
-    sink.send(encode(&Up::Beat { clock, wall: Unix::default() })).await.unwrap();
+    sink.send(encode(&MemberMessage::Beat { clock, wall: Unix::default() })).await.unwrap();
     pause(300).await;
-    assert!(fleet.followers.work("h", Work::Tell));
+    assert!(fleet.followers.send_work("h", Work::Tell));
     let (mut order, mut sign) = (None, None);
     while order.is_none() || sign != Some(clock) {
         match decode(&stream.next().await.unwrap().unwrap()).unwrap() {
-            Down::Work { heard, .. } => order = Some(heard),
-            Down::Alive { heard, .. } => sign = Some(heard),
+            LeaderMessage::Work { heard, .. } => order = Some(heard),
+            LeaderMessage::Alive { heard, .. } => sign = Some(heard),
             _ => {}
         }
     }
--- a/components/node/tests/lead/usage.rs
+++ b/components/node/tests/leader/usage.rs
@@ -20,7 +20,7 @@
 use chicoryford_node::Settings;
 use chicoryford_node::clock;
 use chicoryford_node::message::Answer;
-use chicoryford_node::message::Up;
+use chicoryford_node::message::MemberMessage;
 use chicoryford_node::settings::Duty;
 use chicoryford_types::Unix;
 use tokio::net::TcpListener;
@@ -103,16 +103,16 @@
     .await;
     let workspaces = vec![Workspace { name: "w".to_owned(), ..Workspace::default() }].into();
     let keyed = Config { version: 2, workspaces, ..config() };
-    let configured = fleet.lead().commit(Command::Configure(Arc::new(keyed))).await;
+    let configured = fleet.leader().commit(Command::Configure(Arc::new(keyed))).await;
     assert!(matches!(configured, Answer::Done), "{configured:?}");
     let store = fleet.store(&Kept::default()).await;
-    tell_time(&store);
-    until("the first window is known", || fleet.core.state().usage.next().is_some()).await;
+    set_wall_clock(&store);
+    until("the first window is known", || fleet.replica.state().usage.next().is_some()).await;
     (fleet, store)
 }
 
-fn tell_time(store: &Member) {
-    store.up.send(Up::Beat { clock: clock::now(), wall: clock::wall() }).unwrap();
+fn set_wall_clock(store: &Member) {
+    store.up.send(MemberMessage::Beat { clock: clock::now(), wall: clock::wall() }).unwrap();
 }
 
 fn this_window() -> u64 {
@@ -137,7 +137,7 @@
     let (fleet, store) = fleet(&platform).await;
     let window = this_window();
     *platform.does.borrow_mut() = Does::HangOn(window);
-    fleet.lead().take_usage(told(window, window + 100, 3));
+    fleet.leader().record_usage(told(window, window + 100, 3));
     let name = format!("\"WindowNumber\":{window}}}");
     let reports = || {
         let all = platform.reports.borrow().clone();
@@ -146,11 +146,11 @@
     until("it is reported", || !reports().is_empty()).await;
     let first = reports().remove(0);
     assert!(first.body.contains("{\"w\":3}"), "{first:?}");
-    fleet.next_lead();
+    fleet.next_leader();
     drop(store);
     let store = fleet.store(&Kept::default()).await;
-    tell_time(&store);
-    fleet.lead().take_usage(told(window, window + 100, 4));
+    set_wall_clock(&store);
+    fleet.leader().record_usage(told(window, window + 100, 4));
     *platform.does.borrow_mut() = Does::Accept;
     until("it is reported again", || reports().len() > 1).await;
     let second = reports().pop().unwrap();
@@ -174,8 +174,8 @@
     let reports = platform.reports.borrow().clone();
     assert_eq!(reports.len(), 1, "{reports:?}");
     *platform.does.borrow_mut() = Does::Accept;
-    fleet.next_lead();
-    tell_time(&store);
+    fleet.next_leader();
+    set_wall_clock(&store);
     until("the next leader reports", || platform.reports.borrow().len() > 1).await;
     assert!(platform.reports.borrow()[1].token > token);
 }
--- a/components/node/tests/link.rs
+++ b/components/node/tests/link.rs
@@ -30,10 +30,10 @@
 use chicoryford_node::frame::frames;
 use chicoryford_node::link::Link;
 use chicoryford_node::link::Member;
-use chicoryford_node::message::Down;
 use chicoryford_node::message::Hello;
-use chicoryford_node::message::News;
-use chicoryford_node::message::Up;
+use chicoryford_node::message::LeaderMessage;
+use chicoryford_node::message::MemberMessage;
+use chicoryford_node::message::Update;
 use chicoryford_node::runner::Runner;
 use chicoryford_node::view::View;
 use chicoryford_types::Millis;
@@ -75,7 +75,7 @@
         let view = Rc::new(View::default());
         let forwarder = Forwarder::new(Policy::default());
         let runner = Runner::new(view.clone(), forwarder.clone());
-        view.listen(move |news| forwarder.learn(news));
+        view.subscribe(move |news| forwarder.apply(news));
         actix_rt::spawn(runner.clone().run());
         let member = Member {
             node: "h".to_owned(),
@@ -92,24 +92,24 @@
         let hello = stream.next().await.unwrap().unwrap();
         let Hello::Member { clock, .. } = decode(&hello).unwrap() else { panic!("a member") };
         let mut leader = Self { sink, stream, heard: clock, lags: false };
-        leader.say(&Down::Welcome).await;
-        leader.say(&Down::Everything(vec![News::Whole(BTreeSet::new())])).await;
+        leader.say(&LeaderMessage::Welcome).await;
+        leader.say(&LeaderMessage::Everything(vec![Update::Whole(BTreeSet::new())])).await;
         leader
     }
 
-    async fn say(&mut self, down: &Down) {
+    async fn say(&mut self, down: &LeaderMessage) {
         self.sink.send(encode(down)).await.unwrap();
     }
 
     /// Orders a run that is whole at once, and whose scorer is this endpoint.
     async fn order_scored(&mut self, config: Config, scorer: SocketAddr) {
         let (engine, _) = endpoint(WHOLE).await;
-        self.say(&Down::News(News::Config(Arc::new(config)))).await;
-        self.say(&Down::News(News::Endpoint(desk(scorer)))).await;
+        self.say(&LeaderMessage::News(Update::Config(Arc::new(config)))).await;
+        self.say(&LeaderMessage::News(Update::Endpoint(desk(scorer)))).await;
         let mut job = job(engine);
         let (id, host, path) = ("score".to_owned(), "h".to_owned(), "/desk/x".to_owned());
         job.sample.scorer = Some(Scorer { id, host, path, body: Bytes::new() });
-        self.say(&Down::Work { heard: self.heard, work: Work::Run(Box::new(job)) }).await;
+        self.say(&LeaderMessage::Work { heard: self.heard, work: Work::Run(Box::new(job)) }).await;
     }
 
     /// Goes on saying that it lives, and hearing the host, for a while; gives what it was told of runs.
@@ -120,10 +120,10 @@
         loop {
             tokio::select! {
                 () = tokio::time::sleep_until(until) => return reports,
-                _ = alive.tick() => self.say(&Down::Alive { heard: self.heard, wall: None }).await,
+                _ = alive.tick() => self.say(&LeaderMessage::Alive { heard: self.heard, wall: None }).await,
                 frame = self.stream.next() => match decode(&frame.unwrap().unwrap()).unwrap() {
-                    Up::Report(report) => reports.push(report),
-                    Up::Beat { clock, .. } if !self.lags => self.heard = clock,
+                    MemberMessage::Report(report) => reports.push(report),
+                    MemberMessage::Beat { clock, .. } if !self.lags => self.heard = clock,
                     _ => {}
                 },
             }
@@ -179,7 +179,7 @@
     let (address, came) = engine().await;
     leader.live(ALIVE * 5).await;
     let run = Work::Run(Box::new(job(address)));
-    let order = Down::Work { heard: leader.heard, work: run };
+    let order = LeaderMessage::Work { heard: leader.heard, work: run };
     leader.live(LAIN).await;
     leader.say(&order).await;
 
@@ -197,7 +197,7 @@
     let (address, came) = engine().await;
     leader.live(ALIVE * 5).await;
     let run = Work::Run(Box::new(job(address)));
-    leader.say(&Down::Work { heard: leader.heard, work: run }).await;
+    leader.say(&LeaderMessage::Work { heard: leader.heard, work: run }).await;
     leader.live(ALIVE * 2).await;
     assert_eq!(came.get(), 1, "the engine was not asked");
 }
--- a/components/node/tests/runner.rs
+++ b/components/node/tests/runner.rs
@@ -15,7 +15,7 @@
 use chicoryford_fleet::run::Work;
 use chicoryford_node::clock;
 use chicoryford_node::forward::Forwarder;
-use chicoryford_node::message::Up;
+use chicoryford_node::message::MemberMessage;
 use chicoryford_node::runner::Runner;
 use chicoryford_node::view::View;
 use tokio::io::AsyncReadExt;
@@ -54,11 +54,12 @@
 }
 
 /// Takes reports until the run has finished.
-async fn reports(told: &mut mpsc::Receiver<Up>) -> Vec<Report> {
+async fn reports(told: &mut mpsc::Receiver<MemberMessage>) -> Vec<Report> {
     let mut reports: Vec<Report> = Vec::new();
     while !reports.last().is_some_and(|last| matches!(last.standing, Standing::Finished(_))) {
         let up = tokio::time::timeout(Duration::from_secs(5), told.recv()).await;
-        if let Up::Report(report) = up.expect("the run goes on").expect("the host lives") {
+        if let MemberMessage::Report(report) = up.expect("the run goes on").expect("the host lives")
+        {
             reports.push(report);
         }
     }
@@ -74,7 +75,7 @@
     let (up, mut told) = mpsc::channel(1_024);
     runner.attach(up);
     actix_rt::spawn(runner.clone().run());
-    runner.take(Work::Run(Box::new(job(engine().await))));
+    runner.handle_local(Work::Run(Box::new(job(engine().await))));
 
     let reports = reports(&mut told).await;
 
@@ -94,7 +95,7 @@
     let (up, first) = mpsc::channel(1_024);
     runner.attach(up);
     actix_rt::spawn(runner.clone().run());
-    runner.take(Work::Run(Box::new(job(engine().await))));
+    runner.handle_local(Work::Run(Box::new(job(engine().await))));
     tokio::time::sleep(GAP * (EVENTS as u32) / 2).await;
     drop(first);
     runner.detach();
@@ -118,13 +119,14 @@
     let (up, mut told) = mpsc::channel(1);
     runner.attach(up);
     actix_rt::spawn(runner.clone().run());
-    runner.take(Work::Run(Box::new(job(engine().await))));
+    runner.handle_local(Work::Run(Box::new(job(engine().await))));
     tokio::time::sleep(GAP * (EVENTS as u32) + Duration::from_millis(500)).await;
     let mut finished = false;
     for _ in 0..10 {
         let up = tokio::time::timeout(Duration::from_secs(1), told.recv()).await;
         let up = up.expect("the host lives").expect("the host lives");
-        finished |= matches!(up, Up::Report(Report { standing: Standing::Finished(_), .. }));
+        finished |=
+            matches!(up, MemberMessage::Report(Report { standing: Standing::Finished(_), .. }));
     }
     assert!(finished, "the leader was not told that the run has finished");
 }
@@ -136,13 +138,13 @@
 async fn the_word_that_all_runs_were_told_is_said_later_if_it_finds_no_room() {
     let runner = Runner::new(Rc::new(View::default()), Forwarder::new(Policy::default()));
     let (up, mut told) = mpsc::channel(1);
-    up.try_send(Up::Alive(clock::wall())).unwrap();
+    up.try_send(MemberMessage::Alive(clock::wall())).unwrap();
     runner.attach(up);
     actix_rt::spawn(runner.clone().run());
     let mut reported = false;
     for _ in 0..6 {
         let up = tokio::time::timeout(Duration::from_secs(1), told.recv()).await;
-        reported |= matches!(up.expect("the host lives"), Some(Up::Reported));
+        reported |= matches!(up.expect("the host lives"), Some(MemberMessage::Reported));
     }
     assert!(reported, "the leader was not told that these were all");
 }
