--- a/components/node/tests/scorers.rs
+++ b/components/node/tests/scorers.rs
@@ -35,8 +35,8 @@
 use chicoryford_node::forward::Budget;
 use chicoryford_node::forward::Forwarder;
 use chicoryford_node::forward::Outcome;
-use chicoryford_node::forward::User;
-use chicoryford_node::message::News;
+use chicoryford_node::forward::Requester;
+use chicoryford_node::message::Update;
 use chicoryford_node::runner::Runner;
 use chicoryford_node::view::View;
 use tokio::io::AsyncReadExt;
@@ -147,9 +147,9 @@
     let view = Rc::new(View::default());
     let forwarder = Forwarder::new(Policy::default());
     let learning = forwarder.clone();
-    view.listen(move |news| learning.learn(news));
-    view.learn(News::Config(Arc::new(config())));
-    scorers.iter().cloned().for_each(|endpoint| view.learn(News::Endpoint(endpoint)));
+    view.subscribe(move |news| learning.apply(news));
+    view.apply(Update::Config(Arc::new(config())));
+    scorers.iter().cloned().for_each(|endpoint| view.apply(Update::Endpoint(endpoint)));
     Runner::new(view, forwarder)
 }
 
@@ -176,8 +176,8 @@
 async fn carry_out(runner: &Rc<Runner>, cost: Cost) -> Report {
     let told: Rc<RefCell<Vec<Report>>> = Rc::default();
     let telling = told.clone();
-    runner.attach_own(move |report| telling.borrow_mut().push(report.clone()));
-    runner.take(Work::Run(Box::new(job(cost).await)));
+    runner.attach_local(move |report| telling.borrow_mut().push(report.clone()));
+    runner.handle_local(Work::Run(Box::new(job(cost).await)));
     let unscored = |report: &&Report| report.standing == Standing::Unscored;
     for _ in 0..WANTED_MS / 20 {
         if let Some(last) = told.borrow().last().filter(unscored) {
@@ -220,9 +220,9 @@
     let runner = host(&scorers);
     let told: Rc<RefCell<Vec<Report>>> = Rc::default();
     let telling = told.clone();
-    runner.attach_own(move |report| telling.borrow_mut().push(report.clone()));
+    runner.attach_local(move |report| telling.borrow_mut().push(report.clone()));
     actix_rt::spawn(runner.clone().run());
-    runner.take(Work::Run(Box::new(job(Cost::default()).await)));
+    runner.handle_local(Work::Run(Box::new(job(Cost::default()).await)));
     tokio::time::sleep(Duration::from_millis(800)).await;
     let told = told.borrow();
     let last = told.last().expect("a report");
@@ -238,8 +238,8 @@
     let runner = host(&scorers);
     let told: Rc<RefCell<Vec<Report>>> = Rc::default();
     let telling = told.clone();
-    runner.attach_own(move |report| telling.borrow_mut().push(report.clone()));
-    runner.take(Work::Run(Box::new(job(Cost::default()).await)));
+    runner.attach_local(move |report| telling.borrow_mut().push(report.clone()));
+    runner.handle_local(Work::Run(Box::new(job(Cost::default()).await)));
     tokio::time::sleep(Duration::from_millis(200)).await;
     // The second was asked beside the first, which is silent.
     let told = told.borrow();
@@ -273,7 +273,7 @@
         if number < ATTEMPTS as usize {
             endpoint.said.address = closed;
         }
-        forwarder.learn(&News::Endpoint(endpoint));
+        forwarder.apply(&Update::Endpoint(endpoint));
     }
     let spent = Spent {
         failures: 0,
@@ -284,7 +284,7 @@
     let until = clock::now() + WANTED_MS;
     let bound = Budget::shared("c", until, spent);
     let began = Instant::now();
-    let outcome = forwarder.forward(&route, &request, &bound, PASS_MS, User::default()).await;
+    let outcome = forwarder.forward(&route, &request, &bound, PASS_MS, Requester::default()).await;
     assert!(matches!(outcome, Outcome::NotRun(..)), "{outcome:?}");
     assert!(began.elapsed() < Duration::from_millis(60), "{:?}", began.elapsed());
     assert_eq!(bound.spent().endpoints.len(), ATTEMPTS as usize);
@@ -295,8 +295,8 @@
 async fn a_call_that_is_turned_down_is_repeated_less_and_less() {
     let (scorers, calls) = scorers_that_answer(404, Duration::from_millis(1)).await;
     let runner = host(&scorers);
-    runner.attach_own(|_| {});
-    runner.take(Work::Run(Box::new(job(Cost::default()).await)));
+    runner.attach_local(|_| {});
+    runner.handle_local(Work::Run(Box::new(job(Cost::default()).await)));
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     assert!((3..=7).contains(&calls.borrow().len()), "{calls:?}");
 }
--- a/components/node/tests/settings.rs
+++ b/components/node/tests/settings.rs
@@ -21,16 +21,17 @@
     assert_eq!((settings.tolerated, settings.grace_ms, settings.lease_ms), (1, 8_000, 3_000));
     assert!(settings.entry.is_none() && settings.data.is_none() && !settings.first_start);
     let own: SocketAddr = "10.1.0.5:7700".parse().unwrap();
-    assert_eq!(settings.own_link(), own);
+    assert_eq!(settings.own_link_address(), own);
 }
 
 #[test]
 fn seeds_are_known_by_their_links_and_a_process_may_listen_elsewhere() {
     let more = "seeds: [\"10.1.0.5:9000\", \"10.2.0.6:9000\"]\nlisten_ip: 127.0.0.9\n";
     let settings = load(&format!("{MINIMAL}{more}")).unwrap();
-    let links: Vec<String> = settings.seed_links().iter().map(ToString::to_string).collect();
+    let links: Vec<String> =
+        settings.seed_link_addresses().iter().map(ToString::to_string).collect();
     assert_eq!(links, ["10.1.0.5:7700", "10.2.0.6:7700"]);
-    assert_eq!(settings.listening(settings.own_link()).to_string(), "127.0.0.9:7700");
+    assert_eq!(settings.listen_address(settings.own_link_address()).to_string(), "127.0.0.9:7700");
 }
 
 #[test]
--- a/components/node/tests/traffic.rs
+++ b/components/node/tests/traffic.rs
@@ -1,7 +1,7 @@
 //! What links carry is counted by kind of message, and apart for what crosses data centres.
 
+use chicoryford_node::traffic::Direction;
 use chicoryford_node::traffic::Traffic;
-use chicoryford_node::traffic::Way;
 
 /// Bytes that each message takes beside its content.
 const FRAME: u64 = 4;
@@ -9,10 +9,10 @@
 #[test]
 fn bytes_between_data_centres_are_told_apart_from_those_within_one() {
     let traffic = Traffic::new("ston");
-    traffic.count("report", Way::In, "novigrad", 100);
-    traffic.count("report", Way::In, "novigrad", 50);
-    traffic.count("report", Way::In, "ston", 1_000);
-    traffic.count("work", Way::Out, "split", 7);
+    traffic.count("report", Direction::In, "novigrad", 100);
+    traffic.count("report", Direction::In, "novigrad", 50);
+    traffic.count("report", Direction::In, "ston", 1_000);
+    traffic.count("work", Direction::Out, "split", 7);
 
     let (far, near) = traffic.take();
 
@@ -24,7 +24,7 @@
 #[test]
 fn what_was_taken_is_not_told_again() {
     let traffic = Traffic::new("ston");
-    traffic.count("work", Way::Out, "split", 7);
+    traffic.count("work", Direction::Out, "split", 7);
     traffic.take();
 
     let (far, near) = traffic.take();
