--- a/components/entry/src/router/duty.rs
+++ b/components/entry/src/router/duty.rs
@@ -165,7 +165,8 @@
     }
 
     /// Tells a request what became of it. What was counted for an asker that went away is given
-    /// back by the drops of [`RequestPermit`] and [`AttemptPermit`], wherever on the way they are lost.
+    /// back by the drops of [`RequestPermit`] and [`AttemptPermit`], wherever on the way they are
+    /// lost.
     fn let_in(&self, request: RequestId, entering: AdmitResult, sender: AdmitSender) {
         let entered = entering
             .map(|placed| (RequestPermit::new(self.router.clone(), request), self.permit(placed)));
--- a/components/entry/src/run/at_most_once/answers.rs
+++ b/components/entry/src/run/at_most_once/answers.rs
@@ -1,4 +1,4 @@
-//! What claims answer, in the words of callers.
+//! Answers and failures of claims as callers receive them.
 
 use chicoryford_state::Assigned;
 use chicoryford_state::ClaimEnd;
@@ -9,10 +9,10 @@
 
 use crate::router::Pick;
 
-/// When to send a call again whose first sending may still run, in milliseconds.
-pub(super) const RETRY: u64 = 1_000;
+/// Delay in milliseconds after which a caller should resend a call that may still be running.
+pub(super) const RETRY_MS: u64 = 1_000;
 
-/// Names the agent of a pick, as a claim does.
+/// Converts a pick to the agent assigned in a claim.
 pub(super) fn assigned(pick: &Pick) -> Assigned {
     Assigned {
         endpoint: pick.endpoint.clone(),
@@ -21,44 +21,44 @@
     }
 }
 
-/// Tells that a first sending may have run.
-pub(super) fn unknown() -> Failure {
-    let detail = "a first sending of the call may have run, and its answer is not known; it is \
-                  not run again";
+/// Returns the failure for a call whose earlier attempt may have run.
+pub(super) fn duplicate_unknown() -> Failure {
+    let detail = "an earlier attempt of the call may have run, and its answer is unknown; the \
+                  call is not run again";
     Failure::unknown(Code::DuplicateUnknown, detail)
 }
 
-/// Gives the answer of a claim that has ended.
+/// Returns the answer of a claim that has ended.
 ///
 /// # Errors
 ///
-/// What the end says.
-pub(super) fn ended(end: ClaimEnd) -> Result<StoredAnswer, Failure> {
+/// Returns a failure if the claim ended without a known answer.
+pub(super) fn claim_result(end: ClaimEnd) -> Result<StoredAnswer, Failure> {
     match end {
         ClaimEnd::Answered(answer) => Ok(answer),
-        ClaimEnd::Unknown => Err(unknown()),
+        ClaimEnd::Unknown => Err(duplicate_unknown()),
         ClaimEnd::NotRun => {
-            let detail = "the call was given up under this key before it ran; use a new key";
+            let detail = "the call with this key was abandoned before it ran; use a new key";
             Err(Failure::not_run(Code::Conflict, detail))
         }
     }
 }
 
-/// Gives the failure of a claim that was refused.
-pub(super) fn refused(refusal: &Refusal) -> Failure {
+/// Returns the failure of a refused claim.
+pub(super) fn refusal_failure(refusal: &Refusal) -> Failure {
     match refusal {
         Refusal::KeyExpired | Refusal::Missing => {
-            let detail = "the idempotency key must read `<Unix ms of issue>.<anything>`, issued \
-                          within the window of docs/API.md";
+            let detail = "the idempotency key must have the form `<Unix ms of issue>.<anything>` and \
+                          be issued within the window of docs/API.md";
             Failure::not_run(Code::KeyExpired, detail)
         }
         Refusal::KeyReused => {
-            let detail = "the idempotency key came before with other content";
+            let detail = "the idempotency key was used before with different content";
             Failure::not_run(Code::KeyReused, detail)
         }
         Refusal::Full => {
-            let detail = "too many calls that may not be repeated are remembered";
-            Failure::not_run(Code::Overloaded, detail).retry_after(RETRY)
+            let detail = "the table of calls that may not be repeated is full";
+            Failure::not_run(Code::Overloaded, detail).retry_after(RETRY_MS)
         }
         other => Failure::not_run(Code::Internal, format!("the claim was refused: {other:?}")),
     }
--- a/components/entry/src/run/at_most_once/mod.rs
+++ b/components/entry/src/run/at_most_once/mod.rs
@@ -1,8 +1,8 @@
-//! Runs a call that may not be repeated: at most once, whatever is lost on the way.
+//! Runs a call that may not be repeated at most once, even if messages or processes are lost.
 //!
-//! The claim on (workspace, key) is decided by the control processes before anything is sent.
-//! The agent that is named in the claim is the last gate, and remembers the answer. Whoever
-//! resends the call, through whichever entry, finds the claim and asks that agent.
+//! Before anything is sent, the control processes decide the claim on (workspace, key). The agent
+//! named in the claim makes the final check and stores the answer. A resend of the call, through
+//! any entry, finds the claim and queries that agent.
 
 mod answers;
 pub mod outcome;
@@ -30,11 +30,11 @@
 use crate::context::Context;
 use crate::router::AttemptEnd;
 use crate::router::AttemptPermit;
-use crate::run::at_most_once::answers::RETRY;
+use crate::run::at_most_once::answers::RETRY_MS;
 use crate::run::at_most_once::answers::assigned;
-use crate::run::at_most_once::answers::ended;
-use crate::run::at_most_once::answers::refused;
-use crate::run::at_most_once::answers::unknown;
+use crate::run::at_most_once::answers::claim_result;
+use crate::run::at_most_once::answers::duplicate_unknown;
+use crate::run::at_most_once::answers::refusal_failure;
 use crate::run::attempt::Attempt;
 use crate::run::attempt::AttemptError;
 use crate::run::attempts;
@@ -45,14 +45,14 @@
 use crate::run::service_call;
 use crate::run::service_call::ServiceReply;
 
-/// The longest wait for a claim to be decided.
-const CLAIM: Duration = Duration::from_secs(5);
-/// The first wait before an agent is asked again, in milliseconds; it doubles each time.
-const ASK: u64 = 50;
-/// The longest such wait, in milliseconds.
-const ASK_BOUND: u64 = 1_000;
+/// Timeout for deciding a claim.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
+/// Initial backoff in milliseconds before an agent is queried again; it doubles each time.
+const INITIAL_BACKOFF_MS: u64 = 50;
+/// Maximum backoff in milliseconds.
+const MAX_BACKOFF_MS: u64 = 1_000;
 
-/// Who holds the claim, and where its attempt is.
+/// The request that holds the claim, and the agent of its attempt.
 #[derive(Clone, Debug)]
 struct Holder {
     request: RequestId,
@@ -60,31 +60,32 @@
     to: Assigned,
 }
 
-/// What to do next.
+/// State of the call, which names the next action.
 enum State {
-    /// Find an endpoint and claim.
+    /// Choose an endpoint and propose the claim.
     Claim,
-    /// Send the attempt that was granted.
+    /// Send the granted attempt.
     Dispatch(AttemptPermit, Number),
-    /// Ask the holder's agent what became of its attempt.
+    /// Query the holder's agent for the state of its attempt.
     Follow(Holder),
-    /// This attempt certainly did not run; move the claim on.
+    /// The attempt did not run and never will. Move the claim to another endpoint.
     Reassign(Number),
 }
 
-struct Once<'a> {
+struct AtMostOnce<'a> {
     context: &'a Context,
     job: Job,
     task: Task,
     key: IdempotencyKey,
     digest: Digest,
-    /// Whether another request's attempt stood in between; what became of it is not this one's
-    /// to call "not run".
+    /// Whether an attempt of another request held the claim. This request then cannot report the
+    /// outcome "not run", because the other attempt may have run.
     foreign: bool,
-    /// Whether the control processes have answered a claim, so that the key is known.
+    /// Whether the control processes have replied to a claim, so that the state of the key is
+    /// known.
     decided: bool,
-    last: Option<Failure>,
-    /// The place that the request got when it was let in.
+    last_failure: Option<Failure>,
+    /// The permit for the first attempt, which the request received when it was admitted.
     first: Option<AttemptPermit>,
 }
 
@@ -92,7 +93,7 @@
 ///
 /// # Errors
 ///
-/// The final failure. It says "not run" only if this call did not run and will not.
+/// Returns the final failure. Its outcome is "not run" only if the call did not run and never will.
 pub async fn call(
     context: &Context,
     job: Job,
@@ -107,12 +108,12 @@
     let digest = Digest::of(content);
     let task = Task::Call(call);
     let (mut request_permit, first) = match context.router.admit(job.endpoint_query()).await {
-        Ok(request_permit) => request_permit,
+        Ok(admitted) => admitted,
         Err(failure) => {
             return Err(outcome::unknown_if_claimed(context, &job.workspace, &key, failure).await);
         }
     };
-    let mut once = Once {
+    let mut call = AtMostOnce {
         context,
         job,
         task,
@@ -120,15 +121,15 @@
         digest,
         foreign: false,
         decided: false,
-        last: None,
+        last_failure: None,
         first: Some(first),
     };
-    let answer = match once.run().await {
-        Err(failure) if !once.decided => {
+    let answer = match call.run().await {
+        Err(failure) if !call.decided => {
             return Err(outcome::unknown_if_claimed(
                 context,
-                &once.job.workspace,
-                &once.key,
+                &call.job.workspace,
+                &call.key,
                 failure,
             )
             .await);
@@ -136,10 +137,10 @@
         end => end?,
     };
     request_permit.ran = true;
-    Ok(ServiceReply { answer, attempts: once.job.attempt.0 })
+    Ok(ServiceReply { answer, attempts: call.job.attempt.0 })
 }
 
-impl Once<'_> {
+impl AtMostOnce<'_> {
     async fn run(&mut self) -> Result<StoredAnswer, Failure> {
         let mut state = State::Claim;
         loop {
@@ -150,7 +151,7 @@
                 State::Reassign(after) => self.reassign(after).await?,
             };
             match next {
-                Step::Go(next) => state = next,
+                Step::Next(next) => state = next,
                 Step::Done(answer) => return Ok(answer),
             }
         }
@@ -167,10 +168,10 @@
             to,
         };
         let reply = self.propose(&command).await?;
-        self.decided(reply, permit)
+        self.next_step(reply, permit)
     }
 
-    /// Moves the claim on to another endpoint, if the request may still be tried.
+    /// Moves the claim to another endpoint. Fails if none is available.
     async fn reassign(&mut self, after: Number) -> Result<Step, Failure> {
         self.job.attempt = after;
         let permit = self.choose().await?;
@@ -182,7 +183,7 @@
             to: assigned(&permit.pick),
         };
         let reply = self.propose(&command).await?;
-        self.decided(reply, permit)
+        self.next_step(reply, permit)
     }
 
     async fn choose(&mut self) -> Result<AttemptPermit, Failure> {
@@ -190,37 +191,40 @@
             return Ok(permit);
         }
         let chosen = self.context.router.choose(self.job.endpoint_query()).await;
-        chosen.map_err(|failure| match self.last.clone() {
-            Some(last) => self.finally(Failure { retry_ms: failure.retry_ms, ..last }),
-            None => self.finally(failure),
+        chosen.map_err(|failure| match self.last_failure.clone() {
+            Some(last) => self.final_failure(Failure { retry_ms: failure.retry_ms, ..last }),
+            None => self.final_failure(failure),
         })
     }
 
-    /// Proposes a command of the claim. A lost answer leaves the claim granted to a request that
-    /// never sends: that is truly "not run", and a resend finds it out by asking the agent.
+    /// Proposes a claim command. If the reply is lost, the claim may be granted to a request that
+    /// never sends its attempt. The outcome "not run" is correct in that case, and a resend learns
+    /// it by querying the agent.
     async fn propose(&self, command: &Command) -> Result<Reply, Failure> {
         let left = Duration::from_millis(self.job.remaining_ms(self.context.now()));
-        let proposed = self.context.proposer.propose(command, CLAIM.min(left)).await;
+        let proposed = self.context.proposer.propose(command, CLAIM_TIMEOUT.min(left)).await;
         proposed.map_err(|failure| {
-            self.finally(Failure { outcome: Outcome::NotRun, ..failure }.retry_after(RETRY))
+            self.final_failure(
+                Failure { outcome: Outcome::NotRun, ..failure }.retry_after(RETRY_MS),
+            )
         })
     }
 
-    fn decided(&mut self, reply: Reply, permit: AttemptPermit) -> Result<Step, Failure> {
+    fn next_step(&mut self, reply: Reply, permit: AttemptPermit) -> Result<Step, Failure> {
         self.decided = !matches!(reply, Reply::Failed(_));
         match reply {
-            Reply::Granted { attempt } => Ok(Step::Go(State::Dispatch(permit, attempt))),
+            Reply::Granted { attempt } => Ok(Step::Next(State::Dispatch(permit, attempt))),
             Reply::Held { request, attempt, to } => {
                 self.foreign |= request != self.job.request;
-                Ok(Step::Go(State::Follow(Holder { request, attempt, to })))
+                Ok(Step::Next(State::Follow(Holder { request, attempt, to })))
             }
-            Reply::Ended(end) => ended(end).map(Step::Done),
-            Reply::Refused(Refusal::Moved) => Ok(Step::Go(State::Claim)),
-            Reply::Refused(refusal) => Err(self.finally(refused(&refusal))),
-            Reply::Failed(failure) => Err(self.finally(failure)),
+            Reply::Ended(end) => claim_result(end).map(Step::Done),
+            Reply::Refused(Refusal::Moved) => Ok(Step::Next(State::Claim)),
+            Reply::Refused(refusal) => Err(self.final_failure(refusal_failure(&refusal))),
+            Reply::Failed(failure) => Err(self.final_failure(failure)),
             other => {
-                let detail = format!("the control processes answered out of turn: {other:?}");
-                Err(self.finally(Failure::not_run(Code::Internal, detail)))
+                let detail = format!("unexpected reply to a claim: {other:?}");
+                Err(self.final_failure(Failure::not_run(Code::Internal, detail)))
             }
         }
     }
@@ -231,8 +235,8 @@
         let (address, deadline) = (permit.pick.address.clone(), self.job.deadline);
         let to = assigned(&permit.pick);
         let opened = Attempt::open(self.context, &address, &work, deadline).await;
-        let (mut permit, broken) = match opened {
-            Err(broken) => (permit, broken),
+        let (mut permit, error) = match opened {
+            Err(error) => (permit, error),
             Ok(opened) => {
                 let mut live = LiveAttempt { permit, attempt: opened, number: attempt };
                 match service_call::read(&mut live).await {
@@ -241,25 +245,25 @@
                         background::clear_suspect(self.context, &self.job);
                         return Ok(Step::Done(answer));
                     }
-                    Err(broken) => {
-                        live.attempt.leave();
-                        (live.permit, broken)
+                    Err(error) => {
+                        live.attempt.detach();
+                        (live.permit, error)
                     }
                 }
             }
         };
         let endpoint = permit.pick.endpoint.clone();
-        tracing::info!(event = "claimed_attempt_broken", request = %self.job.request, ?broken);
-        match broken {
+        tracing::info!(event = "claimed_attempt_broken", request = %self.job.request, broken = ?error);
+        match error {
             AttemptError::NotRun(failure) => {
                 permit.end = AttemptEnd::from_refusal(failure.code);
                 drop(permit);
                 self.job.avoid.push(endpoint);
                 if !attempts::wait_for_retry(self.context, &mut self.job, &failure).await {
-                    return Err(self.finally(failure));
+                    return Err(self.final_failure(failure));
                 }
-                self.last = Some(failure);
-                Ok(Step::Go(State::Reassign(attempt)))
+                self.last_failure = Some(failure);
+                Ok(Step::Next(State::Reassign(attempt)))
             }
             AttemptError::Failed(failure) => {
                 if failure.code == Code::EndpointFailed {
@@ -270,44 +274,44 @@
             }
             AttemptError::Lost(_) | AttemptError::Late => {
                 let request = self.job.request;
-                Ok(Step::Go(State::Follow(Holder { request, attempt, to })))
+                Ok(Step::Next(State::Follow(Holder { request, attempt, to })))
             }
         }
     }
 
-    /// Asks the agent that holds the attempt until it tells the end or the deadline passes.
+    /// Queries the holder's agent until it reports the end of the attempt or the deadline passes.
     async fn follow(&mut self, holder: Holder) -> Result<Step, Failure> {
-        let mut wait = ASK;
+        let mut backoff_ms = INITIAL_BACKOFF_MS;
         loop {
             let left = self.job.remaining_ms(self.context.now());
             let last = left == 0;
             if let Some(address) = self.address(&holder)? {
-                // The attempt is called off only at the deadline: until then its answer is wanted.
+                // The attempt is cancelled only at the deadline. Until then its answer is useful.
                 let question = AttemptQuestion {
                     request: holder.request,
                     attempt: holder.attempt,
                     incarnation: holder.to.incarnation,
                     cancel: last && !self.foreign,
                 };
-                let state = probe::ask(self.context, &address, &question).await;
+                let state = probe::query(self.context, &address, &question).await;
                 if let Ok(state) = state
-                    && let Some(step) = self.told(&holder, state, last)?
+                    && let Some(step) = self.follow_up(&holder, state, last)?
                 {
                     return Ok(step);
                 }
             }
             if last {
-                let detail = "the deadline passed; the call may have run, or may yet run. Sent \
-                              again with the same key it is answered, never run twice";
+                let detail = "the deadline passed; the call may have run or may still run. A resend \
+                              with the same key is answered and never runs the call twice";
                 let failure = Failure::unknown(Code::DeadlinePassed, detail);
-                return Err(failure.retry_after(RETRY));
+                return Err(failure.retry_after(RETRY_MS));
             }
-            actix_rt::time::sleep(Duration::from_millis(wait.min(left))).await;
-            wait = (wait * 2).min(ASK_BOUND);
+            actix_rt::time::sleep(Duration::from_millis(backoff_ms.min(left))).await;
+            backoff_ms = (backoff_ms * 2).min(MAX_BACKOFF_MS);
         }
     }
 
-    fn told(
+    fn follow_up(
         &mut self,
         holder: &Holder,
         state: AttemptState,
@@ -319,37 +323,37 @@
                 Ok(Some(Step::Done(answer)))
             }
             AttemptState::Revoked | AttemptState::Refused if last => {
-                let detail = "no endpoint took the call before its deadline";
-                Err(self.finally(Failure::not_run(Code::DeadlineTooClose, detail)))
+                let detail = "no endpoint accepted the call before its deadline";
+                Err(self.final_failure(Failure::not_run(Code::DeadlineTooClose, detail)))
             }
             AttemptState::Revoked | AttemptState::Refused => {
-                Ok(Some(Step::Go(State::Reassign(holder.attempt))))
+                Ok(Some(Step::Next(State::Reassign(holder.attempt))))
             }
             AttemptState::Running => Ok(None),
             AttemptState::Unknown => {
                 self.settle(holder.attempt, ClaimEnd::Unknown);
-                Err(unknown())
+                Err(duplicate_unknown())
             }
         }
     }
 
-    /// Finds the holder's agent; none while it is not to be seen.
+    /// Returns the address of the holder's agent, or `None` while the agent is not a known member.
     ///
-    /// An agent that restarted has forgotten the attempt, which may have run before. It must
-    /// not be taken for one that never saw it: the claim ends as unknown.
+    /// An agent that has restarted no longer knows the attempt, which may have run before. It must
+    /// not be confused with an agent that never received the attempt, so the claim ends as unknown.
     fn address(&self, holder: &Holder) -> Result<Option<String>, Failure> {
         let members = self.context.members.view();
         let Some(known) = members.known.get(&holder.to.agent) else { return Ok(None) };
         if known.member.incarnation > holder.to.incarnation {
             self.settle(holder.attempt, ClaimEnd::Unknown);
-            return Err(unknown());
+            return Err(duplicate_unknown());
         }
         Ok(Some(known.member.address.clone()))
     }
 
-    /// Ends the claim without the caller's waiting for it. The caller may be answered first,
-    /// because the agent remembers the answer: until the claim has ended, a resend finds the
-    /// claim held and gets the same answer from that agent.
+    /// Ends the claim in the background. The caller may be answered before the end is committed,
+    /// because the agent stores the answer. Until the claim has ended, a resend finds it held and
+    /// receives the same answer from that agent.
     fn settle(&self, attempt: Number, end: ClaimEnd) {
         let command = Command::Settle {
             workspace: self.job.workspace.clone(),
@@ -360,13 +364,13 @@
         background::propose(self.context, command);
     }
 
-    fn finally(&self, failure: Failure) -> Failure {
+    fn final_failure(&self, failure: Failure) -> Failure {
         if self.foreign { Failure { outcome: Outcome::Unknown, ..failure } } else { failure }
     }
 }
 
-/// What a state led to.
+/// Result of an action: the next state or the answer.
 enum Step {
-    Go(State),
+    Next(State),
     Done(StoredAnswer),
 }
--- a/components/entry/src/run/at_most_once/outcome.rs
+++ b/components/entry/src/run/at_most_once/outcome.rs
@@ -1,10 +1,10 @@
-//! Whether a refusal that came before the claim was decided may say "not run".
+//! Decides whether a refusal before the claim was decided may have the outcome "not run".
 //!
-//! A caller whose first sending was lost sends the call again, and is refused, for instance
-//! because no endpoint is to be seen. That sending did not run, but the first may have: told "not
-//! run", the caller would print the label by hand or under a new key, and two crates go out. So
-//! the control processes are asked whether they know the key, and unless they do not, the outcome
-//! is unknown.
+//! A caller whose first request was lost resends the call and may be refused, for instance because
+//! no endpoint is available. The resend did not run, but the first request may have. If the caller
+//! were told "not run", it would print the label by hand or under a new key, and two crates would
+//! be shipped. The control processes are therefore asked whether the key is claimed. The outcome is
+//! "unknown" unless they confirm that it is not.
 
 use std::time::Duration;
 
@@ -20,15 +20,17 @@
 use chicoryford_types::Workspace;
 
 use crate::context::Context;
-use crate::run::at_most_once::answers::RETRY;
+use crate::run::at_most_once::answers::RETRY_MS;
 use crate::run::job::Job;
 
-/// The longest wait for the control processes; a refusal should come at once.
-const LOOK: Duration = Duration::from_secs(1);
-/// Attempts count from one, so that a claim never stands here and is never moved on from here.
-const NEVER: Attempt = Attempt(0);
+/// Timeout for the control processes. It is short, because a refusal should be immediate.
+const LOOKUP_TIMEOUT: Duration = Duration::from_secs(1);
+/// Attempts are numbered from one, so that a claim never has this attempt and the command never
+/// moves the claim.
+const NO_ATTEMPT: Attempt = Attempt(0);
 
-/// Gives the refusal with an outcome that is true of every sending under the key.
+/// Returns the refusal with an outcome that holds for every request with the key: "unknown" if the
+/// key may be claimed.
 pub async fn unknown_if_claimed(
     context: &Context,
     workspace: &Workspace,
@@ -38,16 +40,16 @@
     if failure.outcome != Outcome::NotRun || is_unclaimed(context, workspace, key).await {
         return failure;
     }
-    let retry = failure.retry_ms.or(Some(RETRY));
-    Failure { outcome: Outcome::Unknown, retry_ms: retry, ..failure }
+    let delay_ms = failure.retry_ms.or(Some(RETRY_MS));
+    Failure { outcome: Outcome::Unknown, retry_ms: delay_ms, ..failure }
 }
 
 async fn is_unclaimed(context: &Context, workspace: &Workspace, key: &IdempotencyKey) -> bool {
-    let look = Command::Reassign {
+    let lookup = Command::Reassign {
         workspace: workspace.clone(),
         key: key.clone(),
         request: Job::new_request_id(),
-        after: NEVER,
+        after: NO_ATTEMPT,
         to: Assigned::default(),
     };
     let unclaimed = |reply| {
@@ -56,5 +58,5 @@
             Reply::Refused(Refusal::Missing | Refusal::KeyExpired) | Reply::Ended(ClaimEnd::NotRun)
         )
     };
-    context.proposer.propose(&look, LOOK).await.is_ok_and(unclaimed)
+    context.proposer.propose(&lookup, LOOKUP_TIMEOUT).await.is_ok_and(unclaimed)
 }
--- a/components/entry/src/run/attempt.rs
+++ b/components/entry/src/run/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an agent: sends it and reads its frames.
+//! Sends one attempt to an agent and reads its frames.
 
 use std::time::Duration;
 
@@ -31,23 +31,23 @@
 use crate::run::frame_check::FrameCheck;
 use crate::run::probe;
 
-/// The longest wait for the end of a body whose last frame has come.
-const READ_OUT: Duration = Duration::from_millis(5);
+/// Timeout for reading the end of a body after its last frame.
+const BODY_END_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// How an attempt broke off.
+/// Why an attempt failed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptError {
-    /// It certainly did not run and will not.
+    /// The attempt did not run and never will.
     NotRun(Failure),
-    /// It reached its endpoint and failed there.
+    /// The attempt reached its endpoint and failed there.
     Failed(Failure),
-    /// What became of it is not known yet; the agent may tell.
+    /// The connection was lost. The agent can still report the state of the attempt.
     Lost(Failure),
     /// The deadline passed.
     Late,
 }
 
-/// An attempt in progress. Dropped before its end, it is cancelled at the agent.
+/// An attempt in progress. If it is dropped before its end, it is cancelled at the agent.
 pub struct Attempt {
     context: Context,
     address: String,
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     ///
-    /// [`AttemptError`].
+    /// Returns an [`AttemptError`] if the agent refuses the attempt or cannot be reached.
     pub async fn open(
         context: &Context,
         address: &str,
@@ -90,23 +90,23 @@
         })
     }
 
-    /// Waits for the next event that tells something; heartbeats are read over.
+    /// Waits for the next event. Heartbeats and the acceptance of the attempt are skipped.
     ///
     /// # Errors
     ///
-    /// [`AttemptError`]; the attempt must not be read further.
+    /// Returns an [`AttemptError`], after which the attempt must not be read again.
     pub async fn next(&mut self) -> Result<Event, AttemptError> {
         loop {
-            let event = self.step().await?;
+            let event = self.next_event().await?;
             match event {
                 Event::Accepted | Event::Alive => {}
                 Event::Failed(failure) => {
                     self.ended = true;
-                    return Err(broken_by(failure));
+                    return Err(reported_error(failure));
                 }
                 Event::Finished(_) => {
                     self.ended = true;
-                    self.read_out().await;
+                    self.read_body_end().await;
                     return Ok(event);
                 }
                 event => return Ok(event),
@@ -114,31 +114,34 @@
         }
     }
 
-    /// Reads the end of the body, which follows the last frame at once. A connection whose body
-    /// was not read out cannot be used again, and each attempt would open a new one.
-    async fn read_out(&mut self) {
-        let _ = actix_rt::time::timeout(READ_OUT, self.stream.next()).await;
+    /// Reads the end of the body, which follows the last frame immediately. A connection whose body
+    /// was not read to its end cannot be reused, so that each attempt would open a new one.
+    async fn read_body_end(&mut self) {
+        let _ = actix_rt::time::timeout(BODY_END_TIMEOUT, self.stream.next()).await;
     }
 
-    /// Ends the reading without a cancellation: the caller has settled with the agent.
-    pub fn leave(&mut self) {
+    /// Prevents the cancellation on drop. The caller resolves the state of the attempt with the
+    /// agent.
+    pub fn detach(&mut self) {
         self.ended = true;
     }
 
-    async fn step(&mut self) -> Result<Event, AttemptError> {
+    async fn next_event(&mut self) -> Result<Event, AttemptError> {
         loop {
             let frame = self.decoder.take::<Frame>().map_err(|error| lost(error.to_string()))?;
             if let Some(frame) = frame {
-                return self.check.take(frame).map_err(|crossed| {
-                    tracing::warn!(event = "crossed_frame", request = %self.question.request, %crossed);
-                    lost(crossed.to_string())
+                return self.check.accept(frame).map_err(|error| {
+                    tracing::warn!(event = "crossed_frame", request = %self.question.request, crossed = %error);
+                    lost(error.to_string())
                 });
             }
-            let chunk = within(&self.context, self.deadline, self.stream.next()).await?;
+            let chunk = with_timeout(&self.context, self.deadline, self.stream.next()).await?;
             match chunk {
                 Some(Ok(chunk)) => self.decoder.push(&chunk),
-                Some(Err(error)) => return Err(lost(format!("the stream broke off: {error}"))),
-                None => return Err(lost("the stream ended without its end".to_owned())),
+                Some(Err(error)) => {
+                    return Err(lost(format!("the connection failed: {error}")));
+                }
+                None => return Err(lost("the stream ended without a final frame".to_owned())),
             }
         }
     }
@@ -161,19 +164,19 @@
     let url = context.client.url(address, paths::WORK);
     let body = rmp_serde::to_vec_named(work).expect("work is plain data");
     let request = context.client.post(&url).content_type(MSGPACK);
-    let sent = within(context, deadline, request.send_body(body)).await?;
-    let mut response = sent.map_err(|error| broken_call(send_error(&url, &error)))?;
+    let sent = with_timeout(context, deadline, request.send_body(body)).await?;
+    let mut response = sent.map_err(|error| call_error(send_error(&url, &error)))?;
     let status = response.status().as_u16();
     if status < 400 {
         return Ok(response.boxed_local());
     }
-    let body = within(context, deadline, response.body()).await?;
+    let body = with_timeout(context, deadline, response.body()).await?;
     let body = body.map_err(|error| lost(error.to_string()))?;
-    Err(broken_call(read_failure(&url, status, &body)))
+    Err(call_error(read_failure(&url, status, &body)))
 }
 
-/// Waits for `future` until the connection counts as silent or the deadline passes.
-async fn within<F: Future>(
+/// Waits for `future` until the silence timeout of the connection or the deadline.
+async fn with_timeout<F: Future>(
     context: &Context,
     deadline: Millis,
     future: F,
@@ -181,44 +184,49 @@
     let left = Duration::from_millis(deadline.since(context.now()));
     let silence = context.silence;
     let waited = actix_rt::time::timeout(left.min(silence), future).await;
-    waited
-        .map_err(|_| if left <= silence { AttemptError::Late } else { lost("silence".to_owned()) })
+    waited.map_err(
+        |_| {
+            if left <= silence { AttemptError::Late } else { lost("silence".to_owned()) }
+        },
+    )
 }
 
 fn lost(detail: String) -> AttemptError {
     AttemptError::Lost(Failure::unknown(Code::EndpointFailed, detail))
 }
 
-fn broken_call(error: CallError) -> AttemptError {
+fn call_error(error: CallError) -> AttemptError {
     match error {
         CallError::NotSent { .. } => AttemptError::NotRun(error.into_failure()),
         CallError::Lost { .. } => AttemptError::Lost(error.into_failure()),
-        CallError::Failure(failure) => broken_by(failure),
+        CallError::Failure(failure) => reported_error(failure),
     }
 }
 
-/// Reads the agent's word: only it may say that an attempt that reached it did not run.
-fn broken_by(failure: Failure) -> AttemptError {
+/// Classifies a failure reported by an agent. Only the agent can declare that an attempt which
+/// reached it did not run.
+fn reported_error(failure: Failure) -> AttemptError {
     match failure.outcome {
         Outcome::NotRun => AttemptError::NotRun(failure),
         _ => AttemptError::Failed(failure),
     }
 }
 
-/// What an agent's word makes of an attempt that was lost.
+/// State of a lost attempt, as reported by its agent.
 pub enum ProbeResult {
-    /// It did not run and will not.
+    /// It did not run and never will.
     NotRun,
-    /// It ran, and this is its answer.
+    /// It ran and produced this answer.
     Done(StoredAnswer),
-    /// It still runs.
+    /// It is still running.
     Running,
-    /// Its end is not known, or its agent does not answer.
+    /// Its end is unknown, or its agent does not respond.
     Unknown,
 }
 
-/// Asks the agent about an attempt that was lost, and judges the endpoint by whether it answers:
-/// a connection that went silent must not count against an endpoint that works.
+/// Queries the agent for the state of a lost attempt, and records for the health of the endpoint
+/// whether the agent answered. A connection that went silent must not count as a failure of an
+/// endpoint that still works.
 pub async fn probe_lost(
     context: &Context,
     permit: &mut AttemptPermit,
@@ -228,9 +236,9 @@
 ) -> ProbeResult {
     let incarnation = permit.pick.incarnation;
     let question = AttemptQuestion { request, attempt, incarnation, cancel };
-    let state = probe::ask(context, &permit.pick.address, &question).await;
+    let state = probe::query(context, &permit.pick.address, &question).await;
     let endpoint = &permit.pick.endpoint;
-    tracing::info!(event = "attempt_probed", %request, %attempt, %endpoint, state = name(&state));
+    tracing::info!(event = "attempt_probed", %request, %attempt, %endpoint, state = state_label(&state));
     permit.end = match &state {
         Ok(AttemptState::Unknown) | Err(_) => AttemptEnd::Failed,
         Ok(_) => AttemptEnd::Silent,
@@ -243,7 +251,7 @@
     }
 }
 
-fn name(state: &Result<AttemptState, CallError>) -> &'static str {
+fn state_label(state: &Result<AttemptState, CallError>) -> &'static str {
     match state {
         Ok(AttemptState::Revoked) => "revoked",
         Ok(AttemptState::Running) => "running",
--- a/components/entry/src/run/attempts.rs
+++ b/components/entry/src/run/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request: whether, where and when it is tried again.
+//! The attempts of one request. Decides whether, where and when the request is retried.
 
 use std::time::Duration;
 
@@ -21,86 +21,91 @@
 use crate::run::job::Job;
 use crate::run::rescue;
 
-/// Leaving endpoints that one request may meet before that counts as a failure.
-const MOVES: u32 = 8;
+/// Number of refusals by leaving endpoints that a request may receive before they count as
+/// failures.
+const MAX_DRAINING_REFUSALS: u32 = 8;
 
-/// An attempt and its place at an endpoint.
+/// An attempt in progress and its permit.
 pub struct LiveAttempt {
-    /// The place.
+    /// The permit for the endpoint.
     pub permit: AttemptPermit,
     /// The attempt.
     pub attempt: Attempt,
-    /// Its number; a later attempt may have been made beside it.
+    /// The attempt's number. It may differ from the last number of the request, because a second
+    /// attempt may run concurrently.
     pub number: Number,
 }
 
-/// An attempt that broke off, and its place.
+/// A failed attempt and its permit.
 pub struct FailedAttempt {
-    /// The place.
+    /// The permit for the endpoint.
     pub permit: AttemptPermit,
     /// The attempt's number.
     pub number: Number,
-    /// How it broke off.
-    pub broken: AttemptError,
+    /// Why it failed.
+    pub error: AttemptError,
 }
 
-/// What follows a broken attempt.
+/// What follows a failed attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Recovery {
     /// Another attempt may be made.
     Retry,
-    /// The agent had the answer of a plain service after all.
+    /// The agent had stored the answer of a plain service.
     Answered(StoredAnswer),
 }
 
 /// The attempts of one request.
 pub struct Attempts {
-    /// What the thread has.
+    /// Services and clients of this thread.
     pub context: Context,
     /// The request.
     pub job: Job,
-    /// Whether an attempt may have reached an endpoint. From then on no failure of the request
-    /// may say "not run", whatever later attempts met.
+    /// Whether an attempt may have run. Once it is set, no failure of the request may have the
+    /// outcome "not run", regardless of later attempts.
     pub may_have_run: bool,
     /// The failure of the last attempt.
-    pub last: Option<Failure>,
-    /// The place that the request got when it was let in, for its first attempt.
+    pub last_failure: Option<Failure>,
+    /// The permit for the first attempt, which the request received when it was admitted.
     first: Option<AttemptPermit>,
 }
 
 impl Attempts {
-    /// Starts before the first attempt.
+    /// Creates the state of a request before its first attempt.
     pub fn new(context: Context, job: Job, first: AttemptPermit) -> Self {
-        Self { context, job, may_have_run: false, last: None, first: Some(first) }
+        Self { context, job, may_have_run: false, last_failure: None, first: Some(first) }
     }
 
-    /// Makes the next attempt, trying endpoint after endpoint while each truly did not run it.
+    /// Starts the next attempt. Tries one endpoint after the other while each refuses the attempt
+    /// without running it.
     ///
     /// # Errors
     ///
-    /// The final failure of the request.
+    /// Returns the final failure of the request.
     pub async fn start(&mut self, task: &Task) -> Result<LiveAttempt, Failure> {
         loop {
             let (permit, work) = self.prepare(task).await?;
             let (number, deadline) = (work.attempt, self.job.deadline);
             match Attempt::open(&self.context, &permit.pick.address, &work, deadline).await {
                 Ok(attempt) => return Ok(LiveAttempt { permit, attempt, number }),
-                Err(broken) => self.again(FailedAttempt { permit, number, broken }).await?,
+                Err(error) => {
+                    self.handle_early_failure(FailedAttempt { permit, number, error }).await?
+                }
             }
         }
     }
 
-    /// Finds the place of the next attempt, and numbers it.
+    /// Acquires a permit for the next attempt and builds its message with the next attempt number.
     ///
     /// # Errors
     ///
-    /// The final failure of the request.
+    /// Returns the final failure of the request.
     pub async fn prepare(&mut self, task: &Task) -> Result<(AttemptPermit, Work), Failure> {
         let permit = match self.first.take() {
             Some(permit) => permit,
             None => {
                 let chosen = self.context.router.choose(self.job.endpoint_query()).await;
-                chosen.map_err(|refusal| self.refused(refusal))?
+                chosen.map_err(|refusal| self.no_endpoint(refusal))?
             }
         };
         self.job.attempt = self.job.attempt.next();
@@ -108,16 +113,17 @@
         Ok((permit, work))
     }
 
-    /// Waits until another attempt may follow one that broke off before its first event.
+    /// Handles an attempt that failed before its first event: waits until the request may be
+    /// retried.
     ///
     /// # Errors
     ///
-    /// The final failure of the request.
-    pub async fn again(&mut self, ended: FailedAttempt) -> Result<(), Failure> {
-        match self.judge(ended).await? {
+    /// Returns the final failure of the request.
+    pub async fn handle_early_failure(&mut self, failed: FailedAttempt) -> Result<(), Failure> {
+        match self.resolve(failed).await? {
             Recovery::Retry => Ok(()),
             Recovery::Answered(_) => {
-                let detail = "the answer was lost on its way";
+                let detail = "the answer was lost in transit";
                 let failure = Failure::unknown(Code::EndpointFailed, detail);
                 self.may_have_run = true;
                 match wait_for_retry(&self.context, &mut self.job, &failure).await {
@@ -128,55 +134,55 @@
         }
     }
 
-    /// Takes note of an attempt that broke off while another one of the request goes on.
-    pub fn set_aside(&mut self, ended: FailedAttempt) {
-        let FailedAttempt { mut permit, number, broken } = ended;
-        match broken {
+    /// Handles an attempt that failed while another attempt of the request is still running.
+    pub fn discard(&mut self, failed: FailedAttempt) {
+        let FailedAttempt { mut permit, number, error } = failed;
+        match error {
             AttemptError::NotRun(failure) => permit.end = AttemptEnd::from_refusal(failure.code),
             AttemptError::Failed(failure) if failure.code == Code::EndpointFailed => {
                 permit.end = AttemptEnd::Failed;
             }
             AttemptError::Lost(_) => {
-                let work = AttemptQuestion {
+                let question = AttemptQuestion {
                     request: self.job.request,
                     attempt: number,
                     incarnation: permit.pick.incarnation,
                     cancel: true,
                 };
-                actix_rt::spawn(rescue::cancel(self.context.clone(), permit, work));
+                actix_rt::spawn(rescue::cancel(self.context.clone(), permit, question));
             }
             AttemptError::Failed(_) | AttemptError::Late => {}
         }
     }
 
-    /// Decides what follows a broken attempt.
+    /// Decides what follows a failed attempt.
     ///
     /// # Errors
     ///
-    /// The final failure of the request.
-    pub async fn after(
+    /// Returns the final failure of the request.
+    pub async fn recover(
         &mut self,
         mut live: LiveAttempt,
-        broken: AttemptError,
+        error: AttemptError,
     ) -> Result<Recovery, Failure> {
-        if matches!(broken, AttemptError::Lost(_)) {
-            live.attempt.leave();
+        if matches!(error, AttemptError::Lost(_)) {
+            live.attempt.detach();
         }
         let LiveAttempt { permit, number, .. } = live;
-        self.judge(FailedAttempt { permit, number, broken }).await
+        self.resolve(FailedAttempt { permit, number, error }).await
     }
 
-    async fn judge(&mut self, ended: FailedAttempt) -> Result<Recovery, Failure> {
-        let FailedAttempt { mut permit, number, broken } = ended;
+    async fn resolve(&mut self, failed: FailedAttempt) -> Result<Recovery, Failure> {
+        let FailedAttempt { mut permit, number, error } = failed;
         let endpoint = permit.pick.endpoint.clone();
         let request = self.job.request;
-        tracing::info!(event = "attempt_broken", %request, %number, %endpoint, ?broken);
+        tracing::info!(event = "attempt_broken", %request, %number, %endpoint, broken = ?error);
         self.context.kernel.metrics.count("entry.attempt.broken", 1);
-        let failure = match broken {
+        let failure = match error {
             AttemptError::NotRun(failure) => {
                 permit.end = AttemptEnd::from_refusal(failure.code);
                 if is_final(failure.code) {
-                    return Err(self.finally(failure));
+                    return Err(self.final_failure(failure));
                 }
                 failure
             }
@@ -210,41 +216,41 @@
             }
             AttemptError::Late => {
                 self.may_have_run = true;
-                let detail = "the deadline passed while the request ran";
+                let detail = "the deadline passed while the request was running";
                 return Err(Failure::unknown(Code::DeadlinePassed, detail));
             }
         };
         drop(permit);
         self.job.avoid.push(endpoint);
         if !wait_for_retry(&self.context, &mut self.job, &failure).await {
-            return Err(self.finally(failure));
+            return Err(self.final_failure(failure));
         }
-        self.last = Some(failure);
+        self.last_failure = Some(failure);
         Ok(Recovery::Retry)
     }
 
-    /// Gives the failure to tell when no further endpoint is to be had.
-    fn refused(&mut self, refusal: Failure) -> Failure {
-        let failure = match self.last.take() {
+    /// Returns the failure to report when no further endpoint is available.
+    fn no_endpoint(&mut self, refusal: Failure) -> Failure {
+        let failure = match self.last_failure.take() {
             Some(last) => Failure { retry_ms: refusal.retry_ms, ..last },
             None => refusal,
         };
-        self.finally(failure)
+        self.final_failure(failure)
     }
 
-    /// Makes a final failure truthful about the attempts before it.
-    fn finally(&self, failure: Failure) -> Failure {
+    /// Sets the outcome of a final failure to "unknown" if an earlier attempt may have run.
+    fn final_failure(&self, failure: Failure) -> Failure {
         if self.may_have_run { Failure { outcome: Outcome::Unknown, ..failure } } else { failure }
     }
 }
 
-/// Waits until a failed request may be tried again; tells whether it may.
+/// Waits until a failed request may be retried. Returns whether it may be retried at all.
 ///
-/// What met a leaving endpoint goes on to another at once, without use of the retry budget: it
-/// did not fail, and a planned stop would otherwise use up the budget of its workspace.
+/// A request refused by a leaving endpoint is retried immediately and without using the retry
+/// budget. It did not fail, and a planned stop would otherwise exhaust the budget of its workspace.
 pub async fn wait_for_retry(context: &Context, job: &mut Job, failure: &Failure) -> bool {
-    if failure.code == Code::Draining && job.moved < MOVES {
-        job.moved += 1;
+    if failure.code == Code::Draining && job.draining_refusals < MAX_DRAINING_REFUSALS {
+        job.draining_refusals += 1;
         return job.remaining_ms(context.now()) > 0;
     }
     match context.router.retry_delay(job.retry_query(failure.outcome)).await {
@@ -256,7 +262,7 @@
     }
 }
 
-/// Tells whether another endpoint would give the same failure.
+/// Returns whether another endpoint would return the same failure.
 fn is_final(code: Code) -> bool {
     matches!(
         code,
--- a/components/entry/src/run/background.rs
+++ b/components/entry/src/run/background.rs
@@ -1,4 +1,4 @@
-//! Proposes what may follow after the caller has its answer.
+//! Proposes commands in the background, without delaying the answer to the caller.
 
 use std::time::Duration;
 
@@ -7,20 +7,22 @@
 use crate::context::Context;
 use crate::run::job::Job;
 
-/// The longest wait for the command to be committed.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for committing a command.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Proposes a command in the background; the command must be one that may be lost.
+/// Proposes a command in the background. The command may be lost, so it must not be one that has to
+/// take effect.
 pub fn propose(context: &Context, command: Command) {
     let context = context.clone();
     actix_rt::spawn(async move {
-        if let Err(failure) = context.proposer.persist(&command, PATIENCE).await {
+        if let Err(failure) = context.proposer.persist(&command, COMMIT_TIMEOUT).await {
             tracing::warn!(event = "not_settled", %failure);
         }
     });
 }
 
-/// Clears the content of a job that ran to its end while it was suspected of crashing endpoints.
+/// Clears the suspicion against a job's content after it ran to completion while it was suspected
+/// of crashing endpoints.
 pub fn clear_suspect(context: &Context, job: &Job) {
     if job.suspect {
         propose(context, Command::Cleared { fingerprint: job.fingerprint });
--- a/components/entry/src/run/frame_check.rs
+++ b/components/entry/src/run/frame_check.rs
@@ -1,4 +1,4 @@
-//! Checks that frames belong to the attempt that is read, in order and without a gap.
+//! Checks that the frames of a stream belong to its attempt and arrive in order without gaps.
 
 use chicoryford_types::Attempt;
 use chicoryford_types::Frame;
@@ -6,38 +6,38 @@
 use chicoryford_types::frame::Event;
 use thiserror::Error;
 
-/// A stream is not the answer to its attempt.
+/// A stream contains a frame that does not belong there.
 ///
-/// A connection that is used again, or a late answer to a cancelled attempt, could otherwise put
-/// another caller's tokens into this answer.
+/// Without this check, a reused connection or a late answer to a cancelled attempt could insert
+/// another caller's tokens into the answer.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum FrameError {
     /// A frame names another request or attempt.
-    #[error("a frame of request {request}, attempt {attempt}, came on this stream")]
-    Other {
+    #[error("the stream contains a frame of request {request}, attempt {attempt}")]
+    WrongAttempt {
         /// The request that the frame names.
         request: RequestId,
         /// The attempt that the frame names.
         attempt: Attempt,
     },
     /// A frame is missing, repeated or out of order.
-    #[error("frame {got} came where {expected} was due")]
-    Gap {
-        /// The number that was due.
+    #[error("received frame {got}, expected frame {expected}")]
+    OutOfOrder {
+        /// The expected sequence number.
         expected: u32,
-        /// The number that came.
+        /// The received sequence number.
         got: u32,
     },
-    /// The count of tokens at the end differs from the sum of the frames.
-    #[error("the end counts {counted} tokens, the frames {seen}")]
-    Count {
-        /// What the end says.
+    /// The token count of the final frame differs from the number of tokens received.
+    #[error("the final frame counts {counted} tokens, but {received} were received")]
+    TokenCount {
+        /// The count in the final frame.
         counted: u32,
-        /// What came.
-        seen: u32,
+        /// The number of tokens received.
+        received: u32,
     },
-    /// A frame came after the end.
-    #[error("a frame came after the end")]
+    /// A frame follows the final frame.
+    #[error("a frame follows the final frame")]
     AfterEnd,
 }
 
@@ -46,40 +46,43 @@
 pub struct FrameCheck {
     request: RequestId,
     attempt: Attempt,
-    next: u32,
-    seen: u32,
+    next_seq: u32,
+    received: u32,
     ended: bool,
 }
 
 impl FrameCheck {
-    /// Starts before the first frame.
+    /// Creates a check that expects the first frame of the attempt.
     pub fn new(request: RequestId, attempt: Attempt) -> Self {
-        Self { request, attempt, next: 0, seen: 0, ended: false }
+        Self { request, attempt, next_seq: 0, received: 0, ended: false }
     }
 
-    /// Takes one frame and gives its event.
+    /// Checks one frame and returns its event.
     ///
     /// # Errors
     ///
-    /// [`FrameError`]; the stream must not be read further.
-    pub fn take(&mut self, frame: Frame) -> Result<Event, FrameError> {
+    /// Returns a [`FrameError`], after which the stream must not be read further.
+    pub fn accept(&mut self, frame: Frame) -> Result<Event, FrameError> {
         let Frame { request, attempt, seq, event } = frame;
         if request != self.request || attempt != self.attempt {
-            return Err(FrameError::Other { request, attempt });
+            return Err(FrameError::WrongAttempt { request, attempt });
         }
-        if seq != self.next {
-            return Err(FrameError::Gap { expected: self.next, got: seq });
+        if seq != self.next_seq {
+            return Err(FrameError::OutOfOrder { expected: self.next_seq, got: seq });
         }
         if self.ended {
             return Err(FrameError::AfterEnd);
         }
-        self.next += 1;
+        self.next_seq += 1;
         match &event {
-            Event::Tokens(tokens) => self.seen += tokens.count,
+            Event::Tokens(tokens) => self.received += tokens.count,
             Event::Finished(finish) => {
                 self.ended = true;
-                if finish.tokens != self.seen {
-                    return Err(FrameError::Count { counted: finish.tokens, seen: self.seen });
+                if finish.tokens != self.received {
+                    return Err(FrameError::TokenCount {
+                        counted: finish.tokens,
+                        received: self.received,
+                    });
                 }
             }
             Event::Failed(_) => self.ended = true,
--- a/components/entry/src/run/generate.rs
+++ b/components/entry/src/run/generate.rs
@@ -1,4 +1,4 @@
-//! Runs a generation, continued elsewhere when an attempt breaks off.
+//! Runs a generation and continues it at another endpoint when an attempt fails.
 
 use chicoryford_types::Endpoint;
 use chicoryford_types::Failure;
@@ -18,34 +18,34 @@
 use crate::run::rescue;
 use crate::run::spans::Output;
 
-/// Why a generation ended that had all its tokens when its attempt broke off.
-const LENGTH: &str = "length";
+/// Finish reason of a generation whose attempt failed after all tokens had been received.
+const FINISH_LENGTH: &str = "length";
 
-/// What a generation gives, piece by piece.
+/// An item of a generation stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Piece {
     /// Some tokens.
     Tokens(Tokens),
-    /// The explicit end and its reason; nothing follows.
+    /// The explicit end with the finish reason. Nothing follows it.
     Finished(String),
 }
 
-/// A generation in progress. Dropped before its end, it is cancelled.
+/// A generation in progress. If it is dropped before its end, it is cancelled.
 pub struct GenerationStream {
     attempts: Attempts,
     task: Generation,
     live: Option<LiveAttempt>,
     request_permit: Option<RequestPermit>,
-    /// What it consists of so far.
+    /// The output received so far.
     pub output: Output,
 }
 
 impl GenerationStream {
-    /// Lets a generation in, waiting for room until its deadline.
+    /// Waits until the generation is admitted, at most until its deadline.
     ///
     /// # Errors
     ///
-    /// The refusal, always "not run".
+    /// Returns the refusal, whose outcome is always "not run".
     pub async fn enter(context: Context, job: Job, task: Generation) -> Result<Self, Failure> {
         let job = job.with_generation(&task);
         let (request_permit, first) = context.router.admit(job.endpoint_query()).await?;
@@ -59,12 +59,12 @@
         })
     }
 
-    /// Gives the request.
+    /// Returns the request.
     pub fn job(&self) -> &Job {
         &self.attempts.job
     }
 
-    /// Tells where the present attempt runs.
+    /// Returns the endpoint of the current attempt, if there is one.
     pub fn endpoint(&self) -> Option<Endpoint> {
         self.live.as_ref().map(|live| live.permit.pick.endpoint.clone())
     }
@@ -73,21 +73,21 @@
     ///
     /// # Errors
     ///
-    /// The final failure of the request.
+    /// Returns the final failure of the request.
     pub async fn next(&mut self) -> Result<Piece, Failure> {
         loop {
-            let (live, came) = match &mut self.live {
+            let (live, event) = match &mut self.live {
                 Some(live) => {
-                    let came = live.attempt.next().await;
-                    (live, came)
+                    let event = live.attempt.next().await;
+                    (live, event)
                 }
                 None => {
-                    let came = self.begin().await?;
+                    let event = self.start_attempt().await?;
                     let Some(live) = &mut self.live else { continue };
-                    (live, came)
+                    (live, event)
                 }
             };
-            match came {
+            match event {
                 Ok(Event::Tokens(tokens)) => {
                     live.permit.tokens += tokens.count;
                     self.output.push(&tokens);
@@ -99,8 +99,8 @@
                     return Ok(Piece::Finished(finish.reason));
                 }
                 Ok(_) => {}
-                Err(broken) => {
-                    if let Some(piece) = self.recover(broken).await? {
+                Err(error) => {
+                    if let Some(piece) = self.recover(error).await? {
                         return Ok(piece);
                     }
                 }
@@ -108,18 +108,18 @@
         }
     }
 
-    /// Begins an attempt that continues after the tokens that came so far. The seed stays the
-    /// same, so that the engine samples on from where the earlier attempt stood.
+    /// Starts an attempt that continues after the tokens received so far. The seed stays the same,
+    /// so that the engine continues sampling where the previous attempt ended.
     ///
-    /// It ends with the attempt's first event, or how the attempt broke off.
-    async fn begin(&mut self) -> Result<Result<Event, AttemptError>, Failure> {
+    /// Returns the first event of the attempt, or the error if the attempt failed before it.
+    async fn start_attempt(&mut self) -> Result<Result<Event, AttemptError>, Failure> {
         let mut task = self.task.clone();
         task.prefix.push_str(&self.output.text);
         task.done += self.output.tokens;
         self.attempts.job.tokens = task.max_tokens.saturating_sub(task.done);
         let task = Task::Generate(task);
-        if rescue::applies(&self.attempts.job) {
-            let (live, event) = rescue::first(&mut self.attempts, &task).await?;
+        if rescue::is_eligible(&self.attempts.job) {
+            let (live, event) = rescue::first_event(&mut self.attempts, &task).await?;
             self.live = Some(live);
             return Ok(Ok(event));
         }
@@ -127,14 +127,14 @@
         Ok(live.attempt.next().await)
     }
 
-    async fn recover(&mut self, broken: AttemptError) -> Result<Option<Piece>, Failure> {
+    async fn recover(&mut self, error: AttemptError) -> Result<Option<Piece>, Failure> {
         let Some(live) = self.live.take() else { return Ok(None) };
-        self.attempts.after(live, broken).await?;
+        self.attempts.recover(live, error).await?;
         if self.output.tokens + self.task.done < self.task.max_tokens {
             return Ok(None);
         }
         self.finish();
-        Ok(Some(Piece::Finished(LENGTH.to_owned())))
+        Ok(Some(Piece::Finished(FINISH_LENGTH.to_owned())))
     }
 
     fn finish(&mut self) {
--- a/components/entry/src/run/job.rs
+++ b/components/entry/src/run/job.rs
@@ -1,4 +1,4 @@
-//! A request as it is run.
+//! A request and its state across all its attempts.
 
 use chicoryford_types::Attempt;
 use chicoryford_types::Class;
@@ -21,27 +21,28 @@
 use crate::router::Pick;
 use crate::router::RetryQuery;
 
-/// Bytes of a prompt whose hash stands for its prefix; engines report hashes of such blocks.
-const PREFIX: usize = 256;
-/// Bytes of text that make a token, for estimates.
-const TOKEN: usize = 4;
+/// Length in bytes of the prompt prefix that is hashed. Engines report the hashes of blocks of this
+/// length.
+const PREFIX_BYTES: usize = 256;
+/// Estimated bytes of text per token.
+const BYTES_PER_TOKEN: usize = 4;
 
-/// A request as it is run, over all its attempts.
+/// A request and its state across all its attempts.
 #[derive(Clone, Debug, Default)]
 pub struct Job {
     /// Identifies the request.
     pub request: RequestId,
-    /// On whose behalf it runs.
+    /// The workspace on whose behalf it runs.
     pub workspace: Workspace,
     /// The model or service.
     pub model: Model,
-    /// How urgent it is.
+    /// The priority class.
     pub class: Class,
-    /// When its answer becomes worthless.
+    /// The deadline, after which the answer is useless to the caller.
     pub deadline: Millis,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// The claim's key, if it may not.
+    /// The idempotency key of the claim, if the request may run only once.
     pub key: Option<IdempotencyKey>,
     /// The oldest version that may produce its tokens.
     pub floor: Option<Version>,
@@ -49,57 +50,57 @@
     pub fingerprint: Fingerprint,
     /// Whether its content is suspected of crashing endpoints.
     pub suspect: bool,
-    /// How often it is tried.
+    /// The retry policy.
     pub retries: Retries,
-    /// The number of the last attempt, zero before the first.
+    /// The number of the last attempt; zero before the first one.
     pub attempt: Attempt,
-    /// Endpoints that already failed it.
+    /// Endpoints to avoid, because an attempt failed there.
     pub avoid: Vec<Endpoint>,
-    /// Attempts that were refused because their endpoints were leaving.
-    pub moved: u32,
-    /// The hash of the prompt's prefix, if it is long enough to be worth caching.
+    /// Number of attempts that were refused because their endpoints were leaving.
+    pub draining_refusals: u32,
+    /// The hash of the prompt's prefix, if the prompt is long enough to be cached.
     pub prefix: Option<u64>,
-    /// Tokens of the prompt, estimated.
+    /// Estimated number of tokens of the prompt.
     pub prompt: u32,
-    /// Tokens that it may produce; zero for a call of a plain service.
+    /// Maximum number of tokens to produce; zero for a call of a plain service.
     pub tokens: u32,
 }
 
 impl Job {
-    /// Draws the identifier of a new request.
+    /// Returns a random identifier for a new request.
     pub fn new_request_id() -> RequestId {
         let mut random = rand::rng();
         RequestId(random.random(), random.random())
     }
 
-    /// Gives the milliseconds remaining_ms until the answer is worthless.
+    /// Returns the milliseconds until the deadline.
     pub fn remaining_ms(&self, now: Millis) -> u64 {
         self.deadline.since(now)
     }
 
-    /// Describes the failed request to the decision whether it is tried again. Attempts that
-    /// met a leaving endpoint are not counted, because a planned stop must not use up what is
-    /// meant for failures.
+    /// Builds the query whether the request may be retried after an attempt with this outcome.
+    /// Attempts refused by leaving endpoints are not counted, because a planned stop must not use
+    /// up the attempts that are meant for failures.
     pub fn retry_query(&self, outcome: Outcome) -> RetryQuery {
         RetryQuery {
             workspace: self.workspace.clone(),
-            attempts: self.attempt.0.saturating_sub(self.moved).max(1),
+            attempts: self.attempt.0.saturating_sub(self.draining_refusals).max(1),
             outcome,
             repeatable: self.repeatable,
             deadline: self.deadline,
         }
     }
 
-    /// Notes what routing should know of a generation.
+    /// Sets the fields that routing uses for a generation.
     #[must_use]
     pub fn with_generation(self, task: &Generation) -> Self {
         let bytes = task.prompt.as_bytes();
-        let prefix = bytes.get(..PREFIX).map(|prefix| Fingerprint::of(prefix).0);
-        let prompt = (bytes.len() / TOKEN).min(u32::MAX as usize) as u32;
+        let prefix = bytes.get(..PREFIX_BYTES).map(|prefix| Fingerprint::of(prefix).0);
+        let prompt = (bytes.len() / BYTES_PER_TOKEN).min(u32::MAX as usize) as u32;
         Self { prefix, prompt, tokens: task.max_tokens, ..self }
     }
 
-    /// Describes what the next attempt looks for.
+    /// Builds the query for the endpoint of the next attempt.
     pub fn endpoint_query(&self) -> EndpointQuery {
         EndpointQuery {
             request: self.request,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Makes the message of the present attempt, for the agent of `pick`.
+    /// Builds the message of the current attempt for the agent of `pick`.
     pub fn work(&self, task: Task, pick: &Pick, now: Millis) -> Work {
         Work {
             request: self.request,
--- a/components/entry/src/run/mod.rs
+++ b/components/entry/src/run/mod.rs
@@ -1,4 +1,5 @@
-//! Runs requests: attempts at agents, their frames, retries, the continuation elsewhere.
+//! Runs requests: sends attempts to agents, reads their frames, retries failed attempts and
+//! continues interrupted generations at other endpoints.
 
 pub mod at_most_once;
 pub mod attempt;
--- a/components/entry/src/run/probe.rs
+++ b/components/entry/src/run/probe.rs
@@ -1,4 +1,4 @@
-//! Asks an agent over a new connection what became of an attempt.
+//! Queries agents for the state of attempts, over new connections.
 
 use std::time::Duration;
 
@@ -9,37 +9,38 @@
 
 use crate::context::Context;
 
-/// The longest wait for an agent's word.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// How often a cancellation that found no agent is repeated.
-const CANCEL_TRIES: u32 = 3;
+/// Timeout for an agent's reply.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of times a cancellation is sent until the agent confirms it.
+const CANCEL_ATTEMPTS: u32 = 3;
 
-/// Asks what became of an attempt.
+/// Queries the state of an attempt.
 ///
 /// It uses a new connection, because the one on which the attempt was sent may have gone silent
-/// for good while the endpoint works on.
+/// permanently while the endpoint still works.
 ///
 /// # Errors
 ///
-/// [`CallError`] if the agent could not be asked.
-pub async fn ask(
+/// Returns [`CallError`] if the agent could not be queried.
+pub async fn query(
     context: &Context,
     address: &str,
     question: &AttemptQuestion,
 ) -> Result<AttemptState, CallError> {
-    context.fresh_client.call(address, paths::ATTEMPT, question, PATIENCE).await
+    context.fresh_client.call(address, paths::ATTEMPT, question, PROBE_TIMEOUT).await
 }
 
-/// Tells an agent to stop an attempt that nobody waits for, so that its slot is free again.
+/// Cancels an attempt whose result nobody waits for, so that its slot becomes free. Runs in the
+/// background.
 pub fn cancel(context: &Context, address: &str, question: AttemptQuestion) {
     let (context, address) = (context.clone(), address.to_owned());
     let question = AttemptQuestion { cancel: true, ..question };
     actix_rt::spawn(async move {
-        for turn in 1..=CANCEL_TRIES {
-            if ask(&context, &address, &question).await.is_ok() {
+        for turn in 1..=CANCEL_ATTEMPTS {
+            if query(&context, &address, &question).await.is_ok() {
                 return;
             }
-            actix_rt::time::sleep(PATIENCE * turn).await;
+            actix_rt::time::sleep(PROBE_TIMEOUT * turn).await;
         }
         let AttemptQuestion { request, attempt, .. } = question;
         tracing::warn!(event = "cancel_unconfirmed", %request, %attempt, agent = address);
--- a/components/entry/src/run/rescue.rs
+++ b/components/entry/src/run/rescue.rs
@@ -1,9 +1,10 @@
-//! Gives an urgent request that stays silent a second attempt elsewhere.
+//! Rescues urgent requests: starts a second attempt at another endpoint if the first stays silent.
 //!
-//! A connection or an endpoint that has gone silent is noticed only after seconds without a frame,
-//! when the deadline of an urgent request may be over. Two attempts may then run at once. The
-//! first that gives tokens wins, before any token has reached the caller, so that no answer is put
-//! together from both; the other is cancelled, and its place counted until the agent confirms it.
+//! A silent connection or endpoint is detected only after seconds without a frame, when the
+//! deadline of an urgent request may already have passed. With a rescue, two attempts may run
+//! concurrently. The first one that produces tokens wins. This is decided before any token has been
+//! sent to the caller, so that no answer is composed of both. The other attempt is cancelled, and
+//! its permit is held until the agent has confirmed the cancellation.
 
 use std::time::Duration;
 
@@ -31,139 +32,158 @@
 use crate::run::job::Job;
 use crate::run::probe;
 
-/// What an attempt came to: its first event, or how it broke off before.
-type Came = Result<(LiveAttempt, Event), FailedAttempt>;
+/// The first event of an attempt, or the failure if it failed before.
+type FirstEvent = Result<(LiveAttempt, Event), FailedAttempt>;
 
-type Maker = LocalBoxFuture<'static, Came>;
+/// An attempt that waits for its first event.
+type PendingAttempt = LocalBoxFuture<'static, FirstEvent>;
 
-/// Tells whether a request may be given a second attempt while the first runs.
-pub fn applies(job: &Job) -> bool {
+/// Returns whether a request may have a second attempt while the first is running.
+pub fn is_eligible(job: &Job) -> bool {
     job.class == Class::Urgent && job.repeatable
 }
 
-/// Makes attempts until one has given its first event.
+/// Starts attempts until one has produced its first event.
 ///
 /// # Errors
 ///
-/// The final failure of the request.
-pub async fn first(attempts: &mut Attempts, task: &Task) -> Result<(LiveAttempt, Event), Failure> {
+/// Returns the final failure of the request.
+pub async fn first_event(
+    attempts: &mut Attempts,
+    task: &Task,
+) -> Result<(LiveAttempt, Event), Failure> {
     loop {
         let (permit, work) = attempts.prepare(task).await?;
         match race(attempts, task, permit, work).await {
             Ok(first) => return Ok(first),
-            Err(ended) => attempts.again(ended).await?,
+            Err(failed) => attempts.handle_early_failure(failed).await?,
         }
     }
 }
 
-/// Makes an attempt, and a second one beside it if it stays silent and the budget allows it.
-async fn race(attempts: &mut Attempts, task: &Task, permit: AttemptPermit, work: Work) -> Came {
+/// Starts an attempt, and a concurrent second one if the first stays silent and the retry budget
+/// allows it.
+async fn race(
+    attempts: &mut Attempts,
+    task: &Task,
+    permit: AttemptPermit,
+    work: Work,
+) -> FirstEvent {
     let context = attempts.context.clone();
     let endpoint = permit.pick.endpoint.clone();
-    let begun = context.now();
-    let patience = patience(attempts);
-    let mut one = make(&context, &attempts.job, permit, work);
-    let came = match actix_rt::time::timeout(patience, &mut one).await {
-        Ok(came) => came,
-        Err(_) => match second(attempts, task, endpoint).await {
-            Some(other) => {
-                // From here on an attempt that nobody reads may run.
+    let started = context.now();
+    let delay = rescue_delay(attempts);
+    let mut first = start(&context, &attempts.job, permit, work);
+    let event = match actix_rt::time::timeout(delay, &mut first).await {
+        Ok(event) => event,
+        Err(_) => match start_second(attempts, task, endpoint).await {
+            Some(second) => {
+                // The attempt that loses may run without anyone reading it.
                 attempts.may_have_run = true;
-                either(attempts, one, other).await
+                first_of(attempts, first, second).await
             }
-            None => one.await,
+            None => first.await,
         },
     };
-    if came.is_ok() {
-        let ms = context.now().since(begun);
+    if event.is_ok() {
+        let ms = context.now().since(started);
         context.first_token_times.borrow_mut().record(&attempts.job.model, ms);
     }
-    came
+    event
 }
 
-fn patience(attempts: &Attempts) -> Duration {
+fn rescue_delay(attempts: &Attempts) -> Duration {
     let left = attempts.job.remaining_ms(attempts.context.now());
     attempts.context.first_token_times.borrow().rescue_delay(&attempts.job.model, left)
 }
 
-/// Begins a second attempt elsewhere, within the retry budget of the workspace: under an overload
-/// every request is late, and a second attempt for each would double the load.
-async fn second(attempts: &mut Attempts, task: &Task, endpoint: Endpoint) -> Option<Maker> {
+/// Starts a second attempt at another endpoint within the retry budget of the workspace. Under an
+/// overload every request is late, and a second attempt for each would double the load.
+async fn start_second(
+    attempts: &mut Attempts,
+    task: &Task,
+    endpoint: Endpoint,
+) -> Option<PendingAttempt> {
     let context = attempts.context.clone();
-    let again = attempts.job.retry_query(Outcome::Unknown);
-    context.router.retry_delay(again).await?;
+    let retry = attempts.job.retry_query(Outcome::Unknown);
+    context.router.retry_delay(retry).await?;
     attempts.job.avoid.push(endpoint);
     let (permit, work) = attempts.prepare(task).await.ok()?;
     let (request, elsewhere) = (attempts.job.request, &permit.pick.endpoint);
     tracing::info!(event = "request_rescued", %request, endpoint = %elsewhere);
     context.kernel.metrics.count("entry.rescued", 1);
-    Some(make(&context, &attempts.job, permit, work))
+    Some(start(&context, &attempts.job, permit, work))
 }
 
-/// Takes the first of two attempts that gives an event; one that breaks off leaves the other.
-async fn either(attempts: &mut Attempts, one: Maker, other: Maker) -> Came {
-    let (came, rest) = match select(one, other).await {
-        Either::Left((came, rest)) | Either::Right((came, rest)) => (came, rest),
+/// Returns the first event of two attempts. If one fails, waits for the other.
+async fn first_of(
+    attempts: &mut Attempts,
+    first: PendingAttempt,
+    second: PendingAttempt,
+) -> FirstEvent {
+    let (event, other) = match select(first, second).await {
+        Either::Left((event, other)) | Either::Right((event, other)) => (event, other),
     };
-    match came {
-        Ok(first) => Ok(first),
-        Err(ended) => {
-            attempts.set_aside(ended);
-            rest.await
+    match event {
+        Ok(event) => Ok(event),
+        Err(failed) => {
+            attempts.discard(failed);
+            other.await
         }
     }
 }
 
-fn make(context: &Context, job: &Job, permit: AttemptPermit, work: Work) -> Maker {
+fn start(context: &Context, job: &Job, permit: AttemptPermit, work: Work) -> PendingAttempt {
     let (context, deadline) = (context.clone(), job.deadline);
     Box::pin(async move {
-        let mut making = Making { context, permit: Some(permit), attempt: None, work };
+        let mut starting = StartingAttempt { context, permit: Some(permit), attempt: None, work };
         let opened = {
-            let Making { context, permit, work, .. } = &making;
+            let StartingAttempt { context, permit, work, .. } = &starting;
             let address = permit.as_ref().map(|permit| permit.pick.address.as_str());
             Attempt::open(context, address.unwrap_or_default(), work, deadline).await
         };
         match opened {
-            Ok(attempt) => making.attempt = Some(attempt),
-            Err(broken) => return Err(making.ended(broken)),
+            Ok(attempt) => starting.attempt = Some(attempt),
+            Err(error) => return Err(starting.fail(error)),
         }
-        let attempt = making.attempt.as_mut().expect("it was set just now");
+        let attempt = starting.attempt.as_mut().expect("the attempt was opened");
         match attempt.next().await {
-            Ok(event) => Ok((making.live(), event)),
-            Err(broken) => Err(making.ended(broken)),
+            Ok(event) => Ok((starting.into_live(), event)),
+            Err(error) => Err(starting.fail(error)),
         }
     })
 }
 
-/// An attempt without its first event. Dropped, it has lost to another one, and is cancelled.
-struct Making {
+/// An attempt without its first event. If it is dropped, another attempt has won, and this one is
+/// cancelled.
+struct StartingAttempt {
     context: Context,
     permit: Option<AttemptPermit>,
     attempt: Option<Attempt>,
     work: Work,
 }
 
-impl Making {
-    fn live(mut self) -> LiveAttempt {
-        let permit = self.permit.take().expect("it is taken once");
-        let attempt = self.attempt.take().expect("it gave an event");
+impl StartingAttempt {
+    fn into_live(mut self) -> LiveAttempt {
+        let permit = self.permit.take().expect("the permit is taken only once");
+        let attempt = self.attempt.take().expect("an attempt with an event is open");
         LiveAttempt { permit, attempt, number: self.work.attempt }
     }
 
-    fn ended(mut self, broken: AttemptError) -> FailedAttempt {
-        if let (Some(attempt), AttemptError::Lost(_)) = (&mut self.attempt, &broken) {
-            attempt.leave();
+    fn fail(mut self, error: AttemptError) -> FailedAttempt {
+        if let (Some(attempt), AttemptError::Lost(_)) = (&mut self.attempt, &error) {
+            attempt.detach();
         }
-        let permit = self.permit.take().expect("it is taken once");
-        FailedAttempt { permit, number: self.work.attempt, broken }
+        let permit = self.permit.take().expect("the permit is taken only once");
+        FailedAttempt { permit, number: self.work.attempt, error }
     }
 }
 
-impl Drop for Making {
+impl Drop for StartingAttempt {
     fn drop(&mut self) {
         let Some(permit) = self.permit.take() else { return };
         if let Some(attempt) = &mut self.attempt {
-            attempt.leave();
+            attempt.detach();
         }
         let Work { request, attempt, incarnation, .. } = self.work;
         let question = AttemptQuestion { request, attempt, incarnation, cancel: true };
@@ -171,8 +191,8 @@
     }
 }
 
-/// Cancels an attempt and keeps its place until the agent has confirmed it: the endpoint would
-/// otherwise be given new work while it still makes tokens that nobody reads.
+/// Cancels an attempt and holds its permit until the agent has confirmed the cancellation.
+/// Otherwise the endpoint would receive new work while it still generates tokens that nobody reads.
 pub async fn cancel(context: Context, mut permit: AttemptPermit, question: AttemptQuestion) {
     let AttemptQuestion { request, attempt, .. } = question;
     let probed = attempt::probe_lost(&context, &mut permit, request, attempt, true).await;
--- a/components/entry/src/run/service_call.rs
+++ b/components/entry/src/run/service_call.rs
@@ -1,4 +1,4 @@
-//! Runs a call of a plain service that may be repeated.
+//! Runs a repeatable call of a plain service.
 
 use chicoryford_types::Code;
 use chicoryford_types::Failure;
@@ -16,12 +16,12 @@
 use crate::run::background;
 use crate::run::job::Job;
 
-/// A whole answer and what it took.
+/// A complete answer and the number of attempts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceReply {
     /// The answer.
     pub answer: StoredAnswer,
-    /// How many attempts it took.
+    /// Number of attempts that were made.
     pub attempts: u32,
 }
 
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 ///
-/// The final failure of the request.
+/// Returns the final failure of the request.
 pub async fn call(context: &Context, job: Job, call: ServiceCall) -> Result<ServiceReply, Failure> {
     let (mut request_permit, first) = context.router.admit(job.endpoint_query()).await?;
     let mut attempts = Attempts::new(context.clone(), job, first);
@@ -38,7 +38,7 @@
         let mut live = attempts.start(&task).await?;
         let answer = match read(&mut live).await {
             Ok(answer) => answer,
-            Err(broken) => match attempts.after(live, broken).await? {
+            Err(error) => match attempts.recover(live, error).await? {
                 Recovery::Answered(answer) => answer,
                 Recovery::Retry => continue,
             },
@@ -49,16 +49,20 @@
     }
 }
 
-/// Reads an answer and its explicit end; an answer without it is not whole.
+/// Reads an answer and its explicit end. An answer without the end is incomplete.
+///
+/// # Errors
+///
+/// Returns an [`AttemptError`] if the attempt failed or ended without a body.
 pub async fn read(live: &mut LiveAttempt) -> Result<StoredAnswer, AttemptError> {
-    let mut held = None;
+    let mut answer = None;
     loop {
         match live.attempt.next().await? {
-            Event::Answer(answer) => held = Some(answer),
+            Event::Answer(received) => answer = Some(received),
             Event::Finished(finish) => {
                 live.permit.end = AttemptEnd::Ran(finish.load);
-                return held.ok_or_else(|| {
-                    let detail = "the service's answer ended without a body";
+                return answer.ok_or_else(|| {
+                    let detail = "the service sent no response body";
                     AttemptError::Failed(Failure::unknown(Code::EndpointFailed, detail))
                 });
             }
--- a/components/entry/src/run/spans.rs
+++ b/components/entry/src/run/spans.rs
@@ -1,4 +1,4 @@
-//! Which version produced which tokens of an answer, over all its attempts.
+//! Tracks which version produced which tokens of an answer, across all its attempts.
 
 use chicoryford_types::Sample;
 use chicoryford_types::Span;
@@ -6,32 +6,32 @@
 use chicoryford_types::frame::Tokens;
 use serde::Serialize;
 
-/// A run of tokens of one version, or of one that the engine did not say.
+/// A contiguous range of tokens produced by one version, or by an unknown one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub struct VersionRun {
-    /// The first token.
+    /// Index of the first token.
     pub from: u32,
-    /// The token after the last.
+    /// Index after the last token.
     pub to: u32,
-    /// The version; none if the engine did not say.
+    /// The version, or `None` if the engine did not report it.
     pub version: Option<Version>,
 }
 
-/// What an answer consists of so far.
+/// Output of a generation so far.
 #[derive(Clone, Debug, Default)]
 pub struct Output {
     /// The text.
     pub text: String,
-    /// How many tokens it has.
+    /// Number of tokens.
     pub tokens: u32,
-    /// The versions by run of tokens.
+    /// The versions by range of tokens.
     pub runs: Vec<VersionRun>,
-    /// Log-probabilities, one a token.
+    /// Log-probabilities, one per token.
     pub logprobs: Vec<f32>,
 }
 
 impl Output {
-    /// Adds some tokens.
+    /// Appends tokens.
     pub fn push(&mut self, tokens: &Tokens) {
         self.text.push_str(&tokens.text);
         self.logprobs.extend_from_slice(&tokens.logprobs);
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Gives the spans, or none if the version of some token is not known: such a sample must
-    /// not be delivered, because a guessed version would mislead its trainer.
+    /// Returns the spans, or `None` if the version of some token is unknown. Such a sample must not
+    /// be delivered, because a guessed version would mislead its trainer.
     pub fn spans(&self) -> Option<Vec<Span>> {
         let span = |run: &VersionRun| {
             run.version.map(|version| Span { from: run.from, to: run.to, version })
