--- a/components/entry/src/steps/duty.rs
+++ b/components/entry/src/steps/duty.rs
@@ -1,4 +1,4 @@
-//! The thread that runs steps.
+//! The steps duty: the thread that runs the steps owned by this entry's session.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -38,26 +38,26 @@
 use crate::steps::step;
 use crate::steps::step::Shared;
 
-/// Room for notices that the duty has not yet read.
-const RING: usize = 4_096;
-/// Steps that one entry runs at once.
-const STEPS: usize = 64;
-/// Milliseconds that each entry waits longer for an orphan than the one before it in the
-/// orphan's own order; without an order all entries would ask for each orphan at once.
-const TURN: u64 = 1_000;
+/// Capacity of the queue of notices to the duty.
+const NOTICE_QUEUE: usize = 4_096;
+/// Maximum number of steps that one entry runs concurrently.
+const MAX_STEPS: usize = 64;
+/// Delay in milliseconds before taking an orphaned step, multiplied by this entry's rank for the
+/// step. Without ranks, all entries would try to take every orphan at the same time.
+const ORPHAN_DELAY_MS: u64 = 1_000;
 
-/// The time between two looks at whether this entry is to leave.
-const LOOK: Duration = Duration::from_millis(200);
-/// The longest wait for the session to be closed.
-const CLOSE: Duration = Duration::from_secs(2);
+/// Interval at which the duty checks whether this entry has to leave.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout for closing the session.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Starts the duty and offers its handle.
+/// Starts the duty and registers its handle.
 ///
 /// # Errors
 ///
-/// [`DutyError`] if the thread cannot be started.
+/// Returns [`DutyError`] if the thread cannot be started.
 pub fn start(kernel: &Kernel, settings: &Settings) -> Result<(), DutyError> {
-    let (sender, receiver) = ring(RING);
+    let (sender, receiver) = ring(NOTICE_QUEUE);
     let pull_notifier = PullNotifier::default();
     let steps = Steps { notices: sender.clone(), pull_notifier: pull_notifier.clone() };
     kernel.registry.offer(SERVICE, steps.clone());
@@ -95,9 +95,9 @@
             running: BTreeMap::new(),
             orphans: BTreeMap::new(),
             leave,
-            held: None,
+            leave_guard: None,
             bodies: Rc::default(),
-            holds: None,
+            work_guard: None,
         };
         duty.run(receiver).await;
     })?;
@@ -112,9 +112,9 @@
     running: BTreeMap<StepKey, JoinHandle<()>>,
     orphans: BTreeMap<StepKey, Millis>,
     leave: watch::Sender<bool>,
-    held: Option<Guard>,
+    leave_guard: Option<Guard>,
     bodies: Rc<BodyAudit>,
-    holds: Option<Guard>,
+    work_guard: Option<Guard>,
 }
 
 impl Duty {
@@ -127,26 +127,26 @@
         let phases = self.context.kernel.phases.clone();
         let stopped = phases.reached(Phase::Stopping);
         tokio::pin!(stopped);
-        let mut look = actix_rt::time::interval(LOOK);
+        let mut check = actix_rt::time::interval(CHECK_INTERVAL);
         loop {
             tokio::select! {
-                _ = look.tick() => self.look(),
+                _ = check.tick() => self.check_leaving(),
                 () = &mut stopped => return,
                 notice = receiver.next() => match notice {
-                    Some(notice) => self.take(notice),
+                    Some(notice) => self.handle(notice),
                     None => return,
                 },
             }
         }
     }
 
-    /// Learns the rhythm of publications, and leaves when the process drains or a planned stop
-    /// names it.
+    /// Records newly published versions, and starts to leave when the process drains or a planned
+    /// stop names this entry or its data centre.
     ///
-    /// Samples in progress run on, and hold up the end of the process like requests; then the
-    /// session is closed, so that another entry takes the steps at once instead of after the
-    /// lease has run out.
-    fn look(&mut self) {
+    /// Samples in progress are finished first; like requests, they delay the exit of the process.
+    /// Then the session is closed, so that another entry takes the steps over immediately instead
+    /// of after the lease has expired.
+    fn check_leaving(&mut self) {
         let context = &self.context;
         let config = context.config.current();
         let now = context.now();
@@ -154,50 +154,51 @@
             self.shared.staleness.borrow_mut().record_version(model, published.version, now);
         }
         let phase = context.kernel.phases.now();
-        let leaves =
+        let is_leaving =
             admit::check_not_draining(phase, &config, &context.node, &context.data_centre).is_err();
-        let left = self.leave.send_replace(leaves);
-        if !leaves {
-            self.held = None;
-            self.hold_on();
+        let was_leaving = self.leave.send_replace(is_leaving);
+        if !is_leaving {
+            self.leave_guard = None;
+            self.update_work_guard();
             return;
         }
-        if !left {
+        if !was_leaving {
             let progress = context.kernel.registry.find::<Progress>(PROGRESS);
-            self.held = progress.ok().map(|progress| progress.begin());
-            self.holds = None;
+            self.leave_guard = progress.ok().map(|progress| progress.begin());
+            self.work_guard = None;
         }
-        let may_leave = self.running.is_empty() && self.bodies.can_leave(context);
-        if may_leave && self.held.is_some() {
-            let held = self.held.take();
+        let can_leave = self.running.is_empty() && self.bodies.can_leave(context);
+        if can_leave && self.leave_guard.is_some() {
+            let leave_guard = self.leave_guard.take();
             let (context, session) = (context.clone(), self.session);
             actix_rt::spawn(async move {
                 if let Some(session) = session {
                     let command = Command::CloseSession { session };
-                    let _ = context.proposer.propose(&command, CLOSE).await;
+                    let _ = context.proposer.propose(&command, CLOSE_TIMEOUT).await;
                 }
-                drop(held);
+                drop(leave_guard);
             });
         }
     }
 
-    /// Counts running steps and held bodies as work in progress. A process that is told to stop
-    /// ends at once if nothing is in progress: before this duty could look, samples would be
-    /// cancelled though there is time for them, and copies that are needed would be lost.
-    fn hold_on(&mut self) {
+    /// Counts running steps and stored bodies as work in progress. A stopping process exits
+    /// immediately if nothing is in progress. Without this guard it could exit before the next
+    /// [`Self::check_leaving`], cancel samples that still have time to finish, and lose copies of
+    /// bodies that are still needed.
+    fn update_work_guard(&mut self) {
         if self.running.is_empty() && self.context.bodies.store().is_empty() {
-            self.holds = None;
-        } else if self.holds.is_none() {
+            self.work_guard = None;
+        } else if self.work_guard.is_none() {
             let progress = self.context.kernel.registry.find::<Progress>(PROGRESS);
-            self.holds = progress.ok().map(|progress| progress.begin());
+            self.work_guard = progress.ok().map(|progress| progress.begin());
         }
     }
 
-    fn take(&mut self, notice: Notice) {
+    fn handle(&mut self, notice: Notice) {
         match notice {
-            Notice::Opened(key) => self.begin(key),
-            Notice::Session(session) => self.change_session(session),
-            Notice::Orphans(orphans) => self.consider(orphans),
+            Notice::Opened(key) => self.start_step(key),
+            Notice::Session(session) => self.set_session(session),
+            Notice::Orphans(orphans) => self.take_orphans(orphans),
             Notice::Ended(key) => {
                 self.running.remove(&key);
             }
@@ -207,8 +208,9 @@
         }
     }
 
-    /// Stops all steps at once when the session is lost: another entry takes them from here on.
-    fn change_session(&mut self, session: Option<u64>) {
+    /// Stops all running steps, because they belonged to the previous session and another entry
+    /// takes them over.
+    fn set_session(&mut self, session: Option<u64>) {
         self.session = session;
         for (key, task) in std::mem::take(&mut self.running) {
             tracing::warn!(event = "step_stopped", workspace = %key.workspace, step = %key.step);
@@ -216,33 +218,37 @@
         }
     }
 
-    fn consider(&mut self, orphans: Vec<StepKey>) {
+    fn take_orphans(&mut self, orphans: Vec<StepKey>) {
         let now = self.context.now();
         let mut seen = std::mem::take(&mut self.orphans);
         for key in orphans {
             let since = seen.remove(&key).unwrap_or(now);
-            if now.since(since) >= TURN * self.turn(&key) {
-                self.begin(key);
+            if now.since(since) >= ORPHAN_DELAY_MS * self.rank(&key) {
+                self.start_step(key);
             } else {
                 self.orphans.insert(key, since);
             }
         }
     }
 
-    /// Gives this entry's id among all entries in the order of one orphan.
-    fn turn(&self, key: &StepKey) -> u64 {
-        let rank = |node: &str| {
+    /// Returns the rank of this entry for an orphaned step. The order of the entries is derived
+    /// from a hash of node and step, so that it differs from step to step.
+    fn rank(&self, key: &StepKey) -> u64 {
+        let hash = |node: &str| {
             Fingerprint::of(format!("{node}\0{}\0{}", key.workspace, key.step).as_bytes())
         };
-        let own = rank(self.context.node.as_str());
+        let own = hash(self.context.node.as_str());
         let members = self.context.members.view();
         let entries = members.present().filter(|member| member.roles.entry);
-        entries.filter(|member| rank(member.node.as_str()) < own).count() as u64
+        entries.filter(|member| hash(member.node.as_str()) < own).count() as u64
     }
 
-    fn begin(&mut self, key: StepKey) {
+    fn start_step(&mut self, key: StepKey) {
         let Some(session) = self.session else { return };
-        if *self.leave.borrow() || self.running.len() >= STEPS || self.running.contains_key(&key) {
+        if *self.leave.borrow()
+            || self.running.len() >= MAX_STEPS
+            || self.running.contains_key(&key)
+        {
             return;
         }
         let (context, shared) = (self.context.clone(), self.shared.clone());
@@ -252,7 +258,7 @@
             let _ = notices.send(Notice::Ended(ended)).await;
         });
         self.running.insert(key, task);
-        self.hold_on();
+        self.update_work_guard();
     }
 
     fn dump(&self) -> Value {
--- a/components/entry/src/steps/handle.rs
+++ b/components/entry/src/steps/handle.rs
@@ -1,4 +1,4 @@
-//! How other threads tell the steps duty something.
+//! Handle through which other threads send notices to the steps duty.
 
 use chicoryford_kernel::Sender;
 use chicoryford_ledger::StepKey;
@@ -6,40 +6,40 @@
 
 use crate::steps::pull_waker::PullNotifier;
 
-/// The name under which [`Steps`] is offered.
+/// Registry name of [`Steps`].
 pub const SERVICE: &str = "steps";
 
-/// What is put into the duty's ring.
+/// A message to the steps duty.
 pub enum Notice {
-    /// A trainer opened a step here.
+    /// A trainer opened a step at this entry.
     Opened(StepKey),
-    /// The session was opened, or lost.
+    /// The session was opened, or lost if `None`.
     Session(Option<u64>),
-    /// No session owns these steps.
+    /// Steps that no session owns.
     Orphans(Vec<StepKey>),
-    /// A step ended here, whoever runs it from now on.
+    /// A step ended at this entry, whether it is complete or another session owns it now.
     Ended(StepKey),
-    /// A dump is wanted.
+    /// Requests the state dump.
     Dump(oneshot::Sender<serde_json::Value>),
 }
 
-/// Tells the steps duty something.
+/// Handle of the steps duty.
 #[derive(Clone)]
 pub struct Steps {
-    /// The duty's ring.
+    /// Sends notices to the duty.
     pub notices: Sender<Notice>,
-    /// PullNotifier pulls that wait.
+    /// Wakes waiting pulls.
     pub pull_notifier: PullNotifier,
 }
 
 impl Steps {
-    /// Hands over a step that a trainer opened. If the ring is full the step stays an orphan,
-    /// which the next renewal of some entry's session finds.
-    pub fn opened(&self, key: StepKey) {
+    /// Hands over a step that a trainer opened. If the queue is full, the step stays an orphan,
+    /// which an entry finds with the next renewal of its session.
+    pub fn step_opened(&self, key: StepKey) {
         let _ = self.notices.offer(Notice::Opened(key));
     }
 
-    /// Takes the duty's part of the dump.
+    /// Returns the duty's part of the state dump; null if the duty cannot be asked.
     pub async fn dump(&self) -> serde_json::Value {
         let (sender, receiver) = oneshot::channel();
         if self.notices.offer(Notice::Dump(sender)).is_err() {
--- a/components/entry/src/steps/in_flight.rs
+++ b/components/entry/src/steps/in_flight.rs
@@ -1,4 +1,4 @@
-//! A sample that is being made, perhaps by two attempts at once.
+//! A sample in progress, with one run or, once it is hedged, two concurrent runs.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -8,37 +8,32 @@
 use chicoryford_types::Millis;
 use tokio::sync::watch;
 
-/// How far the first maker of a sample has come.
+/// Progress of the first run of a sample.
 #[derive(Debug, Default)]
 pub struct SampleProgress {
-    /// When it was let in; none while it waits.
-    pub begun: Cell<Option<Millis>>,
-    /// Tokens that it has.
+    /// When the run was admitted; `None` while it waits.
+    pub started: Cell<Option<Millis>>,
+    /// Number of tokens generated so far.
     pub tokens: Cell<u32>,
-    /// Where it runs.
+    /// Endpoint of the current attempt.
     pub endpoint: RefCell<Option<Endpoint>>,
 }
 
-/// A sample that is being made.
+/// A sample in progress.
 #[derive(Debug)]
 pub struct InFlight {
-    /// How far its first maker has come.
-    pub run_progress: Rc<SampleProgress>,
-    /// How many runs it has: one, or two once it is hedged.
+    /// Progress of the first run.
+    pub first_run: Rc<SampleProgress>,
+    /// Number of concurrent runs: one, or two once the sample is hedged.
     pub runs: u32,
-    /// Whether it was hedged before; it is not hedged again.
+    /// Whether the sample has been hedged; it is hedged at most once.
     pub hedged: bool,
-    /// Tells the other maker to stop once one has recorded the sample.
+    /// Stops the other run once one run has recorded the sample.
     pub stop: watch::Sender<bool>,
 }
 
 impl Default for InFlight {
     fn default() -> Self {
-        Self {
-            run_progress: Rc::default(),
-            runs: 1,
-            hedged: false,
-            stop: watch::Sender::new(false),
-        }
+        Self { first_run: Rc::default(), runs: 1, hedged: false, stop: watch::Sender::new(false) }
     }
 }
--- a/components/entry/src/steps/lengths.rs
+++ b/components/entry/src/steps/lengths.rs
@@ -1,19 +1,19 @@
-//! Learned lengths of answers, by which the longest samples begin first.
+//! Learned answer lengths, used to start the longest samples of a step first.
 //!
-//! A step waits for its last sample. A long sample that begins last ends last, and the trainer
-//! idles meanwhile; begun first, it overlaps with the short ones.
+//! A step waits for its last sample. A long sample that starts last also ends last while the
+//! trainer idles; if it starts first, it overlaps with the short ones.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
 
 use chicoryford_types::Fingerprint;
 
-/// Prompts whose lengths are remembered at most.
-const PROMPTS: usize = 65_536;
-/// The weight of a new length in a prompt's mean.
-const LEARN: f64 = 0.3;
+/// Maximum number of prompts whose lengths are remembered.
+const MAX_PROMPTS: usize = 65_536;
+/// Weight of a new length in the exponentially weighted mean of a prompt.
+const SMOOTHING: f64 = 0.3;
 
-/// Learned lengths of answers, by prompt.
+/// Learned answer lengths by prompt.
 #[derive(Clone, Debug, Default)]
 pub struct Lengths {
     means: HashMap<Fingerprint, f64>,
@@ -21,13 +21,14 @@
 }
 
 impl Lengths {
-    /// Takes in the length of an answer, in tokens.
-    pub fn learn(&mut self, prompt: Fingerprint, tokens: u32) {
+    /// Records the length of an answer in tokens. When the table is full, the prompt that was added
+    /// first is evicted.
+    pub fn record(&mut self, prompt: Fingerprint, tokens: u32) {
         if let Some(mean) = self.means.get_mut(&prompt) {
-            *mean += LEARN * (f64::from(tokens) - *mean);
+            *mean += SMOOTHING * (f64::from(tokens) - *mean);
             return;
         }
-        if self.order.len() >= PROMPTS
+        if self.order.len() >= MAX_PROMPTS
             && let Some(oldest) = self.order.pop_front()
         {
             self.means.remove(&oldest);
@@ -36,8 +37,8 @@
         self.means.insert(prompt, f64::from(tokens));
     }
 
-    /// Orders `items` by expected length, longest first. A prompt that is not known counts as
-    /// the longest, because a wrong guess costs least when its sample begins early.
+    /// Sorts `items` by expected length, longest first. Unknown prompts come first, because a wrong
+    /// guess costs least when the sample starts early.
     pub fn sort<T>(&self, items: &mut [T], prompt: impl Fn(&T) -> Fingerprint) {
         let expected = |item: &T| {
             let mean = self.means.get(&prompt(item)).copied();
--- a/components/entry/src/steps/propose.rs
+++ b/components/entry/src/steps/propose.rs
@@ -1,4 +1,4 @@
-//! Proposes commands of the ledger.
+//! Proposes ledger commands to the control processes.
 
 use std::time::Duration;
 
@@ -11,24 +11,25 @@
 
 use crate::context::Context;
 
-/// The longest wait for a command to be committed.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout for committing a command.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Proposes a command of the ledger.
+/// Proposes a ledger command and returns the reply of the ledger.
 ///
 /// # Errors
 ///
-/// The failure of the control processes.
+/// Returns the failure reported by the control processes, or [`Code::Internal`] if their reply is
+/// not one of the ledger.
 pub async fn ledger_command(
     context: &Context,
     command: LedgerCommand,
 ) -> Result<LedgerReply, Failure> {
     let command = Command::Ledger(Box::new(command));
-    match context.proposer.propose(&command, PATIENCE).await? {
+    match context.proposer.propose(&command, COMMIT_TIMEOUT).await? {
         Reply::Ledger(reply) => Ok(*reply),
         Reply::Failed(failure) => Err(failure),
         reply => {
-            let detail = format!("the control processes answered out of turn: {reply:?}");
+            let detail = format!("unexpected reply to a ledger command: {reply:?}");
             Err(Failure::unknown(Code::Internal, detail))
         }
     }
--- a/components/entry/src/steps/pull_waker.rs
+++ b/components/entry/src/steps/pull_waker.rs
@@ -1,4 +1,4 @@
-//! PullNotifier pulls that wait when a group of their workspace has become whole.
+//! Wakes waiting pulls when a group of their workspace is complete.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,50 +8,52 @@
 use chicoryford_types::Workspace;
 use tokio::sync::watch;
 
-/// The time between two tries of a pull whose workspace has steps here; each is woken before.
-const LOCAL_POLL: Duration = Duration::from_secs(1);
-/// The same without steps here: another entry runs them, whose groups wake nobody here.
-const REMOTE_POLL: Duration = Duration::from_millis(100);
+/// Polling interval of a pull whose workspace has steps running at this entry. It is only a
+/// fallback, because a completed group wakes the pull.
+const LOCAL_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Polling interval of a pull whose workspace has no steps running at this entry. Groups completed
+/// at another entry do not wake it.
+const REMOTE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What pulls of a workspace wait for.
+/// Activity at this entry that the pulls of a workspace watch.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkspaceActivity {
-    /// Groups that became whole here.
+    /// Number of groups completed at this entry.
     groups: u64,
-    /// Steps that run here.
+    /// Number of steps running at this entry.
     steps: u64,
 }
 
-/// Joins the duty that runs steps to the threads that answer pulls.
+/// Notifies the threads that answer pulls of progress in the steps duty.
 #[derive(Clone, Debug, Default)]
 pub struct PullNotifier(Arc<Mutex<BTreeMap<Workspace, watch::Sender<WorkspaceActivity>>>>);
 
 impl PullNotifier {
-    /// Follows a workspace. A pull must do so before it asks the ledger: a group that became whole
-    /// between the answer and the wait would otherwise wake it no more.
+    /// Subscribes to a workspace. A pull must subscribe before it queries the ledger; otherwise it
+    /// misses a group that completes between the reply of the ledger and the wait.
     pub fn subscribe(&self, workspace: &Workspace) -> PullWaiter {
-        let mut activity = self.0.lock().expect("nothing panics while it holds this lock");
-        PullWaiter(activity.entry(workspace.clone()).or_default().subscribe())
+        let mut workspaces = self.0.lock().expect("the lock is not poisoned");
+        PullWaiter(workspaces.entry(workspace.clone()).or_default().subscribe())
     }
 
-    /// Tells that a group became whole.
+    /// Wakes the pulls of a workspace after a group was completed.
     pub fn group_completed(&self, workspace: &Workspace) {
         self.update(workspace, |activity| activity.groups += 1);
     }
 
-    /// Counts a step that runs here until the guard is dropped.
+    /// Counts a step as running at this entry until the returned guard is dropped.
     pub fn step_started(&self, workspace: &Workspace) -> RunningStep {
         self.update(workspace, |activity| activity.steps += 1);
         RunningStep(self.clone(), workspace.clone())
     }
 
     fn update(&self, workspace: &Workspace, change: impl FnOnce(&mut WorkspaceActivity)) {
-        let mut activity = self.0.lock().expect("nothing panics while it holds this lock");
-        activity.entry(workspace.clone()).or_default().send_modify(change);
+        let mut workspaces = self.0.lock().expect("the lock is not poisoned");
+        workspaces.entry(workspace.clone()).or_default().send_modify(change);
     }
 }
 
-/// Counts a step while it runs.
+/// Guard that counts a step as running.
 pub struct RunningStep(PullNotifier, Workspace);
 
 impl Drop for RunningStep {
@@ -60,18 +62,20 @@
     }
 }
 
-/// PullNotifier one pull.
+/// Lets one pull wait for progress in its workspace.
 pub struct PullWaiter(watch::Receiver<WorkspaceActivity>);
 
 impl PullWaiter {
-    /// Notes that the ledger is asked now: only what follows wakes.
+    /// Marks all activity so far as seen, so that only later activity ends a wait. It is called
+    /// right before the ledger is queried.
     pub fn mark_seen(&mut self) {
         self.0.mark_unchanged();
     }
 
-    /// Waits until the ledger should be asked again, at most for `most`.
-    pub async fn wait(&mut self, most: Duration) {
-        let pause = if self.0.borrow().steps > 0 { LOCAL_POLL } else { REMOTE_POLL };
-        let _ = actix_rt::time::timeout(pause.min(most), self.0.changed()).await;
+    /// Waits until the ledger should be queried again, at most for `timeout`.
+    pub async fn wait(&mut self, timeout: Duration) {
+        let interval =
+            if self.0.borrow().steps > 0 { LOCAL_POLL_INTERVAL } else { REMOTE_POLL_INTERVAL };
+        let _ = actix_rt::time::timeout(interval.min(timeout), self.0.changed()).await;
     }
 }
--- a/components/entry/src/steps/sample.rs
+++ b/components/entry/src/steps/sample.rs
@@ -1,4 +1,4 @@
-//! Runs one sample until it is recorded.
+//! Runs one sample until the ledger has recorded it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -32,124 +32,128 @@
 use crate::steps::in_flight::SampleProgress;
 use crate::steps::propose;
 use crate::steps::step::Shared;
-use crate::steps::step::prompt_of;
+use crate::steps::step::prompt_fingerprint;
 use crate::steps::timeline::Timeline;
 
-/// The budget of a step that names none, in milliseconds.
-const BUDGET: u64 = 300_000;
-/// The least time that a sample is given, in milliseconds. A step past its budget goes on,
-/// because its trainer still waits for it; a shorter time would have its long samples refused
-/// at the door again and again.
-const LEAST: u64 = 300_000;
-/// The pause before a sample is begun again, in milliseconds; it doubles with each try.
-const PAUSE: u64 = 50;
-/// The longest such pause, in milliseconds.
-pub(super) const PAUSE_BOUND: u64 = 2_000;
-/// A sample's id in its step.
+/// Time budget in milliseconds of a step that sets none.
+const DEFAULT_BUDGET_MS: u64 = 300_000;
+/// Minimum time until the deadline of a sample, in milliseconds. A step that has exceeded its
+/// budget continues, because its trainer still waits for it; with less time, admission would refuse
+/// its long samples again and again.
+const MIN_DEADLINE_MS: u64 = 300_000;
+/// Initial backoff in milliseconds before a sample is retried; it doubles with each retry.
+const INITIAL_BACKOFF_MS: u64 = 50;
+/// Maximum backoff in milliseconds.
+pub(super) const MAX_BACKOFF_MS: u64 = 2_000;
+
+/// Identifies a sample within its step.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct SampleId {
     /// The group.
     pub group: Group,
-    /// Its number within the group.
+    /// The number of the sample within the group.
     pub number: SampleNo,
 }
 
-/// How the work on a sample ended.
+/// How a run of a sample ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SampleEnd {
-    /// It is recorded.
+    /// The sample is recorded.
     Recorded,
-    /// Its group is whole without it.
+    /// The sample is no longer needed from this run: its group is complete, another run recorded
+    /// it, or this entry is leaving.
     Unwanted,
-    /// The step is not this session's any more.
+    /// The session no longer owns the step.
     Over,
 }
 
-/// Why a sample must be begun again.
+/// Why a sample has to be retried.
 pub(super) enum RetryReason {
     /// The request failed.
     Failed(Failure),
-    /// Its oldest tokens are too old by now.
+    /// The version of its oldest tokens exceeds the freshness bound.
     Stale,
-    /// The engine did not say which version produced some token.
+    /// The engine did not report which version produced some of the tokens.
     Unattributed,
-    /// This entry leaves; another one begins the sample.
+    /// This entry is leaving; another one runs the sample.
     Leaving,
 }
 
-/// The work on one sample.
+/// One run of a sample.
 pub struct SampleTask {
-    /// What the thread has.
+    /// Services and clients of this thread.
     pub context: Context,
-    /// What all steps share.
+    /// State shared by all steps.
     pub shared: Shared,
-    /// What the step asked for.
+    /// The step's specification and progress.
     pub progress: Rc<Progress>,
     /// The session that owns the step.
     pub session: u64,
     /// The step.
     pub key: StepKey,
-    /// The sample.
+    /// Identifies the sample.
     pub id: SampleId,
-    /// How far it has come, for the decision whether to hedge it.
+    /// Progress of this run, used to decide whether the sample is hedged.
     pub run_progress: Rc<SampleProgress>,
-    /// Endpoints that it should not run at, because another maker of it runs there.
+    /// Endpoints to avoid, because the other run of the sample uses them.
     pub avoid: Vec<Endpoint>,
     /// When this entry took the step.
-    pub begun: Millis,
-    /// Where the time of the step goes.
+    pub step_started: Millis,
+    /// Collects the time spent in each phase.
     pub timeline: Rc<Timeline>,
 }
 
-/// A generation that is whole, and what it took.
+/// A complete generation and the number of attempts it took.
 struct Generated {
     output: Output,
     attempts: u32,
 }
 
 impl SampleTask {
-    /// Runs the sample until it is recorded or the step is over.
+    /// Runs the sample until it is recorded, no longer needed, or its step has ended.
     pub async fn run(&self) -> SampleEnd {
         let mut attempts = 0;
-        let mut pause = PAUSE;
+        let mut backoff_ms = INITIAL_BACKOFF_MS;
         loop {
-            let again = match self.once(&mut attempts).await {
+            let reason = match self.run_once(&mut attempts).await {
                 Ok(ended) => return ended,
-                Err(again) => again,
+                Err(reason) => reason,
             };
-            self.note(&again);
+            self.log_retry(&reason);
             if *self.shared.leaving.borrow() {
                 return SampleEnd::Unwanted;
             }
-            // A refusal at the door says itself when there may be room.
-            if let RetryReason::Failed(Failure { retry_ms: Some(ms), .. }) = again {
-                pause = pause.max(ms).min(PAUSE_BOUND);
+            // A refusal by admission carries the time after which there may be capacity.
+            if let RetryReason::Failed(Failure { retry_ms: Some(ms), .. }) = reason {
+                backoff_ms = backoff_ms.max(ms).min(MAX_BACKOFF_MS);
             }
-            let wait = rand::rng().random_range(pause / 2..=pause);
-            actix_rt::time::sleep(Duration::from_millis(wait)).await;
-            pause = (pause * 2).min(PAUSE_BOUND);
+            let delay_ms = rand::rng().random_range(backoff_ms / 2..=backoff_ms);
+            actix_rt::time::sleep(Duration::from_millis(delay_ms)).await;
+            backoff_ms = (backoff_ms * 2).min(MAX_BACKOFF_MS);
         }
     }
 
-    /// Makes, scores and records the sample once, or tells why it must be begun again.
-    async fn once(&self, attempts: &mut u32) -> Result<SampleEnd, RetryReason> {
+    /// Generates, scores and records the sample once, or returns why it has to be retried.
+    async fn run_once(&self, attempts: &mut u32) -> Result<SampleEnd, RetryReason> {
         let template = self.template()?;
         let prompt = &self.progress.spec.groups[self.id.group.0 as usize].prompt;
         let config = self.context.config.current();
-        admit::check_not_convicted(prompt_of(prompt), &config).map_err(RetryReason::Failed)?;
+        admit::check_not_convicted(prompt_fingerprint(prompt), &config)
+            .map_err(RetryReason::Failed)?;
         *attempts += 1;
-        let generated = self.make(&template).await?;
+        let generated = self.generate(&template).await?;
         *attempts += generated.attempts.saturating_sub(1);
         let scoring = self.context.now();
-        let score = self.scored(&template, &generated.output).await?;
+        let score = self.score_with_retry(&template, &generated.output).await?;
         let ms = self.context.now().since(scoring);
-        self.timeline.add(|parts| parts.scored.add(ms));
-        let record =
-            self.record(&generated.output, *attempts, score).ok_or(RetryReason::Unattributed)?;
+        self.timeline.add(|times| times.scored.add(ms));
+        let record = self
+            .build_record(&generated.output, *attempts, score)
+            .ok_or(RetryReason::Unattributed)?;
         let recording = self.context.now();
-        let ended = self.submit(self.placed(record).await).await?;
+        let ended = self.submit(self.store_body(record).await).await?;
         let ms = self.context.now().since(recording);
-        self.timeline.add(|parts| parts.recorded.add(ms));
+        self.timeline.add(|times| times.recorded.add(ms));
         Ok(ended)
     }
 
@@ -159,13 +163,13 @@
         template.cloned().map_err(RetryReason::Failed)
     }
 
-    async fn make(&self, template: &Template) -> Result<Generated, RetryReason> {
-        let asked = self.context.now();
+    async fn generate(&self, template: &Template) -> Result<Generated, RetryReason> {
+        let requested = self.context.now();
         let members = self.context.members.view();
         let entries = members.present().filter(|member| member.roles.entry).count() as u32;
-        let room =
+        let workspace_limit =
             self.shared.sample_limits.semaphore(&self.key.workspace, &template.limits, entries);
-        let id = room.acquire().await;
+        let workspace_permit = workspace_limit.acquire().await;
         let slot = self.shared.slots.acquire().await;
         if *self.shared.leaving.borrow() {
             return Err(RetryReason::Leaving);
@@ -173,18 +177,18 @@
         let prompt = &self.progress.spec.groups[self.id.group.0 as usize].prompt;
         let job = self.job(template, prompt);
         let task = self.generation(prompt);
-        let entering = GenerationStream::enter(self.context.clone(), job, task);
-        let mut generating = entering.await.map_err(RetryReason::Failed)?;
-        let begun = self.context.now();
-        self.run_progress.begun.set(Some(begun));
-        self.timeline.let_in(begun);
-        self.timeline.add(|parts| parts.waited.add(begun.since(asked)));
+        let admitted = GenerationStream::enter(self.context.clone(), job, task);
+        let mut stream = admitted.await.map_err(RetryReason::Failed)?;
+        let started = self.context.now();
+        self.run_progress.started.set(Some(started));
+        self.timeline.sample_admitted(started);
+        self.timeline.add(|times| times.waited.add(started.since(requested)));
         loop {
-            let piece = generating.next().await.map_err(RetryReason::Failed)?;
-            self.run_progress.tokens.set(generating.output.tokens);
-            self.run_progress.endpoint.replace(generating.endpoint());
-            if self.is_stale(&generating.output) {
-                let tokens = i64::from(generating.output.tokens);
+            let piece = stream.next().await.map_err(RetryReason::Failed)?;
+            self.run_progress.tokens.set(stream.output.tokens);
+            self.run_progress.endpoint.replace(stream.endpoint());
+            if self.is_stale(&stream.output) {
+                let tokens = i64::from(stream.output.tokens);
                 self.context.kernel.metrics.count("entry.sample.wasted_tokens", tokens);
                 return Err(RetryReason::Stale);
             }
@@ -192,13 +196,13 @@
                 break;
             }
         }
-        drop((id, slot));
-        let ms = self.context.now().since(begun);
-        self.timeline.add(|parts| parts.generated.add(ms));
+        drop((workspace_permit, slot));
+        let ms = self.context.now().since(started);
+        self.timeline.add(|times| times.generated.add(ms));
         self.shared.staleness.borrow_mut().record_sample(&self.progress.spec.model, ms);
-        let attempts = generating.job().attempt.0;
-        let output = std::mem::take(&mut generating.output);
-        self.shared.lengths.borrow_mut().learn(prompt_of(prompt), output.tokens);
+        let attempts = stream.job().attempt.0;
+        let output = std::mem::take(&mut stream.output);
+        self.shared.lengths.borrow_mut().record(prompt_fingerprint(prompt), output.tokens);
         if output.spans().is_none() {
             return Err(RetryReason::Unattributed);
         }
@@ -207,17 +211,17 @@
 
     pub(super) fn job(&self, template: &Template, prompt: &str) -> Job {
         let spec = &self.progress.spec;
-        let budget = if spec.budget_ms == 0 { BUDGET } else { spec.budget_ms };
-        let fingerprint = prompt_of(prompt);
+        let budget = if spec.budget_ms == 0 { DEFAULT_BUDGET_MS } else { spec.budget_ms };
+        let fingerprint = prompt_fingerprint(prompt);
         let config = self.context.config.current();
         Job {
             request: Job::new_request_id(),
             workspace: self.key.workspace.clone(),
             model: spec.model.clone(),
             class: Class::Batch,
-            deadline: (self.begun + budget).max(self.context.now() + LEAST),
+            deadline: (self.step_started + budget).max(self.context.now() + MIN_DEADLINE_MS),
             repeatable: true,
-            floor: Some(self.first_floor()),
+            floor: Some(self.start_floor()),
             fingerprint,
             suspect: config.suspects.contains_key(&fingerprint),
             retries: template.retries,
@@ -228,45 +232,47 @@
 
     fn generation(&self, prompt: &str) -> Generation {
         let spec = &self.progress.spec;
-        let id = format!("{}.{}.{}", spec.seed, self.id.group, self.id.number);
+        let seed_input = format!("{}.{}.{}", spec.seed, self.id.group, self.id.number);
         Generation {
             prompt: prompt.to_owned(),
             max_tokens: spec.max_tokens.max(1),
-            seed: Fingerprint::of(id.as_bytes()).0,
+            seed: Fingerprint::of(seed_input.as_bytes()).0,
             temperature: spec.temperature,
             logprobs: spec.logprobs,
             ..Generation::default()
         }
     }
 
-    fn newest(&self) -> Version {
+    fn newest_version(&self) -> Version {
         let config = self.context.config.current();
         config.weights.get(&self.progress.spec.model).map_or(Version(0), |newest| newest.version)
     }
 
-    /// Gives the oldest version that may begin the sample, by when it is expected to end.
-    fn first_floor(&self) -> Version {
+    /// Returns the oldest version that may start the sample. If prediction is enabled, it accounts
+    /// for the versions that are expected to be published while the sample runs.
+    fn start_floor(&self) -> Version {
         if !self.shared.predict {
-            return self.floor();
+            return self.delivery_floor();
         }
-        let (newest, bound) = (self.newest(), self.progress.bound);
+        let (newest, bound) = (self.newest_version(), self.progress.bound);
         self.shared.staleness.borrow().floor(&self.progress.spec.model, newest, bound)
     }
 
-    /// Gives the oldest version that may be delivered now.
-    fn floor(&self) -> Version {
-        Version(self.newest().0.saturating_sub(self.progress.bound))
+    /// Returns the oldest version that may currently be delivered.
+    fn delivery_floor(&self) -> Version {
+        Version(self.newest_version().0.saturating_sub(self.progress.bound))
     }
 
-    /// Tells whether the sample could no longer be delivered however soon it ended: versions
-    /// only grow, so its slot is better freed now.
+    /// Returns whether the sample contains tokens too old to be delivered. Versions only increase,
+    /// so it cannot become deliverable again, and its slot is freed immediately.
     pub(super) fn is_stale(&self, output: &Output) -> bool {
-        let floor = self.floor();
+        let floor = self.delivery_floor();
         output.runs.iter().any(|run| run.version.is_some_and(|version| version < floor))
     }
 
-    /// Puts the sample's bytes where they belong, before the ledger hears of them.
-    async fn placed(&self, record: Record) -> Record {
+    /// Stores the sample's bytes on their holders, which has to happen before the sample is
+    /// submitted to the ledger.
+    async fn store_body(&self, record: Record) -> Record {
         let Body::Inline(bytes) = &record.body else { return record };
         let (key, digest) = (self.key.clone(), record.digest);
         let SampleId { group, number } = self.id;
@@ -275,8 +281,9 @@
         Record { body, ..record }
     }
 
-    /// Records the sample, sending it again until the control processes answered: a second
-    /// record of the same sample is a duplicate, which the ledger drops.
+    /// Submits the sample to the ledger and retries until the control processes have replied.
+    /// Retrying is safe, because the ledger drops a second record of the same sample as a
+    /// duplicate.
     async fn submit(&self, mut record: Record) -> Result<SampleEnd, RetryReason> {
         loop {
             let command = LedgerCommand::Done {
@@ -289,21 +296,21 @@
             match propose::ledger_command(&self.context, command).await {
                 Ok(LedgerReply::Kept | LedgerReply::Duplicate) => return Ok(SampleEnd::Recorded),
                 Ok(LedgerReply::Undeliverable) => return Err(RetryReason::Stale),
-                // The stores of the entries may have room again.
-                Ok(LedgerReply::Full) => record = self.placed(record).await,
+                // The body stores of the entries may have free capacity again.
+                Ok(LedgerReply::Full) => record = self.store_body(record).await,
                 Err(_) => {}
                 Ok(_) => return Ok(SampleEnd::Over),
             }
-            actix_rt::time::sleep(Duration::from_millis(PAUSE_BOUND / 4)).await;
+            actix_rt::time::sleep(Duration::from_millis(MAX_BACKOFF_MS / 4)).await;
         }
     }
 
-    fn note(&self, again: &RetryReason) {
-        let why = match again {
+    fn log_retry(&self, reason: &RetryReason) {
+        let why = match reason {
             RetryReason::Failed(failure) => failure.to_string(),
-            RetryReason::Stale => "too old by now".to_owned(),
-            RetryReason::Unattributed => "a version is not known".to_owned(),
-            RetryReason::Leaving => "this entry leaves".to_owned(),
+            RetryReason::Stale => "tokens exceed the freshness bound".to_owned(),
+            RetryReason::Unattributed => "the version of some tokens is unknown".to_owned(),
+            RetryReason::Leaving => "this entry is leaving".to_owned(),
         };
         let (workspace, step) = (&self.key.workspace, self.key.step);
         let SampleId { group, number } = self.id;
--- a/components/entry/src/steps/scoring.rs
+++ b/components/entry/src/steps/scoring.rs
@@ -1,4 +1,4 @@
-//! Makes a record of a generation that is whole: its score, its spans, its bytes.
+//! Scores a complete generation and builds its ledger record.
 
 use std::time::Duration;
 
@@ -18,37 +18,37 @@
 use crate::run::Job;
 use crate::run::service_call;
 use crate::run::spans::Output;
-use crate::steps::sample::PAUSE_BOUND;
+use crate::steps::sample::MAX_BACKOFF_MS;
 use crate::steps::sample::RetryReason;
 use crate::steps::sample::SampleTask;
 
-/// How often a generation is given to the scoring service before it is made anew.
-const SCORINGS: u32 = 8;
-/// The path at which scoring services answer.
-const SCORE: &str = "/score";
+/// Number of scoring attempts for one generation before the sample is generated again.
+const MAX_SCORING_ATTEMPTS: u32 = 8;
+/// Path of the scoring request.
+const SCORE_PATH: &str = "/score";
 
 #[derive(Deserialize)]
-struct Scored {
+struct ScoreReply {
     score: f64,
 }
 
 impl SampleTask {
-    /// Scores a generation, asking again if the scoring service fails: its tokens are whole, and
-    /// to make them anew would waste them.
-    pub(super) async fn scored(
+    /// Scores a generation and retries if the scoring service fails, because generating the sample
+    /// again would waste its tokens. Gives up when the generation has become stale.
+    pub(super) async fn score_with_retry(
         &self,
         template: &Template,
         output: &Output,
     ) -> Result<Option<f64>, RetryReason> {
-        let mut tries = 0;
+        let mut attempt = 0;
         loop {
-            tries += 1;
+            attempt += 1;
             match self.score(template, output).await {
                 Ok(score) => return Ok(score),
-                Err(failure) if tries >= SCORINGS || self.is_stale(output) => {
+                Err(failure) if attempt >= MAX_SCORING_ATTEMPTS || self.is_stale(output) => {
                     return Err(RetryReason::Failed(failure));
                 }
-                Err(_) => actix_rt::time::sleep(Duration::from_millis(PAUSE_BOUND / 4)).await,
+                Err(_) => actix_rt::time::sleep(Duration::from_millis(MAX_BACKOFF_MS / 4)).await,
             }
         }
     }
@@ -58,7 +58,7 @@
         let prompt = &self.progress.spec.groups[self.id.group.0 as usize].prompt;
         let body = json!({"prompt": prompt, "text": output.text}).to_string();
         let call = ServiceCall {
-            path: SCORE.to_owned(),
+            path: SCORE_PATH.to_owned(),
             media: "application/json".to_owned(),
             body: Bytes::from(body),
         };
@@ -66,23 +66,24 @@
         let job = Job { model: scorer.clone(), floor: None, avoid, ..self.job(template, prompt) };
         let job = Job { fingerprint: Fingerprint::of(&call.body), suspect: false, ..job };
         let served = service_call::call(&self.context, job, call).await?;
-        let scored = serde_json::from_slice::<Scored>(&served.answer.body);
+        let scored = serde_json::from_slice::<ScoreReply>(&served.answer.body);
         let scored = scored.map_err(|error| {
-            let detail = format!("the scoring service's answer cannot be read: {error}");
+            let detail = format!("cannot parse the response of the scoring service: {error}");
             Failure::unknown(Code::EndpointFailed, detail)
         })?;
         Ok(Some(scored.score))
     }
 
-    /// Makes the record, with the bytes still in it.
-    pub(super) fn record(
+    /// Builds the record with the bytes inline. Returns `None` if the version of some token is
+    /// unknown.
+    pub(super) fn build_record(
         &self,
         output: &Output,
         attempts: u32,
         score: Option<f64>,
     ) -> Option<Record> {
         let spans = output.spans()?;
-        // Log-probabilities that some attempt did not give cannot be matched to tokens.
+        // If some attempt returned no log-probabilities, the others cannot be matched to tokens.
         let complete = output.logprobs.len() == output.tokens as usize;
         let sample = Sample {
             step: self.key.step,
@@ -94,7 +95,7 @@
             logprobs: if complete { output.logprobs.clone() } else { Vec::new() },
             attempts,
             score,
-            age_ms: self.context.now().since(self.begun),
+            age_ms: self.context.now().since(self.step_started),
         };
         let bytes = serde_json::to_vec(&sample).expect("a sample is plain data");
         let digest = Digest::of(&bytes);
--- a/components/entry/src/steps/session.rs
+++ b/components/entry/src/steps/session.rs
@@ -1,4 +1,5 @@
-//! Keeps this entry's session with the leader, the lease on its steps.
+//! Maintains this entry's session with the leader. The session is the lease on the steps that the
+//! entry runs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,60 +18,63 @@
 use crate::context::Context;
 use crate::steps::handle::Notice;
 
-/// The time between two renewals.
-const EVERY: Duration = Duration::from_secs(1);
-/// The longest wait for a control process's answer to a renewal.
-const PATIENCE: Duration = Duration::from_millis(800);
-/// The longest wait for a session to be opened.
-const OPEN: Duration = Duration::from_secs(5);
+/// Interval between renewals.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout for a control process's reply to a renewal.
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout for opening or closing a session.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A session as this entry holds it.
-struct Held {
+/// A session held by this entry.
+struct Session {
     number: u64,
-    until: Millis,
+    expires: Millis,
 }
 
-/// Opens a session and renews it for ever; tells the duty when it is opened or lost.
+/// Opens a session, renews it until the process exits, and notifies the duty when it is opened or
+/// lost.
 ///
-/// The lease is counted on this process's own monotonic clock from before the renewal was sent.
-/// An entry that was stopped or cut off therefore stops its steps before the leader gives them
-/// to another; should it not, the ledger refuses what an earlier owner records.
+/// The lease is measured with this process's monotonic clock, from the time just before the renewal
+/// was sent. An entry that was suspended or disconnected therefore stops its steps before the
+/// leader assigns them to another one. If it does not, the ledger still refuses records of a
+/// previous owner.
 pub async fn maintain(context: Context, notices: Sender<Notice>, bodies: Rc<BodyAudit>) {
-    let mut held: Option<Held> = None;
+    let mut session: Option<Session> = None;
     let mut lost: Option<u64> = None;
     loop {
-        held = match (held, lost) {
+        session = match (session, lost) {
             (None, Some(number)) if !close(&context, number).await => None,
             (None, _) => {
                 lost = None;
                 open(&context, &notices).await
             }
-            (Some(held), _) => {
-                let number = held.number;
-                let held = renew(&context, &notices, held, &bodies).await;
-                lost = held.is_none().then_some(number);
-                held
+            (Some(session), _) => {
+                let number = session.number;
+                let session = renew(&context, &notices, session, &bodies).await;
+                lost = session.is_none().then_some(number);
+                session
             }
         };
-        actix_rt::time::sleep(EVERY).await;
+        actix_rt::time::sleep(RENEWAL_INTERVAL).await;
     }
 }
 
-/// Closes a session that this entry gave up.
+/// Closes a session that this entry has given up.
 ///
-/// The leader may still hold it: it was cut off as well, or is new and gives all sessions a whole
-/// period. Opened again under the same number, the session would go on owning steps that this
-/// entry has stopped, so that nobody ran them and their trainer waited for ever. Closed, they
-/// are orphans that any entry takes.
+/// The session may still be open at the leader, for instance because the leader was disconnected as
+/// well, or is new and grants every session a full lease. If it were reopened under the same
+/// number, it would continue to own the steps that this entry has stopped; nobody would run them,
+/// and their trainer would wait forever. Closing the session makes the steps orphans that any
+/// entry can take.
 async fn close(context: &Context, session: u64) -> bool {
-    let closed = context.proposer.propose(&Command::CloseSession { session }, OPEN).await;
+    let closed = context.proposer.propose(&Command::CloseSession { session }, OPEN_TIMEOUT).await;
     closed.is_ok()
 }
 
-async fn open(context: &Context, notices: &Sender<Notice>) -> Option<Held> {
+async fn open(context: &Context, notices: &Sender<Notice>) -> Option<Session> {
     let own = context.members.own();
     let command = Command::OpenSession { node: own.node, incarnation: own.incarnation };
-    let number = match context.proposer.propose(&command, OPEN).await {
+    let number = match context.proposer.propose(&command, OPEN_TIMEOUT).await {
         Ok(Reply::Session { session }) => session,
         Ok(reply) => {
             tracing::warn!(event = "session_refused", ?reply);
@@ -81,27 +85,27 @@
             return None;
         }
     };
-    let held = Held { number, until: context.now() };
-    let (renewed, sent) = ask(context, number, None).await?;
+    let session = Session { number, expires: context.now() };
+    let (renewed, sent) = send_renewal(context, number, None).await?;
     if !renewed.held {
         return None;
     }
     tracing::info!(event = "session_opened", session = number);
     let _ = notices.send(Notice::Session(Some(number))).await;
-    tell_orphans(notices, renewed.orphans).await;
-    Some(Held { until: sent + renewed.lasts_ms, ..held })
+    send_orphans(notices, renewed.orphans).await;
+    Some(Session { expires: sent + renewed.lasts_ms, ..session })
 }
 
 async fn renew(
     context: &Context,
     notices: &Sender<Notice>,
-    held: Held,
+    session: Session,
     bodies: &BodyAudit,
-) -> Option<Held> {
-    let audit = bodies.next_audit(context, held.number);
-    let asked = audit.is_some();
-    let answer = ask(context, held.number, audit).await;
-    if asked {
+) -> Option<Session> {
+    let audit = bodies.next_audit(context, session.number);
+    let has_audit = audit.is_some();
+    let answer = send_renewal(context, session.number, audit).await;
+    if has_audit {
         bodies.apply_answer(
             context,
             answer.as_ref().and_then(|(renewed, _)| renewed.audited.as_ref()),
@@ -109,31 +113,36 @@
     }
     match answer {
         Some((renewed, sent)) if renewed.held => {
-            tell_orphans(notices, renewed.orphans).await;
-            return Some(Held { until: sent + renewed.lasts_ms, ..held });
+            send_orphans(notices, renewed.orphans).await;
+            return Some(Session { expires: sent + renewed.lasts_ms, ..session });
         }
-        None if context.now() < held.until => return Some(held),
+        None if context.now() < session.expires => return Some(session),
         _ => {}
     }
-    tracing::warn!(event = "session_lost", session = held.number);
+    tracing::warn!(event = "session_lost", session = session.number);
     context.kernel.metrics.count("entry.session.lost", 1);
     let _ = notices.send(Notice::Session(None)).await;
     None
 }
 
-async fn tell_orphans(notices: &Sender<Notice>, orphans: Vec<StepKey>) {
+async fn send_orphans(notices: &Sender<Notice>, orphans: Vec<StepKey>) {
     if !orphans.is_empty() {
         let _ = notices.send(Notice::Orphans(orphans)).await;
     }
 }
 
-/// Asks the control processes until one answers for the leader.
-async fn ask(context: &Context, session: u64, audit: Option<Audit>) -> Option<(Renewed, Millis)> {
-    let question = Renew { node: context.node.clone(), session, audit };
+/// Sends a renewal to one control process after the other until one replies on behalf of the
+/// leader. Returns the reply and the time just before it was requested.
+async fn send_renewal(
+    context: &Context,
+    session: u64,
+    audit: Option<Audit>,
+) -> Option<(Renewed, Millis)> {
+    let request = Renew { node: context.node.clone(), session, audit };
     let members = context.members.view();
     for member in members.present().filter(|member| member.roles.control) {
         let sent = context.now();
-        let answer = context.client.call(&member.address, paths::RENEW, &question, PATIENCE);
+        let answer = context.client.call(&member.address, paths::RENEW, &request, RENEWAL_TIMEOUT);
         match answer.await {
             Ok(renewed) => return Some((renewed, sent)),
             Err(error) => {
--- a/components/entry/src/steps/step.rs
+++ b/components/entry/src/steps/step.rs
@@ -1,4 +1,4 @@
-//! Runs one step: begins its samples, records them, begins again those that became stale.
+//! Runs one step: starts its samples, records them, and reruns those that became stale.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -41,32 +41,32 @@
 use crate::steps::staleness::StalenessPredictor;
 use crate::steps::timeline::Timeline;
 
-/// The time between two questions for a step's progress.
-const POLL: Duration = Duration::from_secs(2);
+/// Interval at which the progress of a step is queried from the ledger.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The time between two looks for samples to hedge.
-const HEDGE: Duration = Duration::from_millis(500);
-/// Groups that lack at most one in this many of their samples are looked at for hedging.
-const FEW: u32 = 4;
+/// Interval at which slow samples are considered for hedging.
+const HEDGE_INTERVAL: Duration = Duration::from_millis(500);
+/// A group is considered for hedging if at most one in this many of its samples is missing.
+const MISSING_DIVISOR: u32 = 4;
 
-/// What all steps of an entry share.
+/// State shared by all steps of an entry.
 #[derive(Clone)]
 pub struct Shared {
-    /// Whether versions expected meanwhile are taken from a sample's bound.
+    /// Whether the versions expected to be published during a sample reduce its freshness bound.
     pub predict: bool,
-    /// Whether late samples get a second maker.
+    /// Whether late samples are hedged with a second run.
     pub hedge: bool,
-    /// PullNotifier pulls that wait.
+    /// Wakes waiting pulls.
     pub pull_notifier: PullNotifier,
-    /// Learned lengths.
+    /// Learned answer lengths.
     pub lengths: Rc<RefCell<Lengths>>,
-    /// The rhythm of publications.
+    /// Predicts how many versions are published during a sample.
     pub staleness: Rc<RefCell<StalenessPredictor>>,
-    /// Samples of each workspace that may run at once.
+    /// Limits the concurrent samples of each workspace.
     pub sample_limits: Rc<SampleLimits>,
-    /// Samples that may run at once.
+    /// Limits the concurrent samples of this entry.
     pub slots: Arc<Semaphore>,
-    /// Whether this entry is leaving: what runs goes on, nothing new begins.
+    /// Whether this entry is leaving. Running samples continue, but no new ones start.
     pub leaving: watch::Receiver<bool>,
 }
 
@@ -77,16 +77,17 @@
     shared: Shared,
     session: u64,
     key: StepKey,
-    begun: Millis,
+    started: Millis,
     progress: Rc<Progress>,
     done: BTreeMap<Group, u32>,
     in_flight: BTreeMap<SampleId, InFlight>,
-    whole: watch::Sender<BTreeSet<Group>>,
+    complete: watch::Sender<BTreeSet<Group>>,
     running: Running,
     timeline: Rc<Timeline>,
 }
 
-/// Takes a step and runs it until it is delivered, given up, or owned by another session.
+/// Takes ownership of a step and runs it until all its groups are delivered, another session owns
+/// it, or this entry is leaving and its samples have ended.
 pub async fn run(context: Context, shared: Shared, session: u64, key: StepKey) {
     let command = LedgerCommand::Take { key: key.clone(), session };
     let progress = match propose::ledger_command(&context, command).await {
@@ -101,9 +102,9 @@
         }
     };
     tracing::info!(event = "step_taken", workspace = %key.workspace, step = %key.step, session);
-    let _runs = shared.pull_notifier.step_started(&key.workspace);
+    let _running_step = shared.pull_notifier.step_started(&key.workspace);
     let mut step = Step {
-        begun: context.now(),
+        started: context.now(),
         timeline: Rc::new(Timeline::new(context.now())),
         context,
         shared,
@@ -112,20 +113,23 @@
         progress: Rc::default(),
         done: BTreeMap::new(),
         in_flight: BTreeMap::new(),
-        whole: watch::Sender::new(BTreeSet::new()),
+        complete: watch::Sender::new(BTreeSet::new()),
         running: Running::new(),
     };
     step.reconcile(*progress);
-    step.work().await;
+    step.run().await;
     step.timeline.log(&step.key, step.context.now());
 }
 
 impl Step {
-    async fn work(&mut self) {
-        let mut poll = actix_rt::time::interval_at(actix_rt::time::Instant::now() + POLL, POLL);
-        let mut hedge = actix_rt::time::interval(HEDGE);
+    async fn run(&mut self) {
+        let mut poll = actix_rt::time::interval_at(
+            actix_rt::time::Instant::now() + POLL_INTERVAL,
+            POLL_INTERVAL,
+        );
+        let mut hedge = actix_rt::time::interval(HEDGE_INTERVAL);
         let mut config = self.context.config.watch();
-        let mut seen = newest(&config.borrow(), &self.progress.spec.model);
+        let mut seen = newest_version(&config.borrow(), &self.progress.spec.model);
         loop {
             let idle = self.running.is_empty();
             if idle && *self.shared.leaving.borrow() {
@@ -134,13 +138,13 @@
             tokio::select! {
                 Some((id, ended)) = self.running.next(), if !idle => {
                     match ended {
-                        SampleEnd::Recorded => self.count(id),
+                        SampleEnd::Recorded => self.sample_recorded(id),
                         SampleEnd::Unwanted => self.remove_run(id),
                         SampleEnd::Over => return,
                     }
                 }
                 _ = hedge.tick() => self.hedge().await,
-                () = published(&mut config, &self.progress.spec.model, &mut seen) => {
+                () = new_version(&mut config, &self.progress.spec.model, &mut seen) => {
                     if self.poll().await.is_none() {
                         return;
                     }
@@ -154,36 +158,36 @@
         }
     }
 
-    /// Asks how the step goes. Samples that became stale meanwhile are missing in the answer,
-    /// and are run again.
+    /// Queries the progress of the step and starts the missing samples, which include recorded
+    /// samples that have become stale. Returns `None` once the step has ended for this session.
     async fn poll(&mut self) -> Option<()> {
         let command = LedgerCommand::Progress { key: self.key.clone() };
         match propose::ledger_command(&self.context, command).await {
             Ok(LedgerReply::Progress(progress)) => {
-                if progress.owner != Some(self.session) || self.is_over(&progress) {
+                if progress.owner != Some(self.session) || self.is_delivered(&progress) {
                     return None;
                 }
                 self.reconcile(*progress);
                 Some(())
             }
             Ok(_) => None,
-            // Without a leader nothing can be recorded, but what runs need not be thrown away.
+            // Without a leader nothing can be recorded, but running samples need not be discarded.
             Err(_) => Some(()),
         }
     }
 
-    fn is_over(&self, progress: &Progress) -> bool {
+    fn is_delivered(&self, progress: &Progress) -> bool {
         progress.delivered.len() == progress.spec.groups.len()
     }
 
-    /// Counts a recorded sample. Its other maker, if any, is told to stop; should that one have
-    /// recorded the sample as well, the ledger has kept the first.
-    fn count(&mut self, id: SampleId) {
+    /// Counts a recorded sample and stops its other run, if any. If that run has recorded the
+    /// sample as well, the ledger has kept only the first record.
+    fn sample_recorded(&mut self, id: SampleId) {
         let Some(flight) = self.in_flight.remove(&id) else { return };
         flight.stop.send_replace(true);
-        self.timeline.recorded(self.context.now());
+        self.timeline.sample_recorded(self.context.now());
         *self.done.entry(id.group).or_default() += 1;
-        self.tell_whole();
+        self.update_complete();
     }
 
     fn remove_run(&mut self, id: SampleId) {
@@ -194,39 +198,44 @@
         }
     }
 
-    /// Gives the last few samples of a group that run late a second maker elsewhere.
+    /// Starts a second run, at another endpoint, of late samples in groups that are almost
+    /// complete.
     ///
-    /// A group waits for its last sample. One that runs at an endpoint that has become slow
-    /// without failing would hold up the group, and with it the trainer, for as long as it takes.
+    /// A group waits for its last sample. Without hedging, an endpoint that has become slow without
+    /// failing would delay the group, and with it the trainer.
     async fn hedge(&mut self) {
         if *self.shared.leaving.borrow() || !self.shared.hedge {
             return;
         }
-        for id in self.late() {
-            let Some(straggler) = self.straggler(id) else { continue };
-            let Some(hedged) = self.context.router.hedge(straggler).await else { continue };
+        for id in self.hedge_candidates() {
+            let Some(sample) = self.late_sample(id) else { continue };
+            let Some(permit) = self.context.router.hedge(sample).await else { continue };
             let Some(flight) = self.in_flight.get_mut(&id) else { continue };
             flight.hedged = true;
             flight.runs += 1;
-            let avoid = flight.run_progress.endpoint.borrow().iter().cloned().collect();
+            let avoid = flight.first_run.endpoint.borrow().iter().cloned().collect();
             tracing::info!(event = "sample_hedged", group = %id.group, number = %id.number);
-            self.start(id, Rc::default(), avoid, Some(hedged));
+            self.start_run(id, Rc::default(), avoid, Some(permit));
         }
     }
 
-    /// Lists the samples that might be hedged: those that run, in groups that lack only a few.
-    fn late(&self) -> Vec<SampleId> {
+    /// Lists the hedging candidates: running samples of groups that are almost complete.
+    fn hedge_candidates(&self) -> Vec<SampleId> {
         let wanted = self.progress.spec.samples;
-        let few = |group: &Group| {
+        let is_almost_complete = |group: &Group| {
             let done = self.done.get(group).copied().unwrap_or_default();
-            (wanted.saturating_sub(done)) * FEW <= wanted.max(FEW)
+            (wanted.saturating_sub(done)) * MISSING_DIVISOR <= wanted.max(MISSING_DIVISOR)
         };
-        let runs = |flight: &InFlight| !flight.hedged && flight.run_progress.begun.get().is_some();
-        let late = self.in_flight.iter().filter(|(id, flight)| few(&id.group) && runs(flight));
-        late.map(|(id, _)| *id).collect()
+        let is_running =
+            |flight: &InFlight| !flight.hedged && flight.first_run.started.get().is_some();
+        let candidates = self
+            .in_flight
+            .iter()
+            .filter(|(id, flight)| is_almost_complete(&id.group) && is_running(flight));
+        candidates.map(|(id, _)| *id).collect()
     }
 
-    fn straggler(&self, id: SampleId) -> Option<LateSample> {
+    fn late_sample(&self, id: SampleId) -> Option<LateSample> {
         let flight = self.in_flight.get(&id)?;
         let spec = &self.progress.spec;
         let done = self.done.get(&id.group).copied().unwrap_or_default();
@@ -234,27 +243,27 @@
             workspace: self.key.workspace.clone(),
             model: spec.model.clone(),
             tokens: spec.max_tokens,
-            avoid: flight.run_progress.endpoint.borrow().iter().cloned().collect(),
+            avoid: flight.first_run.endpoint.borrow().iter().cloned().collect(),
             ..EndpointQuery::default()
         };
         Some(LateSample {
             query,
             group: spec.samples,
             left: spec.samples.saturating_sub(done),
-            ran_ms: self.context.now().since(flight.run_progress.begun.get()?),
-            tokens: flight.run_progress.tokens.get(),
+            ran_ms: self.context.now().since(flight.first_run.started.get()?),
+            tokens: flight.first_run.tokens.get(),
         })
     }
 
-    /// Tells the samples of groups that are whole to stop, these being the extra ones, and the
-    /// pulls that wait for a group to ask again.
-    fn tell_whole(&self) {
+    /// Updates the set of complete groups. This stops their remaining samples, which are the extra
+    /// ones, and wakes waiting pulls.
+    fn update_complete(&self) {
         let wanted = self.progress.spec.samples;
-        let mut whole: BTreeSet<Group> = self.progress.delivered.iter().copied().collect();
-        whole.extend(self.done.iter().filter(|(_, done)| **done >= wanted).map(|(g, _)| *g));
-        let changed = self.whole.send_if_modified(|told| {
-            let differs = *told != whole;
-            *told = whole;
+        let mut complete: BTreeSet<Group> = self.progress.delivered.iter().copied().collect();
+        complete.extend(self.done.iter().filter(|(_, done)| **done >= wanted).map(|(g, _)| *g));
+        let changed = self.complete.send_if_modified(|current| {
+            let differs = *current != complete;
+            *current = complete;
             differs
         });
         if changed {
@@ -262,7 +271,7 @@
         }
     }
 
-    /// Begins what is missing, the longest expected first.
+    /// Starts the missing samples, those with the longest expected answers first.
     fn reconcile(&mut self, progress: Progress) {
         let mut done: BTreeMap<Group, u32> = BTreeMap::new();
         for (group, _) in &progress.done {
@@ -270,13 +279,13 @@
         }
         self.done = done;
         self.progress = Rc::new(progress);
-        self.tell_whole();
+        self.update_complete();
         let mut missing = self.missing();
         let spec = &self.progress.spec;
-        let prompt = |id: &SampleId| prompt_of(&spec.groups[id.group.0 as usize].prompt);
+        let prompt = |id: &SampleId| prompt_fingerprint(&spec.groups[id.group.0 as usize].prompt);
         self.shared.lengths.borrow().sort(&mut missing, prompt);
         for id in missing {
-            self.begin(id);
+            self.start_sample(id);
         }
     }
 
@@ -284,7 +293,7 @@
         let spec = &self.progress.spec;
         let mut missing = Vec::new();
         for group in (0..spec.groups.len() as u32).map(Group) {
-            if self.whole.borrow().contains(&group) {
+            if self.complete.borrow().contains(&group) {
                 continue;
             }
             for number in (0..spec.samples + spec.extra).map(SampleNo) {
@@ -298,22 +307,22 @@
         missing
     }
 
-    fn begin(&mut self, id: SampleId) {
+    fn start_sample(&mut self, id: SampleId) {
         if *self.shared.leaving.borrow() {
             return;
         }
         let flight = InFlight::default();
-        let run_progress = flight.run_progress.clone();
+        let run_progress = flight.first_run.clone();
         self.in_flight.insert(id, flight);
-        self.start(id, run_progress, Vec::new(), None);
+        self.start_run(id, run_progress, Vec::new(), None);
     }
 
-    fn start(
+    fn start_run(
         &mut self,
         id: SampleId,
         run_progress: Rc<SampleProgress>,
         avoid: Vec<Endpoint>,
-        hedged: Option<HedgePermit>,
+        permit: Option<HedgePermit>,
     ) {
         let Some(flight) = self.in_flight.get(&id) else { return };
         let mut stop = flight.stop.subscribe();
@@ -326,15 +335,15 @@
             session: self.session,
             key: self.key.clone(),
             id,
-            begun: self.begun,
+            step_started: self.started,
             timeline: self.timeline.clone(),
         };
-        let mut whole = self.whole.subscribe();
+        let mut complete = self.complete.subscribe();
         self.running.push(Box::pin(async move {
-            let _hedged = hedged;
+            let _permit = permit;
             let ended = tokio::select! {
                 ended = task.run() => ended,
-                _ = whole.wait_for(|whole| whole.contains(&id.group)) => SampleEnd::Unwanted,
+                _ = complete.wait_for(|complete| complete.contains(&id.group)) => SampleEnd::Unwanted,
                 _ = stop.wait_for(|stop| *stop) => SampleEnd::Unwanted,
             };
             (id, ended)
@@ -344,26 +353,26 @@
 
 /// Waits until a newer version of a model is published.
 ///
-/// The publication drops recorded samples that became stale. Seen only at the next look at the
-/// step, they would be begun again up to two seconds late, and their trainer idle meanwhile.
-async fn published(
+/// A publication drops recorded samples that became stale. If only the next poll noticed it, they
+/// would be rerun up to two seconds late while the trainer idles.
+async fn new_version(
     config: &mut watch::Receiver<Arc<Config>>,
     model: &Model,
     seen: &mut Option<Version>,
 ) {
-    let changed = config.wait_for(|config| newest(config, model) != *seen).await;
-    let now = changed.ok().map(|config| newest(&config, model));
-    match now {
-        Some(now) => *seen = now,
+    let changed = config.wait_for(|config| newest_version(config, model) != *seen).await;
+    let newest = changed.ok().map(|config| newest_version(&config, model));
+    match newest {
+        Some(newest) => *seen = newest,
         None => std::future::pending().await,
     }
 }
 
-fn newest(config: &Config, model: &Model) -> Option<Version> {
+fn newest_version(config: &Config, model: &Model) -> Option<Version> {
     config.weights.get(model).map(|held| held.version)
 }
 
-/// Gives the key by which a prompt's lengths are learned.
-pub fn prompt_of(prompt: &str) -> Fingerprint {
+/// Returns the fingerprint of a prompt, by which answer lengths, suspects and convictions are kept.
+pub fn prompt_fingerprint(prompt: &str) -> Fingerprint {
     Fingerprint::of(prompt.as_bytes())
 }
--- a/components/entry/src/trainer.rs
+++ b/components/entry/src/trainer.rs
@@ -25,7 +25,7 @@
 use crate::context::Context;
 use crate::steps::Steps;
 use crate::steps::propose;
-use crate::steps::step::prompt_of;
+use crate::steps::step::prompt_fingerprint;
 
 /// When to pull again after nothing was ready, in milliseconds.
 const READY_RETRY: u64 = 100;
@@ -95,7 +95,7 @@
     check(&spec, &template)?;
     for group in &spec.groups {
         // The step could never be whole, and its trainer would wait for it.
-        admit::check_not_convicted(prompt_of(&group.prompt), &context.config.current())?;
+        admit::check_not_convicted(prompt_fingerprint(&group.prompt), &context.config.current())?;
     }
     if let Some(identity) = &call.identity {
         spec.trainer = identity.principal.clone();
@@ -104,7 +104,7 @@
     let bound = template.freshness.versions;
     match propose::ledger_command(context, LedgerCommand::Open { spec, bound }).await? {
         LedgerReply::Opened => {
-            steps.opened(key);
+            steps.step_opened(key);
             Ok(reply::json(200, &json!({"opened": true})))
         }
         LedgerReply::Conflict | LedgerReply::Closed => {
--- a/components/entry/tests/learning.rs
+++ b/components/entry/tests/learning.rs
@@ -16,9 +16,9 @@
     // Sequence: the longest sample of a step begins last.
     // Cause: samples begun in the order of their groups.
     let mut lengths = Lengths::default();
-    lengths.learn(Fingerprint(1), 10);
-    lengths.learn(Fingerprint(2), 500);
-    lengths.learn(Fingerprint(3), 90);
+    lengths.record(Fingerprint(1), 10);
+    lengths.record(Fingerprint(2), 500);
+    lengths.record(Fingerprint(3), 90);
     let mut order = [1, 2, 3, 4];
     lengths.sort(&mut order, |n| Fingerprint(*n));
     assert_eq!(order, [4, 2, 3, 1], "what is not known counts as the longest");
