--- a/components/entry/src/router/capacity.rs
+++ b/components/entry/src/router/capacity.rs
@@ -1,4 +1,4 @@
-//! The room of each model's endpoints, summed up at most every few milliseconds.
+//! Cached capacity and load of the endpoints of each model.
 
 use std::collections::HashMap;
 
@@ -7,20 +7,20 @@
 use chicoryford_types::Millis;
 use chicoryford_types::Model;
 
-/// Milliseconds for which a sum holds. It visits every endpoint of the subset, which for each
-/// request would cost more than all the rest of its decisions; load reports are older than this
-/// anyway, and this entry's own starts and ends are counted at once.
-const HOLDS: u64 = 5;
+/// Milliseconds for which a sum is cached. Computing it visits every endpoint of the subset, which
+/// would cost more per request than all its other decisions. The load reports are older than this
+/// interval anyway, and starts and ends of this entry's own attempts are counted immediately.
+const CACHE_MS: u64 = 5;
 
-/// The room of each model, as last summed up.
+/// The capacity and load of each model when they were last computed.
 #[derive(Clone, Debug, Default)]
 pub struct CapacityCache(HashMap<Model, (Millis, Room)>);
 
 impl CapacityCache {
-    /// Gives the room of a model.
+    /// Returns the capacity and load of a model.
     pub fn get(&mut self, routing: &Router, model: &Model, now: Millis) -> Room {
         if let Some((at, room)) = self.0.get(model)
-            && now.since(*at) < HOLDS
+            && now.since(*at) < CACHE_MS
         {
             return *room;
         }
@@ -30,21 +30,21 @@
         room
     }
 
-    /// Counts an attempt that started since the sum.
+    /// Counts an attempt that started after the sum was computed.
     pub fn started(&mut self, model: &Model) {
         if let Some((_, room)) = self.0.get_mut(model) {
             room.load += 1;
         }
     }
 
-    /// Counts an attempt that ended since the sum.
+    /// Counts an attempt that ended after the sum was computed.
     pub fn ended(&mut self, model: &Model) {
         if let Some((_, room)) = self.0.get_mut(model) {
             room.load = room.load.saturating_sub(1);
         }
     }
 
-    /// Forgets all sums, because endpoints came, went or are leaving.
+    /// Clears the cache, because the set of available endpoints has changed.
     pub fn clear(&mut self) {
         self.0.clear();
     }
--- a/components/entry/src/router/dump.rs
+++ b/components/entry/src/router/dump.rs
@@ -5,23 +5,23 @@
 
 use crate::router::state::RouterState;
 
-/// Describes what the router knows; it holds no content of any request.
+/// Returns the state of the router for the dump. It contains no content of requests.
 pub fn dump(state: &RouterState) -> Value {
     let mut endpoints = Vec::new();
     for pick in state.subset() {
         let seat = state.routing.find(&pick.endpoint);
-        let Some(state) = seat.and_then(|seat| state.routing.state(seat)) else { continue };
+        let Some(endpoint) = seat.and_then(|seat| state.routing.state(seat)) else { continue };
         endpoints.push(json!({
             "endpoint": pick.endpoint,
             "agent": pick.agent,
-            "running": state.own,
-            "slots": state.slots,
-            "others": state.others,
-            "draining": state.draining,
-            "healthy": state.healthy,
-            "failures": state.row,
-            "ejected": state.ejected.is_some(),
-            "versions": state.versions,
+            "running": endpoint.own,
+            "slots": endpoint.slots,
+            "others": endpoint.others,
+            "draining": endpoint.draining,
+            "healthy": endpoint.healthy,
+            "failures": endpoint.row,
+            "ejected": endpoint.ejected.is_some(),
+            "versions": endpoint.versions,
         }));
     }
     json!({
--- a/components/entry/src/router/duty.rs
+++ b/components/entry/src/router/duty.rs
@@ -1,4 +1,5 @@
-//! The router's thread: feeds events to the [`RouterState`] and sends out its answers.
+//! The router duty: the thread that owns the [`RouterState`], passes events to it and sends its
+//! answers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -29,25 +30,25 @@
 use crate::router::state::PlacedAttempt;
 use crate::router::state::RouterState;
 
-/// Room for questions and ends of attempts that the router has not yet read.
-const RING: usize = 16_384;
-/// The time between two looks at the deadlines of those that wait.
-const TICK: Duration = Duration::from_millis(10);
-/// Ticks between two reports of metrics.
-const GAUGES: u64 = 100;
+/// Capacity of the queue of messages to the router.
+const MESSAGE_QUEUE: usize = 16_384;
+/// Interval at which the deadlines of waiting requests are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Number of ticks between two updates of the metrics.
+const METRICS_TICKS: u64 = 100;
 
-/// Starts the duty and offers its handle.
+/// Starts the duty and registers its handle.
 ///
 /// # Errors
 ///
-/// [`DutyError`] if the thread cannot be started.
+/// Returns [`DutyError`] if the thread cannot be started.
 pub fn start(
     kernel: &Kernel,
     settings: &Settings,
     members: watch::Receiver<Arc<Members>>,
     config: watch::Receiver<Arc<Config>>,
 ) -> Result<(), DutyError> {
-    let (sender, receiver) = ring(RING);
+    let (sender, receiver) = ring(MESSAGE_QUEUE);
     let router = Router::new(sender);
     kernel.registry.offer(SERVICE, router.clone());
     let dumped = router.clone();
@@ -89,9 +90,9 @@
         mut members: watch::Receiver<Arc<Members>>,
         mut config: watch::Receiver<Arc<Config>>,
     ) {
-        let mut tick = actix_rt::time::interval(TICK);
-        // Before any question is read: a request that comes while the process starts would
-        // otherwise be told that nobody serves its model.
+        let mut tick = actix_rt::time::interval(TICK_INTERVAL);
+        // Members and configuration are set before any message is read. Otherwise a request that
+        // arrives while the process starts would be refused because no endpoint serves its model.
         let view = members.borrow_and_update().clone();
         let current = config.borrow_and_update().clone();
         self.state.update_members(view, self.kernel.now());
@@ -116,9 +117,9 @@
                 },
                 _ = tick.tick() => self.tick(),
             }
-            for (request, entering) in self.state.poll(self.kernel.now()) {
+            for (request, result) in self.state.poll(self.kernel.now()) {
                 if let Some(sender) = self.waiting.remove(&request) {
-                    self.let_in(request, entering, sender);
+                    self.send_result(request, result, sender);
                 }
             }
         }
@@ -130,7 +131,7 @@
             RouterMessage::Admit(query, sender) => {
                 let request = query.request;
                 match self.state.admit(*query, now) {
-                    Some(entering) => self.let_in(request, entering, sender),
+                    Some(result) => self.send_result(request, result, sender),
                     None => {
                         self.waiting.insert(request, sender);
                     }
@@ -143,8 +144,8 @@
                 let chosen = self.state.choose(&query, now);
                 let _ = sender.send(chosen.map(|placed| self.permit(placed)));
             }
-            RouterMessage::AttemptEnded(place, end, tokens) => {
-                self.state.attempt_ended(place, end, tokens, now)
+            RouterMessage::AttemptEnded(attempt, end, tokens) => {
+                self.state.attempt_ended(attempt, end, tokens, now)
             }
             RouterMessage::Retry(retry, sender) => {
                 let _ = sender.send(self.state.retry_delay(&retry, now));
@@ -164,23 +165,22 @@
         }
     }
 
-    /// Tells a request what became of it. What was counted for an asker that went away is given
-    /// back by the drops of [`RequestPermit`] and [`AttemptPermit`], wherever on the way they are
-    /// lost.
-    fn let_in(&self, request: RequestId, entering: AdmitResult, sender: AdmitSender) {
-        let entered = entering
+    /// Sends the result of an admission to the waiting request. If the receiver is gone, dropping
+    /// [`RequestPermit`] and [`AttemptPermit`] releases what was counted for the request.
+    fn send_result(&self, request: RequestId, result: AdmitResult, sender: AdmitSender) {
+        let permits = result
             .map(|placed| (RequestPermit::new(self.router.clone(), request), self.permit(placed)));
-        let _ = sender.send(entered);
+        let _ = sender.send(permits);
     }
 
-    fn permit(&self, (place, pick): PlacedAttempt) -> AttemptPermit {
-        AttemptPermit::new(self.router.clone(), place, pick)
+    fn permit(&self, (attempt, pick): PlacedAttempt) -> AttemptPermit {
+        AttemptPermit::new(self.router.clone(), attempt, pick)
     }
 
     fn tick(&mut self) {
         self.state.tick(self.kernel.now());
         self.ticks += 1;
-        if !self.ticks.is_multiple_of(GAUGES) {
+        if !self.ticks.is_multiple_of(METRICS_TICKS) {
             return;
         }
         self.kernel.metrics.gauge("entry.running", self.state.admission.running() as u64);
--- a/components/entry/src/router/handle.rs
+++ b/components/entry/src/router/handle.rs
@@ -1,4 +1,4 @@
-//! How other threads ask the router.
+//! Handle through which other threads send messages to the router duty.
 
 use chicoryford_kernel::Sender;
 use chicoryford_kernel::ring::RingError;
@@ -14,55 +14,55 @@
 use crate::router::query::Pick;
 use crate::router::query::RetryQuery;
 
-/// The name under which the [`Router`] is offered.
+/// Registry name of the [`Router`].
 pub const SERVICE: &str = "router";
 
-/// When a request that found the router's ring full may come back, in milliseconds.
-const RING_RETRY: u64 = 500;
+/// Retry delay in milliseconds for a request that was refused because the router's queue is full.
+const QUEUE_FULL_RETRY_MS: u64 = 500;
 
-/// Answers a request that wanted in.
+/// Receives the result of an admission.
 pub type AdmitSender = oneshot::Sender<Result<(RequestPermit, AttemptPermit), Failure>>;
 
-/// What is put into the router's ring.
+/// A message to the router duty.
 pub enum RouterMessage {
-    /// A request wants to come in.
+    /// Requests admission.
     Admit(Box<EndpointQuery>, AdmitSender),
-    /// A request left; whether it ran.
+    /// An admitted request ended; the flag tells whether it ran.
     RequestEnded(RequestId, bool),
-    /// A further attempt of a request wants an endpoint.
+    /// Requests an endpoint for a further attempt of a request.
     Choose(Box<EndpointQuery>, oneshot::Sender<Result<AttemptPermit, Failure>>),
-    /// An attempt ended, having produced tokens.
+    /// An attempt ended: its identifier, how it ended, and the number of tokens it produced.
     AttemptEnded(u64, AttemptEnd, u32),
-    /// A request wants to be tried again; it is told how many milliseconds to wait, if it may.
+    /// Requests a retry. The answer is the delay in milliseconds if the retry is allowed.
     Retry(Box<RetryQuery>, oneshot::Sender<Option<u64>>),
-    /// A late sample might be given a second maker.
+    /// Requests a second run of a late sample.
     Hedge(Box<LateSample>, oneshot::Sender<Option<HedgePermit>>),
-    /// A second maker ended.
+    /// A second run ended.
     HedgeEnded,
-    /// A load report came.
+    /// A load report of an agent.
     Load(Box<LoadReport>),
-    /// The agents that should report to this entry are wanted.
+    /// Requests the endpoints whose agents should report to this entry.
     Subset(oneshot::Sender<Vec<Pick>>),
-    /// A dump is wanted.
+    /// Requests the state dump.
     Dump(oneshot::Sender<serde_json::Value>),
 }
 
-/// Asks the router.
+/// Handle of the router duty.
 #[derive(Clone)]
 pub struct Router(Sender<RouterMessage>);
 
 impl Router {
-    /// Makes a handle from the ring's sending end.
-    pub fn new(ring: Sender<RouterMessage>) -> Self {
-        Self(ring)
+    /// Creates a handle from the sender of the queue.
+    pub fn new(sender: Sender<RouterMessage>) -> Self {
+        Self(sender)
     }
 
-    /// Lets a request in and finds its first endpoint, waiting for room until its deadline. The
-    /// request counts as in progress until [`RequestPermit`] is dropped.
+    /// Waits until a request is admitted, at most until its deadline, and chooses its first
+    /// endpoint. The request counts as in progress until the [`RequestPermit`] is dropped.
     ///
     /// # Errors
     ///
-    /// The refusal, always "not run".
+    /// Returns the refusal, whose outcome is always "not run".
     pub async fn admit(
         &self,
         query: EndpointQuery,
@@ -72,45 +72,47 @@
         receiver.await.map_err(|_| stopping_failure())?
     }
 
-    /// Finds an endpoint for a further attempt of a request that was let in.
+    /// Chooses an endpoint for a further attempt of an admitted request.
     ///
     /// # Errors
     ///
-    /// The refusal, always "not run".
+    /// Returns the refusal, whose outcome is always "not run".
     pub async fn choose(&self, query: EndpointQuery) -> Result<AttemptPermit, Failure> {
         let (sender, receiver) = oneshot::channel();
         self.offer(RouterMessage::Choose(Box::new(query), sender))?;
         receiver.await.map_err(|_| stopping_failure())?
     }
 
-    /// Asks whether a request may be tried again, and how many milliseconds from now.
+    /// Returns the delay in milliseconds before a request may be retried, or `None` if it may not.
     pub async fn retry_delay(&self, retry: RetryQuery) -> Option<u64> {
         let (sender, receiver) = oneshot::channel();
         self.offer(RouterMessage::Retry(Box::new(retry), sender)).ok()?;
         receiver.await.ok()?
     }
 
-    /// Asks whether a late sample is given a second maker, which counts as running until
-    /// [`HedgePermit`] is dropped.
+    /// Requests a second run of a late sample. The run counts as active until the [`HedgePermit`]
+    /// is dropped.
     pub async fn hedge(&self, late: LateSample) -> Option<HedgePermit> {
         let (sender, receiver) = oneshot::channel();
         self.offer(RouterMessage::Hedge(Box::new(late), sender)).ok()?;
         receiver.await.ok()?
     }
 
-    /// Passes on a load report; one that finds no room is dropped, the next replaces it.
+    /// Forwards a load report. If the queue is full, the report is dropped, because the next one
+    /// replaces it.
     pub fn report_load(&self, report: LoadReport) {
         let _ = self.0.offer(RouterMessage::Load(Box::new(report)));
     }
 
-    /// Lists the agents that should report to this entry; none if the router cannot be asked.
+    /// Lists the endpoints whose agents should report to this entry; `None` if the router cannot be
+    /// asked.
     pub async fn subset(&self) -> Option<Vec<Pick>> {
         let (sender, receiver) = oneshot::channel();
         self.offer(RouterMessage::Subset(sender)).ok()?;
         receiver.await.ok()
     }
 
-    /// Takes the router's part of the dump.
+    /// Returns the router's part of the state dump; null if the router cannot be asked.
     pub async fn dump(&self) -> serde_json::Value {
         let (sender, receiver) = oneshot::channel();
         if self.offer(RouterMessage::Dump(sender)).is_err() {
@@ -122,39 +124,40 @@
     fn offer(&self, message: RouterMessage) -> Result<(), Failure> {
         self.0.offer(message).map_err(|error| match error {
             RingError::Full(_) => {
-                let failure = Failure::not_run(Code::Overloaded, "the router does not keep up");
-                failure.retry_after(RING_RETRY)
+                let failure = Failure::not_run(Code::Overloaded, "the queue of the router is full");
+                failure.retry_after(QUEUE_FULL_RETRY_MS)
             }
             RingError::Closed(_) => stopping_failure(),
         })
     }
 
-    /// Tells the router something that must not be lost: a lost end would leave an endpoint
-    /// looking busier than it is for ever. When the ring is full, a task waits for room.
+    /// Sends a message that must not be lost. If the end of an attempt were lost, its endpoint
+    /// would be counted as busier than it is forever. When the queue is full, a task waits for
+    /// capacity.
     fn send_reliably(&self, message: RouterMessage) {
         if let Err(RingError::Full(message)) = self.0.offer(message) {
-            let ring = self.0.clone();
+            let sender = self.0.clone();
             actix_rt::spawn(async move {
-                let _ = ring.send(message).await;
+                let _ = sender.send(message).await;
             });
         }
     }
 }
 
 fn stopping_failure() -> Failure {
-    Failure::not_run(Code::Draining, "this entry is stopping").retry_after(RING_RETRY)
+    Failure::not_run(Code::Draining, "this entry is stopping").retry_after(QUEUE_FULL_RETRY_MS)
 }
 
-/// A request that was let in; it is counted out when this is dropped.
+/// Permit of an admitted request. The request counts as in progress until the permit is dropped.
 pub struct RequestPermit {
     router: Router,
     request: RequestId,
-    /// Whether the request ran, which earns its workspace a share of a retry.
+    /// Whether the request ran, which adds a fraction of a retry to the budget of its workspace.
     pub ran: bool,
 }
 
 impl RequestPermit {
-    /// Wraps a request that the state has let in.
+    /// Creates the permit of a request that the router state has admitted.
     pub fn new(router: Router, request: RequestId) -> Self {
         Self { router, request, ran: false }
     }
@@ -166,11 +169,11 @@
     }
 }
 
-/// A second maker that was allowed; it is counted out when this is dropped.
+/// Permit of the second run of a sample. The run counts as active until the permit is dropped.
 pub struct HedgePermit(Router);
 
 impl HedgePermit {
-    /// Wraps a second maker that the state has counted.
+    /// Creates the permit of a second run that the router state has counted.
     pub fn new(router: Router) -> Self {
         Self(router)
     }
@@ -182,28 +185,29 @@
     }
 }
 
-/// A place at an endpoint; it is given back when this is dropped.
+/// Permit of an attempt at an endpoint. The attempt counts as running there until the permit is
+/// dropped.
 pub struct AttemptPermit {
     router: Router,
-    place: u64,
+    attempt: u64,
     /// The endpoint.
     pub pick: Pick,
-    /// What the attempt tells about the endpoint; set before the permit is dropped.
+    /// How the attempt ended; set before the permit is dropped.
     pub end: AttemptEnd,
-    /// Tokens that the attempt produced.
+    /// Number of tokens that the attempt produced.
     pub tokens: u32,
 }
 
 impl AttemptPermit {
-    /// Wraps a place that the state has counted.
-    pub fn new(router: Router, place: u64, pick: Pick) -> Self {
-        Self { router, place, pick, end: AttemptEnd::Dropped, tokens: 0 }
+    /// Creates the permit of an attempt that the router state has counted.
+    pub fn new(router: Router, attempt: u64, pick: Pick) -> Self {
+        Self { router, attempt, pick, end: AttemptEnd::Dropped, tokens: 0 }
     }
 }
 
 impl Drop for AttemptPermit {
     fn drop(&mut self) {
         let end = std::mem::take(&mut self.end);
-        self.router.send_reliably(RouterMessage::AttemptEnded(self.place, end, self.tokens));
+        self.router.send_reliably(RouterMessage::AttemptEnded(self.attempt, end, self.tokens));
     }
 }
--- a/components/entry/src/router/mod.rs
+++ b/components/entry/src/router/mod.rs
@@ -1,5 +1,6 @@
-//! Admits requests and chooses endpoints: one duty owns both decisions
-//! (`chicoryford_admission`, `chicoryford_routing`), HTTP workers ask it by a bounded ring.
+//! Admits requests and chooses endpoints. One duty makes both decisions with
+//! `chicoryford_admission` and `chicoryford_routing`. Other threads send it messages through a
+//! bounded queue.
 
 pub mod capacity;
 pub mod draining;
--- a/components/entry/src/router/placement.rs
+++ b/components/entry/src/router/placement.rs
@@ -1,4 +1,4 @@
-//! Where attempts go: the part of the state that asks routing.
+//! Placement of attempts and hedging: the part of the router state that queries routing.
 
 use chicoryford_admission::Straggler;
 use chicoryford_routing::Choice;
@@ -15,13 +15,13 @@
 use crate::router::state::PlacedAttempt;
 use crate::router::state::RouterState;
 
-/// When a request that found no endpoint may come back, in milliseconds.
-const ABSENT_RETRY: u64 = 1_000;
-/// Tokens that an answer is expected to have until the model's answers are known. It is low on
-/// purpose: a request must not be refused for lack of time on a guess.
-const LENGTH: f32 = 16.0;
-/// The weight of a new answer in the mean length of a model's answers.
-const LEARN: f32 = 0.05;
+/// Retry delay in milliseconds for a request that was refused for lack of an endpoint.
+const NO_ENDPOINT_RETRY_MS: u64 = 1_000;
+/// Expected answer length in tokens until the answers of a model are known. It is deliberately low,
+/// because a guess must not lead to a refusal for lack of time.
+const DEFAULT_LENGTH: f32 = 16.0;
+/// Weight of a new answer in the exponentially weighted mean length of a model's answers.
+const SMOOTHING: f32 = 0.05;
 
 /// An attempt in progress.
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
     seat: Seat,
     model: Model,
     pick: Pick,
-    begun: Millis,
+    started: Millis,
     tokens: u32,
 }
 
@@ -38,19 +38,19 @@
     ///
     /// # Errors
     ///
-    /// The failure to tell, always "not run".
+    /// Returns the refusal, whose outcome is always "not run".
     pub fn choose(&mut self, query: &EndpointQuery, now: Millis) -> Result<PlacedAttempt, Failure> {
         let tokens = self.expected_tokens(query);
         let avoid: Vec<Seat> =
             query.avoid.iter().filter_map(|endpoint| self.routing.find(endpoint)).collect();
-        let mut chosen = self.ask_routing(query, tokens, &avoid, now);
+        let mut chosen = self.query_routing(query, tokens, &avoid, now);
         if chosen == Err(NoChoice::Excluded) {
-            // An endpoint that failed once is better than none.
-            chosen = self.ask_routing(query, tokens, &[], now);
+            // An endpoint where an attempt failed is better than none.
+            chosen = self.query_routing(query, tokens, &[], now);
         }
-        let choice = chosen.map_err(|none| absent(none, &query.model))?;
+        let choice = chosen.map_err(|none| no_endpoint(none, &query.model))?;
         let Some(target) = self.routing.target(choice.seat) else {
-            return Err(absent(NoChoice::Unserved, &query.model));
+            return Err(no_endpoint(NoChoice::Unserved, &query.model));
         };
         let pick = Pick {
             endpoint: target.endpoint.clone(),
@@ -62,12 +62,12 @@
         self.capacities.started(&query.model);
         self.last_attempt += 1;
         let (seat, model) = (choice.seat, query.model.clone());
-        let running = RunningAttempt { seat, model, pick: pick.clone(), begun: now, tokens };
+        let running = RunningAttempt { seat, model, pick: pick.clone(), started: now, tokens };
         self.running.insert(self.last_attempt, running);
         Ok((self.last_attempt, pick))
     }
 
-    fn ask_routing(
+    fn query_routing(
         &mut self,
         query: &EndpointQuery,
         tokens: u32,
@@ -93,52 +93,52 @@
         now: Millis,
     ) -> Result<u64, Failure> {
         let tokens = self.expected_tokens(query);
-        let chosen = self.ask_routing(query, tokens, &[], now);
-        chosen.map(|choice| choice.expected_ms).map_err(|none| absent(none, &query.model))
+        let chosen = self.query_routing(query, tokens, &[], now);
+        chosen.map(|choice| choice.expected_ms).map_err(|none| no_endpoint(none, &query.model))
     }
 
     fn expected_tokens(&self, query: &EndpointQuery) -> u32 {
-        let mean = self.mean_lengths.get(&query.model).copied().unwrap_or(LENGTH);
+        let mean = self.mean_lengths.get(&query.model).copied().unwrap_or(DEFAULT_LENGTH);
         (mean.ceil() as u32).min(query.tokens)
     }
 
-    /// Takes in how an attempt ended and how many tokens it produced.
-    pub fn attempt_ended(&mut self, place: u64, end: AttemptEnd, tokens: u32, now: Millis) {
-        let Some(running) = self.running.remove(&place) else { return };
-        let RunningAttempt { seat, model, pick, begun, tokens: expected } = running;
+    /// Records the end of an attempt and the number of tokens it produced.
+    pub fn attempt_ended(&mut self, id: u64, end: AttemptEnd, tokens: u32, now: Millis) {
+        let Some(running) = self.running.remove(&id) else { return };
+        let RunningAttempt { seat, model, pick, started, tokens: expected } = running;
         let left = expected.saturating_sub(tokens);
         self.capacities.ended(&model);
-        self.routing.finished(now, seat, end.ending(), now.since(begun), tokens, left);
+        self.routing.finished(now, seat, end.ending(), now.since(started), tokens, left);
         match end {
             AttemptEnd::Ran(load) => {
                 if tokens > 0 {
                     let mean = self.mean_lengths.entry(model).or_insert(tokens as f32);
-                    *mean += LEARN * (tokens as f32 - *mean);
+                    *mean += SMOOTHING * (tokens as f32 - *mean);
                 }
                 if let Some(load) = load {
                     self.record_load(&load, now);
                 }
             }
             AttemptEnd::Leaving => {
-                self.overlay.refused(pick.endpoint, pick.incarnation, now);
+                self.overlay.record_refusal(pick.endpoint, pick.incarnation, now);
                 self.update_routing(now);
             }
             AttemptEnd::Failed | AttemptEnd::Silent | AttemptEnd::Dropped => {}
         }
     }
 
-    /// Decides whether a late sample is given a second maker, and counts that one.
+    /// Decides whether a late sample is hedged with a second run, and counts that run.
     ///
-    /// What it has still to produce is estimated from the mean length of the model's answers;
-    /// one that is past the mean is expected to be a quarter longer than it is. The second maker
-    /// has to produce all of it anew, so a sample that is merely long is not hedged.
+    /// The number of missing tokens is estimated from the mean length of the model's answers. A
+    /// sample that exceeds the mean is expected to grow by another quarter. The second run has to
+    /// generate all tokens again, so a sample that is merely long is not hedged.
     pub fn try_hedge(&mut self, late: &LateSample, now: Millis) -> bool {
         let mean = self.expected_tokens(&late.query);
         let rest = mean.saturating_sub(late.tokens).max(late.tokens / 4).max(1);
-        let again = EndpointQuery { tokens: late.tokens + rest, ..late.query.clone() };
+        let query = EndpointQuery { tokens: late.tokens + rest, ..late.query.clone() };
         let avoid: Vec<Seat> =
             late.query.avoid.iter().filter_map(|endpoint| self.routing.find(endpoint)).collect();
-        let Ok(choice) = self.ask_routing(&again, late.tokens + rest, &avoid, now) else {
+        let Ok(choice) = self.query_routing(&query, late.tokens + rest, &avoid, now) else {
             return false;
         };
         let token_ms = late.ran_ms / u64::from(late.tokens.max(1));
@@ -158,7 +158,7 @@
         allowed
     }
 
-    /// Lists the agents that should report to this entry.
+    /// Lists the endpoints whose agents should report to this entry.
     pub fn subset(&self) -> Vec<Pick> {
         let mut picks: Vec<Pick> = Vec::new();
         for model in self.routing.models() {
@@ -179,6 +179,6 @@
     }
 }
 
-fn absent(none: NoChoice, model: &Model) -> Failure {
-    Failure::not_run(none.code(), format!("{model}: {none}")).retry_after(ABSENT_RETRY)
+fn no_endpoint(none: NoChoice, model: &Model) -> Failure {
+    Failure::not_run(none.code(), format!("{model}: {none}")).retry_after(NO_ENDPOINT_RETRY_MS)
 }
--- a/components/entry/src/router/query.rs
+++ b/components/entry/src/router/query.rs
@@ -1,4 +1,4 @@
-//! What is asked of the router and what it answers.
+//! Queries to the router and its answers.
 
 use chicoryford_routing::Ending;
 use chicoryford_types::Class;
@@ -14,7 +14,7 @@
 use chicoryford_types::Version;
 use chicoryford_types::Workspace;
 
-/// An attempt that looks for an endpoint.
+/// Describes an attempt that needs an endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointQuery {
     /// The request.
@@ -23,85 +23,85 @@
     pub workspace: Workspace,
     /// The model or service.
     pub model: Model,
-    /// How urgent it is.
+    /// The priority class.
     pub class: Class,
-    /// When its answer becomes worthless.
+    /// The deadline, after which the answer is useless to the caller.
     pub deadline: Millis,
-    /// Endpoints that already failed it.
+    /// Endpoints to avoid, because an attempt failed there.
     pub avoid: Vec<Endpoint>,
     /// The oldest version that may produce its tokens.
     pub floor: Option<Version>,
     /// Whether its content is suspected of crashing endpoints.
     pub suspect: bool,
-    /// The hash of the prompt's prefix, if it is long enough to be worth caching.
+    /// The hash of the prompt's prefix, if the prompt is long enough to be cached.
     pub prefix: Option<u64>,
-    /// Tokens of the prompt, estimated.
+    /// Estimated number of tokens of the prompt.
     pub prompt: u32,
-    /// Tokens that it may still produce; zero for a call of a plain service.
+    /// Maximum number of tokens still to produce; zero for a call of a plain service.
     pub tokens: u32,
 }
 
-/// An endpoint that was chosen.
+/// A chosen endpoint.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Pick {
     /// The endpoint.
     pub endpoint: Endpoint,
     /// Its agent.
     pub agent: Node,
-    /// Where the agent answers.
+    /// The agent's address.
     pub address: String,
     /// The agent's incarnation.
     pub incarnation: Incarnation,
 }
 
-/// A request whose attempt failed and that may be tried again.
+/// Describes a request that needs a retry after a failed attempt.
 #[derive(Clone, Debug)]
 pub struct RetryQuery {
-    /// On whose behalf.
+    /// The workspace on whose behalf it runs.
     pub workspace: Workspace,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// What became of the last one.
+    /// The outcome of the last attempt.
     pub outcome: Outcome,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// When its answer is worthless.
+    /// The deadline, after which the answer is useless to the caller.
     pub deadline: Millis,
 }
 
-/// A sample that runs late and may be given a second maker.
+/// A late sample that may be hedged with a second run.
 #[derive(Clone, Debug, Default)]
 pub struct LateSample {
-    /// What the second maker would look for.
+    /// Query for the endpoint of the second run.
     pub query: EndpointQuery,
-    /// Samples of its group.
+    /// Number of samples of its group.
     pub group: u32,
-    /// Of those, the ones that are not recorded.
+    /// Number of samples of the group that are not yet recorded.
     pub left: u32,
-    /// Milliseconds since it was let in.
+    /// Milliseconds since the sample was admitted.
     pub ran_ms: u64,
-    /// Tokens that it has.
+    /// Number of tokens generated so far.
     pub tokens: u32,
 }
 
-/// How an attempt ended, as far as it tells something about its endpoint.
+/// How an attempt ended, as evidence about the health of its endpoint.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum AttemptEnd {
-    /// It ran to its end; the agent may have told the load just then.
+    /// The attempt completed. The agent may have included a load report.
     Ran(Option<LoadReport>),
-    /// The agent refused it because its endpoint is leaving.
+    /// The agent refused the attempt because its endpoint is leaving.
     Leaving,
     /// The endpoint failed.
     Failed,
-    /// Its connection went silent, and the agent answered a new one.
+    /// The connection went silent, but the agent responded on a new one.
     Silent,
-    /// It was refused or given up for a reason that tells nothing about the endpoint.
+    /// The attempt was refused or abandoned for a reason that is no evidence about the endpoint.
     #[default]
     Dropped,
 }
 
 impl AttemptEnd {
-    /// Tells what an agent's refusal says about its endpoint.
+    /// Classifies an agent's refusal.
     pub fn from_refusal(code: Code) -> Self {
         match code {
             Code::Draining => Self::Leaving,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Gives the end in the words of routing.
+    /// Converts to the type used by routing.
     pub fn ending(&self) -> Ending {
         match self {
             Self::Ran(_) => Ending::Finished,
--- a/components/entry/src/router/state.rs
+++ b/components/entry/src/router/state.rs
@@ -1,6 +1,6 @@
-//! The router's decisions: pure functions of what it knows, an event and the time. It joins
-//! `chicoryford_admission`, which says when a request starts, and `chicoryford_routing`, which
-//! says where each of its attempts goes.
+//! State and decisions of the router. Every decision is a pure function of the state, an event and
+//! the time. It combines `chicoryford_admission`, which decides when a request starts, with
+//! `chicoryford_routing`, which decides where each of its attempts runs.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -31,39 +31,39 @@
 use crate::router::query::Pick;
 use crate::router::query::RetryQuery;
 
-/// When a request that found this entry full may come back, in milliseconds.
-const FULL_RETRY: u64 = 500;
-/// One in this many requests is let in whether or not it seems to have time. Expectations are
-/// learned from requests that finish; if none were let in, an expectation that an overload
-/// once made too long would refuse all requests for ever.
-const TRIAL: u64 = 16;
+/// Retry delay in milliseconds for a request that was refused because this entry is full.
+const FULL_RETRY_MS: u64 = 500;
+/// One in this many requests is admitted even if its expected duration exceeds its deadline. The
+/// expected duration is learned from finished requests. If an overload made it too long and no
+/// request were admitted, all further requests would be refused forever.
+const TRIAL_INTERVAL: u64 = 16;
 
-/// Bounds on what this entry holds at once, and where it stands.
+/// Limits of this entry, and its location.
 #[derive(Clone, Debug, Default)]
 pub struct Bounds {
-    /// Requests in progress.
+    /// Maximum number of requests in progress.
     pub running: usize,
-    /// Requests that wait.
+    /// Maximum number of waiting requests.
     pub waiting: usize,
-    /// Endpoints of one model that this entry uses.
+    /// Maximum number of endpoints per model that this entry uses.
     pub subset: usize,
-    /// Where this entry stands.
+    /// Node, data centre and region of this entry.
     pub place: Place,
 }
 
-/// A place at an endpoint: its number, and the endpoint.
+/// An attempt that was assigned to an endpoint: its identifier at the router, and the endpoint.
 pub type PlacedAttempt = (u64, Pick);
 
-/// What became of a request that wanted in.
+/// Result of an admission: the first attempt, or the refusal.
 pub type AdmitResult = Result<PlacedAttempt, Failure>;
 
-/// What the router knows.
+/// State of the router.
 pub struct RouterState {
     /// Chooses endpoints.
     pub routing: Router,
     /// Admits requests.
     pub admission: Admission,
-    /// Entries that are alive, this one included.
+    /// Number of entries present, including this one.
     pub entries: u32,
     rank: u32,
     members: Arc<Members>,
@@ -80,7 +80,7 @@
 }
 
 impl RouterState {
-    /// Starts with no endpoints.
+    /// Creates a state without endpoints.
     pub fn new(bounds: Bounds, seed: u64) -> Self {
         let routing = chicoryford_routing::Settings {
             subset: bounds.subset,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Takes in who is there.
+    /// Updates the members.
     pub fn update_members(&mut self, members: Arc<Members>, now: Millis) {
         let entries = members.present().filter(|member| member.roles.entry);
         let names: Vec<_> = entries.map(|member| &member.node).collect();
@@ -120,7 +120,7 @@
         self.update_leases();
     }
 
-    /// Takes in accepted configuration.
+    /// Updates the configuration.
     pub fn update_config(&mut self, config: Arc<Config>, now: Millis) {
         self.config = config;
         self.update_routing(now);
@@ -128,12 +128,12 @@
     }
 
     pub(super) fn update_routing(&mut self, now: Millis) {
-        let laid = self.overlay.apply(&self.members, &self.config);
-        self.routing.observe_members(now, &laid);
+        let members = self.overlay.apply(&self.members, &self.config);
+        self.routing.observe_members(now, &members);
         self.capacities.clear();
     }
 
-    /// Gives each workspace this entry's equal share of its limits.
+    /// Sets the lease of each workspace to this entry's equal share of the limits.
     fn update_leases(&mut self) {
         for (workspace, versioned) in &self.config.templates {
             let template = &versioned.template;
@@ -147,12 +147,13 @@
         }
     }
 
-    /// Decides on a request at the door; none if it waits, and [`Self::poll`] tells later.
+    /// Decides whether a request is admitted. Returns `None` if it waits; [`Self::poll`] returns
+    /// the result later.
     pub fn admit(&mut self, query: EndpointQuery, now: Millis) -> Option<AdmitResult> {
         let total = self.admission.running();
         if total >= self.bounds.running {
             let detail = format!("{total} requests are in progress at this entry");
-            let failure = Failure::not_run(Code::Overloaded, detail).retry_after(FULL_RETRY);
+            let failure = Failure::not_run(Code::Overloaded, detail).retry_after(FULL_RETRY_MS);
             return Some(Err(failure));
         }
         let expected_ms = match self.expected_ms(&query, now) {
@@ -160,7 +161,7 @@
             Err(failure) => return Some(Err(failure)),
         };
         self.admissions += 1;
-        let is_trial = self.admissions.is_multiple_of(TRIAL);
+        let is_trial = self.admissions.is_multiple_of(TRIAL_INTERVAL);
         let expected_ms = if is_trial { 1 } else { expected_ms };
         let ask = Ask {
             id: query.request,
@@ -171,20 +172,20 @@
             expected_ms,
             room: self.capacities.get(&self.routing, &query.model, now),
         };
-        let entry = self.admission.admit(now, &ask);
-        match entry {
+        let verdict = self.admission.admit(now, &ask);
+        match verdict {
             AdmissionVerdict::Admit => Some(self.start(&query, now)),
             AdmissionVerdict::Wait => {
                 self.waiting.insert(query.request, query);
                 None
             }
             AdmissionVerdict::Refuse(refused) => {
-                Some(Err(refused.failure(&explain(refused.code, &query.model))))
+                Some(Err(refused.failure(&refusal_detail(refused.code, &query.model))))
             }
         }
     }
 
-    /// Starts a request that was admitted: finds its first endpoint.
+    /// Starts an admitted request by choosing the endpoint of its first attempt.
     fn start(&mut self, query: &EndpointQuery, now: Millis) -> AdmitResult {
         self.started.insert(query.request, now);
         let placed = self.choose(query, now);
@@ -194,44 +195,44 @@
         placed
     }
 
-    /// Takes out a request that was admitted.
+    /// Removes an admitted request that has ended.
     pub fn request_ended(&mut self, request: RequestId, ran: bool, now: Millis) {
-        if let Some(begun) = self.started.remove(&request) {
-            let done = Done { ok: ran, ms: now.since(begun) };
+        if let Some(started) = self.started.remove(&request) {
+            let done = Done { ok: ran, ms: now.since(started) };
             self.admission.finished(now, request, done);
         }
     }
 
-    /// Takes out a request that waits and whose asker went away.
+    /// Removes a waiting request whose caller has disconnected.
     pub fn cancel_waiting(&mut self, request: RequestId) {
         if self.waiting.remove(&request).is_some() {
             self.admission.cancelled(request);
         }
     }
 
-    /// Gives what becomes of requests that waited.
+    /// Returns the results of requests that were waiting.
     pub fn poll(&mut self, now: Millis) -> Vec<(RequestId, AdmitResult)> {
         let (routing, capacities) = (&self.routing, &mut self.capacities);
         let actions = self.admission.poll(now, |model| capacities.get(routing, model, now));
-        let mut entered = Vec::new();
+        let mut results = Vec::new();
         for action in actions {
             match action {
                 Action::Run(id) => {
                     let Some(query) = self.waiting.remove(&id) else { continue };
                     let placed = self.start(&query, now);
-                    entered.push((id, placed));
+                    results.push((id, placed));
                 }
                 Action::Refuse(id, refused) => {
                     let Some(query) = self.waiting.remove(&id) else { continue };
-                    let failure = refused.failure(&explain(refused.code, &query.model));
-                    entered.push((id, Err(failure)));
+                    let failure = refused.failure(&refusal_detail(refused.code, &query.model));
+                    results.push((id, Err(failure)));
                 }
             }
         }
-        entered
+        results
     }
 
-    /// Decides whether a request is tried again; gives the milliseconds to wait before.
+    /// Decides whether a request may be retried. Returns the delay in milliseconds if so.
     pub fn retry_delay(&mut self, retry: &RetryQuery, now: Millis) -> Option<u64> {
         let request = Retry {
             workspace: &retry.workspace,
@@ -244,12 +245,12 @@
         self.admission.may_retry(now, &request)
     }
 
-    /// Takes in a load report.
+    /// Records a load report.
     pub fn record_load(&mut self, report: &LoadReport, now: Millis) {
         self.routing.observe_report(now, report);
     }
 
-    /// Lets time pass.
+    /// Expires recorded refusals.
     pub fn tick(&mut self, now: Millis) {
         if self.overlay.expire(now) {
             self.update_routing(now);
@@ -257,10 +258,10 @@
     }
 }
 
-fn explain(code: Code, model: &Model) -> String {
+fn refusal_detail(code: Code, model: &Model) -> String {
     match code {
-        Code::LimitReached => "the workspace is at its limit at this entry".to_owned(),
+        Code::LimitReached => "the workspace has reached its limit at this entry".to_owned(),
         Code::DeadlineTooClose => format!("{model} could not answer before the deadline"),
-        _ => format!("too many requests wait for {model}"),
+        _ => format!("too many requests are waiting for {model}"),
     }
 }
