--- a/components/entry/src/bodies/audit.rs
+++ b/components/entry/src/bodies/audit.rs
@@ -1,4 +1,5 @@
-//! Asks the ledger about bodies with the renewals of this entry's session.
+//! Audits stored bodies: queries the ledger, along with the renewals of this entry's session, which
+//! bodies are still needed and which lack holders.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -12,43 +13,46 @@
 use crate::bodies::replicate;
 use crate::context::Context;
 
-/// What the entry asks, and whether a repair runs.
+/// State of the audit of the bodies stored at this entry.
 #[derive(Default)]
 pub struct BodyAudit {
     auditor: RefCell<Auditor>,
-    repairs: Rc<Cell<bool>>,
-    /// Whether this entry leaves, and nothing needs its copies any more.
-    clear: Cell<bool>,
+    /// Whether a repair is running.
+    is_repairing: Rc<Cell<bool>>,
+    /// Whether this entry is leaving and its copies are no longer needed.
+    is_released: Cell<bool>,
 }
 
 impl BodyAudit {
-    /// Tells whether this entry, which leaves, may end: the others have copies of all that it
-    /// holds, or there is nobody to copy it to. Otherwise a restart of all entries one after the
-    /// other, each ready before the next, would lose what all of them held.
+    /// Returns whether this entry, which is leaving, may exit: the other entries have copies of all
+    /// its bodies, or there is no entry left to copy them to. Without this condition, a rolling
+    /// restart of all entries would lose all bodies, even if each entry is ready before the next
+    /// one stops.
     pub fn can_leave(&self, context: &Context) -> bool {
-        self.clear.get() || context.bodies.store().is_empty()
+        self.is_released.get() || context.bodies.store().is_empty()
     }
 
-    /// Gives the question to send with a renewal. None while a repair runs: the answer would name
-    /// the same bodies again.
+    /// Returns the audit to send with a renewal. Returns `None` while a repair is running, because
+    /// the reply would name the same bodies again.
     pub fn next_audit(&self, context: &Context, session: u64) -> Option<Audit> {
-        if self.repairs.get() {
+        if self.is_repairing.get() {
             return None;
         }
-        let present = repair::present(context);
+        let present = repair::eligible_holders(context);
         if replicate::is_leaving(context) {
-            self.clear.set(present.is_empty());
+            self.is_released.set(present.is_empty());
             let (node, leaving) = (context.node.clone(), true);
             return Some(Audit { node, session, present, leaving, ..Audit::default() });
         }
-        self.clear.set(false);
-        let holds = || context.bodies.store().steps();
-        let audit = self.auditor.borrow_mut().question(present, holds, context.now())?;
+        self.is_released.set(false);
+        let stored = || context.bodies.store().steps();
+        let audit = self.auditor.borrow_mut().question(present, stored, context.now())?;
         Some(Audit { node: context.node.clone(), session, ..audit })
     }
 
-    /// Drops what is of no use and begins to repair what lacks holders.
-    pub fn apply_answer(&self, context: &Context, audited: Option<&Audited>) {
+    /// Applies the reply to an audit: drops bodies that are no longer needed, and starts to repair
+    /// those that lack holders.
+    pub fn apply_reply(&self, context: &Context, audited: Option<&Audited>) {
         self.auditor.borrow_mut().answered(audited);
         let Some(audited) = audited else { return };
         let dropped = context.bodies.store().retain(&audited.wanted, context.now());
@@ -56,15 +60,15 @@
             tracing::debug!(event = "bodies_dropped", count = dropped);
         }
         if audited.lacking.is_empty() {
-            self.clear.set(replicate::is_leaving(context));
+            self.is_released.set(replicate::is_leaving(context));
             return;
         }
-        self.repairs.set(true);
-        let (repairs, context) = (self.repairs.clone(), context.clone());
+        self.is_repairing.set(true);
+        let (is_repairing, context) = (self.is_repairing.clone(), context.clone());
         let lacking = audited.lacking.clone();
         actix_rt::spawn(async move {
             repair::repair(context, lacking).await;
-            repairs.set(false);
+            is_repairing.set(false);
         });
     }
 }
--- a/components/entry/src/bodies/batch.rs
+++ b/components/entry/src/bodies/batch.rs
@@ -1,4 +1,4 @@
-//! Puts batches together.
+//! Builds batches for trainers.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -15,8 +15,9 @@
 use crate::bodies::fetch;
 use crate::context::Context;
 
-/// Puts a batch together from the recorded bytes. Nothing else goes into it, no time, node or
-/// counter, so that the same cursor gives the same bytes through any entry at any time.
+/// Builds the response of a batch from the recorded bytes. It contains nothing else, such as a
+/// time, a node or a counter, so that the same cursor returns the same bytes from any entry at any
+/// time.
 pub fn json(cursor: Cursor, bodies: &[Bytes]) -> Bytes {
     let mut body = BytesMut::from(format!("{{\"cursor\":{cursor},\"samples\":[").as_bytes());
     for (index, bytes) in bodies.iter().enumerate() {
@@ -29,31 +30,31 @@
     body.freeze()
 }
 
-/// Gathers the bytes of a batch in its order, from the ledger and from the entries that hold them.
+/// Collects the bytes of a batch in order, from the ledger and from their holders.
 ///
 /// # Errors
 ///
-/// As [`fetch::fetch`].
-pub async fn gather(
+/// Returns the errors of [`fetch::fetch`].
+pub async fn collect(
     context: &Context,
     workspace: &Workspace,
     cursor: Cursor,
     samples: Vec<(StepKey, Group, SampleNo, Record)>,
 ) -> Result<Vec<Bytes>, Failure> {
     let mut bodies = vec![Bytes::new(); samples.len()];
-    let (mut held, mut places) = (Vec::new(), Vec::new());
-    for (place, (key, group, number, record)) in samples.into_iter().enumerate() {
+    let (mut held, mut indices) = (Vec::new(), Vec::new());
+    for (index, (key, group, number, record)) in samples.into_iter().enumerate() {
         match record.body {
-            Body::Inline(bytes) => bodies[place] = bytes,
+            Body::Inline(bytes) => bodies[index] = bytes,
             Body::Held(holders) => {
                 held.push((BodyName { key, group, number, digest: record.digest }, holders));
-                places.push(place);
+                indices.push(index);
             }
         }
     }
     let fetched = fetch::fetch(context, &held).await?;
-    for (place, bytes) in places.into_iter().zip(fetched) {
-        bodies[place] = bytes;
+    for (index, bytes) in indices.into_iter().zip(fetched) {
+        bodies[index] = bytes;
     }
     context.bodies.record_batch(workspace.clone(), cursor, held);
     Ok(bodies)
--- a/components/entry/src/bodies/fetch.rs
+++ b/components/entry/src/bodies/fetch.rs
@@ -21,95 +21,103 @@
 use crate::bodies::handle::HeldBody;
 use crate::context::Context;
 
-/// Bodies asked for in one call.
-const CHUNK: usize = 64;
-/// Calls for bodies at once.
-const CALLS: usize = 16;
-/// The longest wait for one answer. The next holder is asked then.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// When to try again while a holder that should have a body does not answer, in milliseconds.
-const RETRY: u64 = 1_000;
+/// Maximum number of bodies requested in one call.
+const BODIES_PER_CALL: usize = 64;
+/// Maximum number of concurrent calls.
+const MAX_CALLS: usize = 16;
+/// Timeout of one call, after which the next holder is tried.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
+/// Retry delay in milliseconds while a holder that should have a body does not respond.
+const RETRY_MS: u64 = 1_000;
 
-/// Fetches bodies, in the order of the question.
+/// Fetches bodies and returns them in the order of `held`.
 ///
-/// Each body is asked of one holder after the other until one gives the right bytes. What a
-/// holder gives is checked against the digest that the ledger recorded: a trainer must not learn
-/// from bytes that no engine produced, and the same cursor must give the same bytes.
+/// Each body is requested from one holder after the other until one returns the correct bytes. The
+/// bytes are checked against the digest recorded in the ledger, because a trainer must not learn
+/// from bytes that no engine produced, and the same cursor must return the same bytes.
 ///
 /// # Errors
 ///
-/// [`Code::NoEndpoint`] if a holder that should have a body does not answer just now,
-/// [`Code::SampleLost`] if all holders of one are gone.
+/// Returns [`Code::NoEndpoint`] if a holder that should have a body does not currently respond, and
+/// [`Code::SampleLost`] if all holders of a body are gone.
 pub async fn fetch(context: &Context, held: &[HeldBody]) -> Result<Vec<Bytes>, Failure> {
     let found = try_fetch(context, held).await;
     let mut bodies = Vec::with_capacity(held.len());
     for (body, (name, holders)) in found.into_iter().zip(held) {
-        bodies.push(body.ok_or_else(|| missing(context, name, holders))?);
+        bodies.push(body.ok_or_else(|| missing_failure(context, name, holders))?);
     }
     Ok(bodies)
 }
 
-/// Fetches bodies; none for one that no holder gives.
+/// Fetches bodies like [`fetch`], but returns `None` for a body that no holder returns.
 pub async fn try_fetch(context: &Context, held: &[HeldBody]) -> Vec<Option<Bytes>> {
     let mut found: Vec<Option<Bytes>> = vec![None; held.len()];
     let members = context.members.view();
-    let mut queues: Vec<Vec<Node>> = held
+    let mut stacks: Vec<Vec<Node>> = held
         .iter()
         .enumerate()
-        .map(|(index, (_, holders))| queue(context, &members, holders, index))
+        .map(|(index, (_, holders))| holder_stack(context, &members, holders, index))
         .collect();
     loop {
-        let mut asks: BTreeMap<Node, Vec<usize>> = BTreeMap::new();
-        for (index, queue) in queues.iter_mut().enumerate() {
+        let mut requests: BTreeMap<Node, Vec<usize>> = BTreeMap::new();
+        for (index, stack) in stacks.iter_mut().enumerate() {
             if found[index].is_none()
-                && let Some(node) = queue.pop()
+                && let Some(node) = stack.pop()
             {
-                asks.entry(node).or_default().push(index);
+                requests.entry(node).or_default().push(index);
             }
         }
-        if asks.is_empty() {
+        if requests.is_empty() {
             return found;
         }
-        let chunks = asks
-            .iter()
-            .flat_map(|(node, indices)| indices.chunks(CHUNK).map(move |indices| (node, indices)));
-        let asked = chunks.map(|(node, indices)| ask(context, node, indices, held));
-        let answers: Vec<_> = stream::iter(asked).buffer_unordered(CALLS).collect().await;
+        let chunks = requests.iter().flat_map(|(node, indices)| {
+            indices.chunks(BODIES_PER_CALL).map(move |indices| (node, indices))
+        });
+        let calls = chunks.map(|(node, indices)| fetch_from(context, node, indices, held));
+        let answers: Vec<_> = stream::iter(calls).buffer_unordered(MAX_CALLS).collect().await;
         for (index, bytes) in answers.into_iter().flatten() {
             found[index] = Some(bytes);
         }
     }
 }
 
-/// Orders holders, the last to be asked first: this process, then those that stand and have not
-/// restarted, then those of this data centre; others take turns.
-fn queue(context: &Context, members: &Members, holders: &[Holder], turn: usize) -> Vec<Node> {
+/// Orders the holders of a body as a stack: the last element is tried first. This process is tried
+/// first, then holders that are up and have not restarted, and among these the ones in this data
+/// centre. Otherwise equal holders rotate with `turn` to distribute the load.
+fn holder_stack(
+    context: &Context,
+    members: &Members,
+    holders: &[Holder],
+    turn: usize,
+) -> Vec<Node> {
     let mut ranked: Vec<_> = holders.iter().enumerate().collect();
     ranked.sort_by_key(|(index, holder)| {
         let known = members.known.get(&holder.node);
         let is_near = known.is_some_and(|known| known.member.data_centre == context.data_centre);
         let is_own = holder.node == context.node;
-        (is_own, has_kept(members, holder), is_near, (index + turn) % holders.len().max(1))
+        (is_own, is_likely_held(members, holder), is_near, (index + turn) % holders.len().max(1))
     });
-    let mut queue: Vec<_> = ranked.into_iter().map(|(_, holder)| holder.node.clone()).collect();
-    // A copy lies here before the ledger names this process as a holder. If the owner of the step
-    // dies in between, all that it names may be gone while the bytes are here: the trainer would be
-    // told that a sample is lost, and nobody would ever repair it.
-    if queue.last() != Some(&context.node) {
-        queue.push(context.node.clone());
+    let mut stack: Vec<_> = ranked.into_iter().map(|(_, holder)| holder.node.clone()).collect();
+    // A copy is stored here before the ledger names this process as a holder. If the owner of the
+    // step crashes in between, all recorded holders may be gone while this process has the bytes.
+    // Without this lookup the trainer would be told that the sample is lost, and it would never be
+    // repaired.
+    if stack.last() != Some(&context.node) {
+        stack.push(context.node.clone());
     }
-    queue
+    stack
 }
 
-/// Tells whether a holder runs since it took the body, as far as this process knows.
-fn has_kept(members: &Members, holder: &Holder) -> bool {
+/// Returns whether, as far as this process knows, the holder is up and has not restarted since it
+/// stored the body.
+fn is_likely_held(members: &Members, holder: &Holder) -> bool {
     let known = members.known.get(&holder.node);
     known.is_some_and(|known| {
         known.standing <= Standing::Suspect && known.member.incarnation == holder.incarnation
     })
 }
 
-async fn ask(
+async fn fetch_from(
     context: &Context,
     node: &Node,
     indices: &[usize],
@@ -123,12 +131,12 @@
         if bodies.is_empty() {
             return found;
         }
-        let (asked, later) = rest.split_at(bodies.len().min(rest.len()));
-        for (index, bytes) in asked.iter().zip(bodies) {
+        let (requested, remaining) = rest.split_at(bodies.len().min(rest.len()));
+        for (index, bytes) in requested.iter().zip(bodies) {
             let name = &held[*index].0;
             found.extend(bytes.filter(|b| check(context, node, name, b)).map(|b| (*index, b)));
         }
-        rest = later;
+        rest = remaining;
     }
     found
 }
@@ -139,8 +147,8 @@
         return Some(names.iter().map(|name| store.get(name)).collect());
     }
     let address = context.members.view().known.get(node)?.member.address.clone();
-    let get = Get { names };
-    let found = context.client.call(&address, paths::BODY_GET, &get, PATIENCE);
+    let request = Get { names };
+    let found = context.client.call(&address, paths::BODY_GET, &request, FETCH_TIMEOUT);
     let found: Result<Found, _> = found.await;
     match found {
         Ok(found) => Some(found.bodies),
@@ -162,19 +170,20 @@
     is_genuine
 }
 
-/// Tells a body that its holders do not give just now from one that is lost.
-fn missing(context: &Context, name: &BodyName, holders: &[Holder]) -> Failure {
+/// Returns the failure for a missing body: either its holders currently do not respond, or the body
+/// is lost.
+fn missing_failure(context: &Context, name: &BodyName, holders: &[Holder]) -> Failure {
     let members = context.members.view();
     let BodyName { key, group, number, .. } = name;
-    if holders.iter().any(|holder| has_kept(&members, holder)) {
-        let detail = format!("no holder of sample {group}.{number} answers just now");
-        return Failure::not_run(Code::NoEndpoint, detail).retry_after(RETRY);
+    if holders.iter().any(|holder| is_likely_held(&members, holder)) {
+        let detail = format!("no holder of sample {group}.{number} currently responds");
+        return Failure::not_run(Code::NoEndpoint, detail).retry_after(RETRY_MS);
     }
     let (workspace, step) = (&key.workspace, key.step);
     tracing::error!(event = "body_lost", %workspace, %step, %group, %number);
     let detail = format!(
         "all holders of sample {group}.{number} of step {step} are gone; \
-         acknowledge the cursor to go on without its batch"
+         acknowledge the cursor to continue without its batch"
     );
     Failure::not_run(Code::SampleLost, detail)
 }
--- a/components/entry/src/bodies/handle.rs
+++ b/components/entry/src/bodies/handle.rs
@@ -1,4 +1,4 @@
-//! The bodies that this process holds, shared by its threads.
+//! The bodies stored in this process, shared by its threads.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,26 +14,26 @@
 use chicoryford_types::Workspace;
 use serde_json::json;
 
-/// The name under which [`Bodies`] is offered.
+/// Registry name of [`Bodies`].
 pub const SERVICE: &str = "bodies";
 
-/// A body and who holds it.
+/// A body and its holders.
 pub type HeldBody = (BodyName, Vec<Holder>);
 
-/// The bodies that this process holds.
+/// Handle of the bodies stored in this process.
 #[derive(Clone)]
 pub struct Bodies(Arc<Inner>);
 
 struct Inner {
     store: Mutex<Store>,
-    /// What the batch that was pulled here last was made of, to drop it once it is acknowledged.
-    pulled: Mutex<BTreeMap<Workspace, (Cursor, Vec<HeldBody>)>>,
+    /// The bodies of the last batch pulled here by workspace, to drop them once it is acknowledged.
+    batches: Mutex<BTreeMap<Workspace, (Cursor, Vec<HeldBody>)>>,
 }
 
-/// Offers an empty store.
+/// Registers an empty store.
 pub fn start(kernel: &Kernel, settings: &Settings) {
     let bound = settings.entry.clone().unwrap_or_default().bodies;
-    let inner = Inner { store: Mutex::new(Store::new(bound)), pulled: Mutex::default() };
+    let inner = Inner { store: Mutex::new(Store::new(bound)), batches: Mutex::default() };
     let bodies = Bodies(Arc::new(inner));
     kernel.registry.offer(SERVICE, bodies.clone());
     kernel.dumps.add("entry.bodies", move || {
@@ -46,17 +46,18 @@
 }
 
 impl Bodies {
-    /// Gives the store. The lock is held for a look-up or an insertion, never while waiting.
+    /// Locks the store. The lock must be held only for a lookup or an insertion, never across a
+    /// wait.
     pub fn store(&self) -> MutexGuard<'_, Store> {
-        self.0.store.lock().expect("nothing panics while it holds this lock")
+        self.0.store.lock().expect("the lock is not poisoned")
     }
 
-    /// Remembers what a batch was made of.
+    /// Records the bodies of a pulled batch.
     pub fn record_batch(&self, workspace: Workspace, cursor: Cursor, held: Vec<HeldBody>) {
         self.batches().insert(workspace, (cursor, held));
     }
 
-    /// Gives what an acknowledged batch was made of, if it was pulled here.
+    /// Removes and returns the bodies of an acknowledged batch, if it was pulled here.
     pub fn take_batch(&self, workspace: &Workspace, cursor: Cursor) -> Vec<HeldBody> {
         let mut batches = self.batches();
         match batches.get(workspace) {
@@ -68,6 +69,6 @@
     }
 
     fn batches(&self) -> MutexGuard<'_, BTreeMap<Workspace, (Cursor, Vec<HeldBody>)>> {
-        self.0.pulled.lock().expect("nothing panics while it holds this lock")
+        self.0.batches.lock().expect("the lock is not poisoned")
     }
 }
--- a/components/entry/src/bodies/mod.rs
+++ b/components/entry/src/bodies/mod.rs
@@ -1,6 +1,6 @@
-//! Holds samples' bytes at entries instead of in the replicated log (docs/STEPS.md).
+//! Stores the bytes of samples at entries instead of in the replicated log (docs/STEPS.md).
 //!
-//! The decisions are in `chicoryford_bodies` and in the ledger; here the bytes are carried.
+//! `chicoryford_bodies` and the ledger make the decisions; this module transfers the bytes.
 
 pub mod audit;
 pub mod batch;
--- a/components/entry/src/bodies/repair.rs
+++ b/components/entry/src/bodies/repair.rs
@@ -1,4 +1,4 @@
-//! Copies bodies that lost a holder, and reopens samples that lost all.
+//! Copies bodies that lost a holder, and reopens samples that lost all holders.
 
 use bytes::Bytes;
 use chicoryford_bodies::order;
@@ -17,11 +17,11 @@
 use crate::context::Context;
 use crate::steps::propose;
 
-/// Bodies that are copied at once.
-const COPIES: usize = 8;
+/// Maximum number of concurrent repairs.
+const MAX_REPAIRS: usize = 8;
 
-/// Lists the entries that may hold bodies, as the ledger names them.
-pub fn present(context: &Context) -> Vec<Holder> {
+/// Lists the entries that may store bodies, as holders in the ledger.
+pub fn eligible_holders(context: &Context) -> Vec<Holder> {
     replicate::eligible_entries(context).iter().map(holder).collect()
 }
 
@@ -29,35 +29,36 @@
     Holder { node: member.node.clone(), incarnation: member.incarnation }
 }
 
-/// Mends bodies that have too few holders.
+/// Repairs bodies that have too few holders.
 pub async fn repair(context: Context, lacking: Vec<Lacking>) {
     let count = lacking.len();
     let held: Vec<HeldBody> = lacking.iter().map(|l| (l.name.clone(), l.from.clone())).collect();
     let found = fetch::try_fetch(&context, &held).await;
-    let mends = lacking.into_iter().zip(found).map(|(lacking, body)| mend(&context, lacking, body));
-    let mended = stream::iter(mends).buffer_unordered(COPIES).filter(|done| {
+    let repairs =
+        lacking.into_iter().zip(found).map(|(lacking, body)| repair_body(&context, lacking, body));
+    let repaired = stream::iter(repairs).buffer_unordered(MAX_REPAIRS).filter(|done| {
         let done = *done;
         async move { done }
     });
-    let mended = mended.count().await;
-    tracing::info!(event = "bodies_repaired", count, mended);
-    context.kernel.metrics.count("entry.bodies.repaired", mended as i64);
+    let repaired = repaired.count().await;
+    tracing::info!(event = "bodies_repaired", count, mended = repaired);
+    context.kernel.metrics.count("entry.bodies.repaired", repaired as i64);
 }
 
-async fn mend(context: &Context, lacking: Lacking, body: Option<Bytes>) -> bool {
+async fn repair_body(context: &Context, lacking: Lacking, body: Option<Bytes>) -> bool {
     match body {
         Some(bytes) => copy(context, lacking, &bytes).await,
         None => reopen(context, lacking).await,
     }
 }
 
-/// Copies a body to other processes and tells the ledger, which refuses it if another repairer
-/// was faster.
+/// Copies a body to other processes and records the new holders. The ledger refuses the change if
+/// another repair was faster.
 async fn copy(context: &Context, lacking: Lacking, bytes: &Bytes) -> bool {
     let Lacking { name, from, .. } = lacking;
     let entries = replicate::eligible_entries(context);
-    let stays = |h: &&Holder| entries.iter().any(|member| holder(member) == **h);
-    let mut to: Vec<Holder> = from.iter().filter(stays).cloned().collect();
+    let is_up = |h: &&Holder| entries.iter().any(|member| holder(member) == **h);
+    let mut to: Vec<Holder> = from.iter().filter(is_up).cloned().collect();
     let kept: Vec<Node> = to.iter().map(|holder| holder.node.clone()).collect();
     let queue = order(&name, &replicate::candidates(&entries), &kept);
     let wanted = HOLDERS.saturating_sub(to.len());
@@ -67,25 +68,26 @@
     }
     to.extend(added);
     let command = LedgerCommand::Rehold { name, from, to };
-    tell(context, command).await
+    propose(context, command).await
 }
 
-/// Has a sample run again of which no holder has the bytes. One whose holder merely does not
-/// answer is left to the next audit; one in a batch cannot run again (docs/STEPS.md).
+/// Reopens a sample whose bytes no holder has, so that it runs again. If a holder is up but does
+/// not respond, the sample is left to the next audit. A sample that is part of a batch cannot run
+/// again (docs/STEPS.md).
 async fn reopen(context: &Context, lacking: Lacking) -> bool {
     let Lacking { name, from, sealed } = lacking;
-    let present = present(context);
-    if sealed || from.iter().any(|holder| present.contains(holder)) {
+    let eligible = eligible_holders(context);
+    if sealed || from.iter().any(|holder| eligible.contains(holder)) {
         let (group, number) = (name.group, name.number);
         tracing::warn!(event = "body_not_repaired", %group, %number, sealed);
         return false;
     }
     let (group, number) = (name.group, name.number);
     tracing::warn!(event = "sample_reopened", %group, %number);
-    tell(context, LedgerCommand::Lost { name, from }).await
+    propose(context, LedgerCommand::Lost { name, from }).await
 }
 
-async fn tell(context: &Context, command: LedgerCommand) -> bool {
+async fn propose(context: &Context, command: LedgerCommand) -> bool {
     match propose::ledger_command(context, command).await {
         Ok(reply) => {
             tracing::debug!(event = "body_mended", ?reply);
--- a/components/entry/src/bodies/replicate.rs
+++ b/components/entry/src/bodies/replicate.rs
@@ -1,4 +1,4 @@
-//! Puts a body at enough processes, and tells them when it is of no use any more.
+//! Stores a body at enough entries, and drops it there when it is no longer needed.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -28,32 +28,33 @@
 use crate::bodies::routes;
 use crate::context::Context;
 
-/// The longest wait for a process to hold a body. The next one is tried then.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout for storing a body at one process, after which the next one is tried.
+const PUT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Lists the entries that may hold bodies: those that are present and do not leave.
+/// Lists the entries that may store bodies: those that are present and not leaving.
 pub fn eligible_entries(context: &Context) -> Vec<Member> {
     let (members, config) = (context.members.view(), context.config.current());
-    let stays = |member: &&Member| {
-        let (node, place) = (&member.node, &member.data_centre);
+    let is_eligible = |member: &&Member| {
+        let (node, data_centre) = (&member.node, &member.data_centre);
         let is_here = *node == context.node;
-        let stays = admit::check_not_draining(Phase::Running, &config, node, place).is_ok();
-        member.roles.entry && stays && !(is_here && is_leaving(context))
+        let is_staying =
+            admit::check_not_draining(Phase::Running, &config, node, data_centre).is_ok();
+        member.roles.entry && is_staying && !(is_here && is_leaving(context))
     };
-    members.present().filter(stays).cloned().collect()
+    members.present().filter(is_eligible).cloned().collect()
 }
 
-/// Tells whether this entry is to end, by a planned stop or a signal.
+/// Returns whether this entry is leaving, because of a planned stop or a signal.
 pub fn is_leaving(context: &Context) -> bool {
     let (phase, config) = (context.kernel.phases.now(), context.config.current());
     admit::check_not_draining(phase, &config, &context.node, &context.data_centre).is_err()
 }
 
-/// Puts a body where it belongs: at [`HOLDERS`] processes, which have it before the ledger hears
-/// of it, or into the ledger if it is small or too few would take it.
+/// Stores a body at [`HOLDERS`] processes before it is recorded in the ledger. The body is kept
+/// inline in the ledger if it is small or too few processes accept it.
 ///
-/// If the stores of all entries are full the ledger's own bound holds the sample back, which lets
-/// the oldest step through, so that it ends and makes room.
+/// If the stores of all entries are full, the ledger's own limit refuses the sample. The ledger
+/// exempts the oldest step, so that it can complete and free capacity.
 pub async fn replicate(context: &Context, name: &BodyName, bytes: &Bytes) -> Body {
     let candidates = candidates(&eligible_entries(context));
     if is_inline(bytes.len(), candidates.len()) {
@@ -69,7 +70,7 @@
     Body::Held(holders)
 }
 
-/// Gives what the placement wants to know of entries.
+/// Converts entries to candidates for the placement of bodies.
 pub fn candidates(entries: &[Member]) -> Vec<Candidate> {
     let candidate = |member: &Member| Candidate {
         node: member.node.clone(),
@@ -78,7 +79,8 @@
     entries.iter().map(candidate).collect()
 }
 
-/// Puts a body at `wanted` processes, trying the next in the queue for each that refuses it.
+/// Stores a body at `wanted` processes. For each one that refuses it, the next in the queue is
+/// tried.
 pub async fn put(
     context: &Context,
     name: &BodyName,
@@ -107,7 +109,7 @@
         return routes::store(context, put).ok().map(|stored| stored.holder);
     }
     let address = context.members.view().known.get(&node)?.member.address.clone();
-    let stored = context.client.call(&address, paths::BODY_PUT, &put, PATIENCE);
+    let stored = context.client.call(&address, paths::BODY_PUT, &put, PUT_TIMEOUT);
     let stored: Result<Stored, _> = stored.await;
     match stored {
         Ok(stored) => Some(stored.holder),
@@ -118,8 +120,8 @@
     }
 }
 
-/// Tells the holders of an acknowledged batch to drop it. What this misses, they find out from
-/// the ledger themselves.
+/// Drops the bodies of an acknowledged batch at their holders. Holders that are not reached drop
+/// them after their next audit.
 pub async fn discard(context: Context, held: Vec<HeldBody>) {
     let mut by_node: BTreeMap<Node, Vec<BodyName>> = BTreeMap::new();
     for (name, holders) in held {
@@ -139,7 +141,7 @@
         let Some(known) = members.known.get(&node) else { continue };
         let address = &known.member.address;
         let drop = Drop { names };
-        let dropped = context.client.call(address, paths::BODY_DROP, &drop, PATIENCE);
+        let dropped = context.client.call(address, paths::BODY_DROP, &drop, PUT_TIMEOUT);
         let dropped: Result<Dropped, _> = dropped.await;
         if let Err(error) = dropped {
             tracing::debug!(event = "bodies_not_dropped", %node, %error);
--- a/components/entry/src/bodies/routes.rs
+++ b/components/entry/src/bodies/routes.rs
@@ -1,4 +1,4 @@
-//! What other entries ask of the bodies here.
+//! Handlers with which other entries store, fetch and drop bodies at this entry.
 
 use chicoryford_bodies::PutError;
 use chicoryford_bodies::message::Drop;
@@ -17,12 +17,12 @@
 use crate::admit;
 use crate::context::Context;
 
-/// Bytes of one answer, past which the rest must be asked for again.
-const ANSWER: usize = 8 << 20;
-/// When to try a full store again, in milliseconds.
-const FULL_RETRY: u64 = 1_000;
+/// Maximum size of one response in bytes. Bodies that do not fit must be requested again.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
+/// Retry delay in milliseconds while the store is full.
+const FULL_RETRY_MS: u64 = 1_000;
 
-/// Holds a body.
+/// Handles a request to store a body.
 pub async fn put(context: Context, call: Call) -> Reply {
     match call.msgpack::<Put>().and_then(|put| store(&context, put)) {
         Ok(stored) => reply::msgpack(&stored),
@@ -30,12 +30,12 @@
     }
 }
 
-/// Takes a body into the store of this process.
+/// Stores a body in this process.
 ///
 /// # Errors
 ///
-/// [`Code::Overloaded`] if the store is full, [`Code::BadRequest`] if the bytes are not those
-/// that the name tells, [`Code::Draining`] if this entry leaves.
+/// Returns [`Code::Overloaded`] if the store is full, [`Code::BadRequest`] if the bytes do not
+/// match the digest in the name, and [`Code::Draining`] if this entry is leaving.
 pub fn store(context: &Context, put: Put) -> Result<Stored, Failure> {
     admit::check_not_draining(
         context.kernel.phases.now(),
@@ -51,7 +51,7 @@
         Err(error @ PutError::Full { .. }) => {
             context.kernel.metrics.count("entry.bodies.full", 1);
             let failure = Failure::not_run(Code::Overloaded, error.to_string());
-            return Err(failure.retry_after(FULL_RETRY));
+            return Err(failure.retry_after(FULL_RETRY_MS));
         }
         Err(error @ PutError::Garbled) => {
             return Err(Failure::not_run(Code::BadRequest, error.to_string()));
@@ -60,7 +60,8 @@
     Ok(Stored { holder: Holder { node: own.node, incarnation: own.incarnation } })
 }
 
-/// Gives bodies: those asked for, or as many of the first as fit into an answer.
+/// Handles a request for bodies. Returns the requested bodies, or as many of the first ones as fit
+/// into a response.
 pub async fn get(context: Context, call: Call) -> Reply {
     let question: Get = match call.msgpack() {
         Ok(question) => question,
@@ -72,7 +73,7 @@
     for name in &question.names {
         let body = store.get(name);
         size += body.as_ref().map_or(0, bytes::Bytes::len);
-        if size > ANSWER && !found.bodies.is_empty() {
+        if size > MAX_RESPONSE_BYTES && !found.bodies.is_empty() {
             break;
         }
         found.bodies.push(body);
@@ -81,7 +82,7 @@
     reply::msgpack(&found)
 }
 
-/// Drops bodies that are of no use any more.
+/// Handles a request to drop bodies that are no longer needed.
 pub async fn discard(context: Context, call: Call) -> Reply {
     match call.msgpack::<Drop>() {
         Ok(drop) => {
--- a/components/entry/src/steps/session.rs
+++ b/components/entry/src/steps/session.rs
@@ -104,14 +104,12 @@
 ) -> Option<Session> {
     let audit = bodies.next_audit(context, session.number);
     let has_audit = audit.is_some();
-    let answer = send_renewal(context, session.number, audit).await;
+    let reply = send_renewal(context, session.number, audit).await;
     if has_audit {
-        bodies.apply_answer(
-            context,
-            answer.as_ref().and_then(|(renewed, _)| renewed.audited.as_ref()),
-        );
+        bodies
+            .apply_reply(context, reply.as_ref().and_then(|(renewed, _)| renewed.audited.as_ref()));
     }
-    match answer {
+    match reply {
         Some((renewed, sent)) if renewed.held => {
             send_orphans(notices, renewed.orphans).await;
             return Some(Session { expires: sent + renewed.lasts_ms, ..session });
@@ -142,8 +140,8 @@
     let members = context.members.view();
     for member in members.present().filter(|member| member.roles.control) {
         let sent = context.now();
-        let answer = context.client.call(&member.address, paths::RENEW, &request, RENEWAL_TIMEOUT);
-        match answer.await {
+        let reply = context.client.call(&member.address, paths::RENEW, &request, RENEWAL_TIMEOUT);
+        match reply.await {
             Ok(renewed) => return Some((renewed, sent)),
             Err(error) => {
                 let node = &member.node;
--- a/components/entry/src/trainer.rs
+++ b/components/entry/src/trainer.rs
@@ -1,4 +1,4 @@
-//! What trainers call: open a step, pull, acknowledge.
+//! Handlers of the trainer API: open a step, pull a batch, acknowledge a batch.
 
 use std::time::Duration;
 
@@ -27,31 +27,31 @@
 use crate::steps::propose;
 use crate::steps::step::prompt_fingerprint;
 
-/// When to pull again after nothing was ready, in milliseconds.
-const READY_RETRY: u64 = 100;
-/// The longest time for which a pull may wait for a group, in milliseconds. It is shorter than the
-/// time after which load balancers commonly give up on an answer.
-const WAIT_BOUND: u64 = 10_000;
+/// Retry delay in milliseconds for a pull that found no batch ready.
+const NOT_READY_RETRY_MS: u64 = 100;
+/// Maximum time for which a pull may wait for a group, in milliseconds. It is shorter than the
+/// common response timeout of load balancers.
+const MAX_WAIT_MS: u64 = 10_000;
 
-/// Asks for a batch.
+/// Request for a batch.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct PullRequest {
     /// The workspace.
     pub workspace: Workspace,
-    /// The cursor: one more than the last acknowledged.
+    /// The cursor: one more than the last acknowledged cursor.
     pub cursor: Cursor,
-    /// Groups wanted at most.
+    /// Maximum number of groups in the batch.
     #[serde(default = "one")]
     pub groups: u32,
     /// The newest version that the trainer has published.
     #[serde(default)]
     pub newest: Version,
-    /// Milliseconds for which to wait for a group if none is whole.
+    /// Milliseconds to wait for a group if none is complete.
     #[serde(default)]
     pub wait_ms: u64,
 }
 
-/// Acknowledges a batch.
+/// Request to acknowledge a batch.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct AckRequest {
     /// The workspace.
@@ -64,17 +64,17 @@
     1
 }
 
-/// Opens a step.
+/// Handles a request to open a step.
 pub async fn open(context: Context, steps: Steps, call: Call) -> Reply {
     into_reply(try_open(&context, &steps, &call).await)
 }
 
-/// Hands out a batch.
+/// Handles a pull of a batch.
 pub async fn pull(context: Context, steps: Steps, call: Call) -> Reply {
     into_reply(try_pull(&context, &steps, &call).await)
 }
 
-/// Takes an acknowledgement.
+/// Handles the acknowledgement of a batch.
 pub async fn ack(context: Context, call: Call) -> Reply {
     into_reply(try_ack(&context, &call).await)
 }
@@ -92,9 +92,9 @@
         &context.node,
         &context.data_centre,
     )?;
-    check(&spec, &template)?;
+    check_spec(&spec, &template)?;
     for group in &spec.groups {
-        // The step could never be whole, and its trainer would wait for it.
+        // A step with a convicted prompt can never complete, and its trainer would wait forever.
         admit::check_not_convicted(prompt_fingerprint(&group.prompt), &context.config.current())?;
     }
     if let Some(identity) = &call.identity {
@@ -108,20 +108,20 @@
             Ok(reply::json(200, &json!({"opened": true})))
         }
         LedgerReply::Conflict | LedgerReply::Closed => {
-            let detail = "the step is open with other content, or was closed";
+            let detail = "the step is open with different content, or was closed";
             Err(Failure::not_run(Code::Conflict, detail))
         }
-        other => Err(refused(&other)),
+        other => Err(refusal_failure(&other)),
     }
 }
 
-fn check(spec: &StepSpec, template: &Template) -> Result<(), Failure> {
+fn check_spec(spec: &StepSpec, template: &Template) -> Result<(), Failure> {
     let malformed = |detail: String| Err(Failure::not_run(Code::BadRequest, detail));
     if !template.models.contains(&spec.model) {
         return malformed(format!("{:?} is not among the workspace's models", spec.model));
     }
     if spec.groups.is_empty() || spec.samples == 0 {
-        return malformed("a step needs groups, and samples of each".to_owned());
+        return malformed("a step needs at least one group and one sample per group".to_owned());
     }
     let bound = template.limits.tokens;
     if spec.max_tokens == 0 || spec.max_tokens > bound {
@@ -136,34 +136,33 @@
     let own = pull.workspace.clone();
     match wait_for_batch(context, steps, pull).await? {
         LedgerReply::Batch { cursor, samples, .. } => {
-            let bodies = batch::gather(context, &own, cursor, samples).await?;
+            let bodies = batch::collect(context, &own, cursor, samples).await?;
             Ok(reply::bytes(200, reply::JSON, batch::json(cursor, &bodies)))
         }
         LedgerReply::NotReady => {
-            let body = json!({"ready": false, "retry_ms": READY_RETRY});
+            let body = json!({"ready": false, "retry_ms": NOT_READY_RETRY_MS});
             Ok(reply::json(202, &body))
         }
         LedgerReply::BadCursor { expected } => {
-            let detail = format!("cursor {expected} is the one to pull");
+            let detail = format!("the cursor to pull is {expected}");
             Err(Failure::not_run(Code::Conflict, detail))
         }
-        other => Err(refused(&other)),
+        other => Err(refusal_failure(&other)),
     }
 }
 
-/// Asks the ledger for a batch, again and again until there is one or the time is over that the
-/// trainer wants to wait. Only "not ready" is waited on; every other answer is final and is given
-/// at once.
+/// Queries the ledger for a batch until one is ready or the trainer's waiting time is over. It
+/// waits only while the reply is "not ready"; every other reply is final and returned immediately.
 ///
-/// A trainer that asked again by itself would idle for half of its pause for each group, and
-/// each of its questions is an entry of the replicated log.
+/// A trainer that polls would idle for half of its polling interval per group on average, and each
+/// of its queries adds an entry to the replicated log.
 async fn wait_for_batch(
     context: &Context,
     steps: &Steps,
     pull: PullRequest,
 ) -> Result<LedgerReply, Failure> {
     let PullRequest { workspace, cursor, groups, newest, wait_ms } = pull;
-    let until = context.now() + wait_ms.min(WAIT_BOUND);
+    let until = context.now() + wait_ms.min(MAX_WAIT_MS);
     let mut waiter = steps.pull_notifier.subscribe(&workspace);
     let command = LedgerCommand::Pull { workspace, cursor, groups, newest };
     loop {
@@ -192,14 +191,18 @@
             Ok(reply::json(200, &json!({"acknowledged": cursor})))
         }
         LedgerReply::BadCursor { expected } => {
-            let detail = format!("cursor {expected} is the one to acknowledge");
+            let detail = format!("the cursor to acknowledge is {expected}");
             Err(Failure::not_run(Code::Conflict, detail))
         }
-        other => Err(refused(&other)),
+        other => Err(refusal_failure(&other)),
     }
 }
 
-/// Lets in the trainers that the template names.
+/// Checks that the caller is one of the trainers of the template, and returns the template.
+///
+/// # Errors
+///
+/// Returns a failure with [`Code::Forbidden`], or that of [`admit::find_template`].
 pub(crate) fn authorize(
     context: &Context,
     call: &Call,
@@ -207,21 +210,21 @@
 ) -> Result<Template, Failure> {
     let config = context.config.current();
     let template = admit::find_template(workspace, &config)?;
-    let named =
+    let is_trainer =
         call.identity.as_ref().is_some_and(|who| template.trainers.contains(&who.principal));
-    if !named {
-        let detail = format!("the token's holder is not among the trainers of {workspace}");
+    if !is_trainer {
+        let detail = format!("the token does not belong to a trainer of workspace {workspace}");
         return Err(Failure::not_run(Code::Forbidden, detail));
     }
     Ok(template.clone())
 }
 
-fn refused(reply: &LedgerReply) -> Failure {
+fn refusal_failure(reply: &LedgerReply) -> Failure {
     match reply {
-        LedgerReply::Missing => Failure::not_run(Code::NotFound, "no step of that name is open"),
+        LedgerReply::Missing => Failure::not_run(Code::NotFound, "no step with this name is open"),
         LedgerReply::Full => {
             let failure = Failure::not_run(Code::Overloaded, "the ledger is full");
-            failure.retry_after(READY_RETRY * 10)
+            failure.retry_after(NOT_READY_RETRY_MS * 10)
         }
         other => Failure::not_run(Code::Conflict, format!("the ledger refused: {other:?}")),
     }
