--- a/components/entry/src/admit.rs
+++ b/components/entry/src/admit.rs
@@ -1,6 +1,7 @@
-//! Decides at the door whether a request may come in, before anything of it is done.
+//! Checks a request before any work on it starts.
 //!
-//! Every refusal here is "not run" and given at once. docs/API.md lists the headers.
+//! Every refusal has the outcome "not run" and is returned immediately. docs/API.md lists the
+//! headers.
 
 use actix_http::header::HeaderName;
 use actix_http::header::HeaderValue;
@@ -26,35 +27,37 @@
 use crate::context::Context;
 use crate::run::Job;
 
-/// Names the workspace; every request has it.
+/// Header with the workspace; required.
 pub const WORKSPACE: &str = "chicoryford-workspace";
-/// Milliseconds until the answer is worthless to the caller.
+/// Header with the milliseconds until the deadline, after which the answer is useless to the
+/// caller.
 pub const DEADLINE: &str = "chicoryford-deadline-ms";
-/// Lowers the class that the template gives the caller.
+/// Header that lowers the priority class which the template gives the caller.
 pub const CLASS: &str = "chicoryford-class";
-/// Recognises a resend of a call that may not be repeated.
+/// Header with the idempotency key, which identifies resends of a call that may not be repeated.
 pub const KEY: &str = "idempotency-key";
-/// Says whether the request may run more than once.
+/// Header that states whether the request may run more than once.
 pub const REPEATABLE: &str = "chicoryford-repeatable";
 
-/// The longest deadline that a caller may ask for, in milliseconds.
-const DEADLINE_BOUND: u64 = 24 * 3_600_000;
-/// Bound on an idempotency key, in bytes.
-const KEY_BOUND: usize = 200;
-/// When a caller refused by a draining entry may come back: by then the balancer has noticed.
-const DRAIN_RETRY: u64 = 1_000;
-/// When a caller refused by an entry without configuration may come back: it then has it, unless
-/// no control process can be reached.
-const LEARN_RETRY: u64 = 500;
+/// Maximum time until the deadline that a caller may request, in milliseconds.
+const MAX_DEADLINE_MS: u64 = 24 * 3_600_000;
+/// Maximum length of an idempotency key in bytes.
+const MAX_KEY_BYTES: usize = 200;
+/// Retry delay in milliseconds for a caller refused by a draining entry. By then the load balancer
+/// has detected the drain.
+const DRAINING_RETRY_MS: u64 = 1_000;
+/// Retry delay in milliseconds for a caller refused by an entry without configuration. By then the
+/// entry has received it, unless no control process can be reached.
+const NO_CONFIG_RETRY_MS: u64 = 500;
 
-/// The headers of a request, read.
+/// The parsed headers of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestHeaders {
     /// The workspace.
     pub workspace: Workspace,
-    /// Milliseconds until the answer is worthless.
-    pub deadline: Option<u64>,
-    /// The class asked for.
+    /// Milliseconds until the deadline.
+    pub deadline_ms: Option<u64>,
+    /// The requested class.
     pub class: Option<Class>,
     /// The idempotency key.
     pub key: Option<IdempotencyKey>,
@@ -62,37 +65,43 @@
     pub repeatable: Option<bool>,
 }
 
-/// What the template and the headers together allow.
+/// What the template and the headers allow for a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Admitted {
     /// The workspace.
     pub workspace: Workspace,
-    /// The class, never above that of the template.
+    /// The priority class, at most that of the template.
     pub class: Class,
-    /// Milliseconds until the answer is worthless.
+    /// Milliseconds until the deadline.
     pub budget_ms: u64,
     /// The idempotency key.
     pub key: Option<IdempotencyKey>,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// How often it is tried.
+    /// The retry policy.
     pub retries: Retries,
-    /// Tokens that it may ask for.
-    pub tokens: u32,
+    /// Maximum number of tokens that the request may ask for.
+    pub max_tokens: u32,
 }
 
-/// Reads the headers of a request.
+/// Parses the headers of a request.
 ///
 /// # Errors
 ///
-/// A failure with [`Code::BadRequest`] that names the header.
+/// Returns a failure with [`Code::BadRequest`] that names the header.
 pub fn read_headers(call: &Call) -> Result<RequestHeaders, Failure> {
     let workspace = call.header(WORKSPACE).ok_or_else(|| malformed(WORKSPACE, "is required"))?;
-    let deadline = call.header(DEADLINE).map(read_deadline).transpose()?;
+    let deadline_ms = call.header(DEADLINE).map(read_deadline).transpose()?;
     let class = call.header(CLASS).map(read_class).transpose()?;
     let key = call.header(KEY).map(read_key).transpose()?;
     let repeatable = call.header(REPEATABLE).map(read_flag).transpose()?;
-    Ok(RequestHeaders { workspace: Workspace::from(workspace), deadline, class, key, repeatable })
+    Ok(RequestHeaders {
+        workspace: Workspace::from(workspace),
+        deadline_ms,
+        class,
+        key,
+        repeatable,
+    })
 }
 
 fn malformed(header: &str, what: &str) -> Failure {
@@ -100,7 +109,7 @@
 }
 
 fn read_deadline(text: &str) -> Result<u64, Failure> {
-    let deadline = text.trim().parse().ok().filter(|ms| *ms <= DEADLINE_BOUND);
+    let deadline = text.trim().parse().ok().filter(|ms| *ms <= MAX_DEADLINE_MS);
     deadline.ok_or_else(|| malformed(DEADLINE, "must be milliseconds, at most a day"))
 }
 
@@ -114,7 +123,7 @@
 }
 
 fn read_key(text: &str) -> Result<IdempotencyKey, Failure> {
-    if text.is_empty() || text.len() > KEY_BOUND {
+    if text.is_empty() || text.len() > MAX_KEY_BYTES {
         return Err(malformed(KEY, "must have between 1 and 200 bytes"));
     }
     Ok(IdempotencyKey::from(text))
@@ -124,39 +133,39 @@
     text.parse().map_err(|_| malformed(REPEATABLE, "must be true or false"))
 }
 
-/// Decides whether `caller` may send this to `model` under the workspace's template.
+/// Checks whether the workspace's template allows `caller` to send the request to `model`.
 ///
 /// # Errors
 ///
-/// The refusal; it is always "not run".
+/// Returns the refusal, whose outcome is always "not run".
 pub fn authorize(
-    asked: &RequestHeaders,
+    headers: &RequestHeaders,
     caller: &Principal,
     model: &Model,
     config: &Config,
 ) -> Result<Admitted, Failure> {
-    let template = find_template(&asked.workspace, config)?;
+    let template = find_template(&headers.workspace, config)?;
     let Some(class) = template.callers.get(caller).copied() else {
-        let detail = format!("{caller} is not among the callers of {}", asked.workspace);
+        let detail = format!("{caller} is not among the callers of {}", headers.workspace);
         return Err(Failure::not_run(Code::Forbidden, detail));
     };
     if !template.models.contains(model) {
-        let detail = format!("{model:?} is not among the models of {}", asked.workspace);
+        let detail = format!("{model:?} is not among the models of {}", headers.workspace);
         return Err(Failure::not_run(Code::NotFound, detail));
     }
-    let budget_ms = asked.deadline.unwrap_or(template.deadline_ms);
+    let budget_ms = headers.deadline_ms.unwrap_or(template.deadline_ms);
     if budget_ms == 0 {
         let detail = "the deadline leaves no time to answer";
         return Err(Failure::not_run(Code::DeadlineTooClose, detail));
     }
     Ok(Admitted {
-        workspace: asked.workspace.clone(),
-        class: asked.class.map_or(class, |wanted| wanted.min(class)),
+        workspace: headers.workspace.clone(),
+        class: headers.class.map_or(class, |wanted| wanted.min(class)),
         budget_ms,
-        key: asked.key.clone(),
-        repeatable: asked.repeatable.unwrap_or(template.repeatable),
+        key: headers.key.clone(),
+        repeatable: headers.repeatable.unwrap_or(template.repeatable),
         retries: template.retries,
-        tokens: template.limits.tokens,
+        max_tokens: template.limits.tokens,
     })
 }
 
@@ -164,10 +173,12 @@
 ///
 /// # Errors
 ///
-/// A failure with [`Code::NotFound`], or [`Code::NoQuorum`] while this entry knows nothing yet.
+/// Returns a failure with [`Code::NotFound`], or with [`Code::NoQuorum`] while this entry has no
+/// configuration yet.
 ///
-/// An entry keeps no configuration over a restart. Until it has learned it, it cannot tell that a
-/// workspace does not exist: callers who were told so would give up, and their answers be lost.
+/// An entry does not persist the configuration across restarts. Until it has received the
+/// configuration, it cannot decide that a workspace does not exist. Callers that received "not
+/// found" would give up, and their answers would be lost.
 pub fn find_template<'a>(
     workspace: &Workspace,
     config: &'a Config,
@@ -176,19 +187,20 @@
         return Ok(&versioned.template);
     }
     if config.at == Position::default() {
-        let detail = "this entry has not learned the configuration yet";
-        return Err(Failure::not_run(Code::NoQuorum, detail).retry_after(LEARN_RETRY));
+        let detail = "this entry has not received the configuration yet";
+        return Err(Failure::not_run(Code::NoQuorum, detail).retry_after(NO_CONFIG_RETRY_MS));
     }
-    Err(Failure::not_run(Code::NotFound, format!("no template for workspace {workspace}")))
+    Err(Failure::not_run(Code::NotFound, format!("workspace {workspace} has no template")))
 }
 
-/// Refuses work while this process or its data centre is to stop.
+/// Refuses work while the process drains or a planned stop names the node or its data centre.
 ///
-/// A planned stop would otherwise wait for work that keeps coming, and cut it at its deadline.
+/// Otherwise a planned stop would wait for work that continues to arrive, and interrupt it at the
+/// deadline of the stop.
 ///
 /// # Errors
 ///
-/// A failure with [`Code::Draining`].
+/// Returns a failure with [`Code::Draining`].
 pub fn check_not_draining(
     phase: Phase,
     config: &Config,
@@ -203,15 +215,15 @@
     if phase == Phase::Running && !stops {
         return Ok(());
     }
-    let detail = "this entry is leaving; another one takes the request";
-    Err(Failure::not_run(Code::Draining, detail).retry_after(DRAIN_RETRY))
+    let detail = "this entry is leaving; send the request to another one";
+    Err(Failure::not_run(Code::Draining, detail).retry_after(DRAINING_RETRY_MS))
 }
 
-/// Refuses a content that was convicted of crashing endpoints (docs/SUSPECTS.md).
+/// Refuses content that was convicted of crashing endpoints (docs/SUSPECTS.md).
 ///
 /// # Errors
 ///
-/// A failure with [`Code::Convicted`].
+/// Returns a failure with [`Code::Convicted`].
 pub fn check_not_convicted(fingerprint: Fingerprint, config: &Config) -> Result<(), Failure> {
     let Some(conviction) = config.convictions.get(&fingerprint) else { return Ok(()) };
     let detail = format!(
@@ -221,13 +233,13 @@
     Err(Failure::not_run(Code::Convicted, detail))
 }
 
-/// Takes a caller's request in: reads its headers, admits it, gives it an identity.
+/// Checks a caller's request and creates its job.
 ///
-/// `content` is what a resend of the same request would have in common with it.
+/// `content` must be equal in all resends of the same request; the fingerprint is computed from it.
 ///
 /// # Errors
 ///
-/// The refusal, always "not run".
+/// Returns the refusal, whose outcome is always "not run".
 pub fn admit_request(
     context: &Context,
     call: &Call,
@@ -236,11 +248,11 @@
 ) -> Result<(Job, Admitted), Failure> {
     let config = context.config.current();
     check_not_draining(context.kernel.phases.now(), &config, &context.node, &context.data_centre)?;
-    let asked = read_headers(call)?;
+    let headers = read_headers(call)?;
     let identity = call.identity.as_ref().ok_or_else(|| {
         Failure::not_run(Code::Unauthenticated, "the bearer token is missing or unknown")
     })?;
-    let admitted = authorize(&asked, &identity.principal, &model, &config)?;
+    let admitted = authorize(&headers, &identity.principal, &model, &config)?;
     let fingerprint = Fingerprint::of(content);
     check_not_convicted(fingerprint, &config)?;
     let job = Job {
@@ -259,7 +271,7 @@
     Ok((job, admitted))
 }
 
-/// Adds a header to an answer.
+/// Sets a header of a response. A value that is not a valid header value is ignored.
 pub fn set_header(reply: &mut Reply, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         reply.headers_mut().insert(HeaderName::from_static(name), value);
--- a/components/entry/src/chat/body.rs
+++ b/components/entry/src/chat/body.rs
@@ -1,5 +1,5 @@
-//! Reads the bodies of generations. Fields that are not known are passed over, so that an
-//! ordinary client works unchanged.
+//! Parses the request bodies of generations. Unknown fields are ignored, so that existing clients
+//! work unchanged.
 
 use chicoryford_types::Code;
 use chicoryford_types::Failure;
@@ -9,35 +9,35 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Tokens of an answer whose request names no bound.
-const TOKENS: u32 = 1_024;
-/// The temperature of a request that names none, in thousandths.
-const TEMPERATURE: u32 = 1_000;
-/// The highest temperature that may be asked for.
-const HOTTEST: f64 = 2.0;
+/// Maximum number of tokens of an answer if the request sets none.
+const DEFAULT_MAX_TOKENS: u32 = 1_024;
+/// Temperature in thousandths if the request sets none.
+const DEFAULT_TEMPERATURE: u32 = 1_000;
+/// Maximum temperature.
+const MAX_TEMPERATURE: f64 = 2.0;
 
-/// Which of the two shapes a request has.
+/// The API that a request uses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ApiKind {
-    /// Messages in, a message out.
+    /// Chat completions: messages to a message.
     Chat,
-    /// A prompt in, text out.
+    /// Text completions: a prompt to text.
     Text,
 }
 
-/// The body of a generation.
+/// The request body of a generation.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Body {
     /// The model.
     pub model: Model,
-    /// The messages of a chat.
+    /// The messages of a chat completion.
     pub messages: Vec<Message>,
-    /// The prompt of a completion.
+    /// The prompt of a text completion.
     pub prompt: Option<Value>,
-    /// Tokens at most.
+    /// Maximum number of tokens.
     pub max_tokens: Option<u32>,
-    /// Tokens at most, by its newer name.
+    /// Maximum number of tokens, under its newer name.
     pub max_completion_tokens: Option<u32>,
     /// The sampling seed.
     pub seed: Option<u64>,
@@ -45,9 +45,10 @@
     pub temperature: Option<f64>,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether log-probabilities are wanted: true, or a count as completions clients send it.
+    /// Whether log-probabilities are requested: `true`, or a count as text completions clients send
+    /// it.
     pub logprobs: Option<Value>,
-    /// How many answers are wanted; only one can be had.
+    /// Number of requested answers; only one is supported.
     pub n: Option<u32>,
 }
 
@@ -55,23 +56,23 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Message {
-    /// Who says it.
+    /// The author of the message.
     pub role: String,
-    /// What: text, or parts of type `text`.
+    /// The content: text, or a list of parts of type `text`.
     pub content: Value,
 }
 
-/// Makes the generation that a body asks for.
+/// Builds the generation that a body requests, with at most `bound` tokens.
 ///
 /// # Errors
 ///
-/// A failure with [`Code::BadRequest`] that names the field.
+/// Returns a failure with [`Code::BadRequest`] that names the field.
 pub fn generation(kind: ApiKind, body: &Body, bound: u32) -> Result<Generation, Failure> {
     if body.n.is_some_and(|n| n != 1) {
         return Err(malformed("n must be 1"));
     }
     let max_tokens = body.max_completion_tokens.or(body.max_tokens);
-    let max_tokens = max_tokens.unwrap_or(TOKENS.min(bound));
+    let max_tokens = max_tokens.unwrap_or(DEFAULT_MAX_TOKENS.min(bound));
     if max_tokens == 0 || max_tokens > bound {
         return Err(malformed(&format!("max_tokens must be between 1 and {bound}")));
     }
@@ -94,8 +95,8 @@
 }
 
 fn temperature(wanted: Option<f64>) -> Result<u32, Failure> {
-    let Some(wanted) = wanted else { return Ok(TEMPERATURE) };
-    if !(0.0..=HOTTEST).contains(&wanted) {
+    let Some(wanted) = wanted else { return Ok(DEFAULT_TEMPERATURE) };
+    if !(0.0..=MAX_TEMPERATURE).contains(&wanted) {
         return Err(malformed("temperature must be between 0 and 2"));
     }
     Ok((wanted * 1_000.0).round() as u32)
@@ -143,6 +144,6 @@
         Some(Value::Array(texts)) if texts.len() == 1 && texts[0].is_string() => {
             Ok(texts[0].as_str().unwrap_or_default().to_owned())
         }
-        _ => Err(malformed("prompt must be text, or a list of one text")),
+        _ => Err(malformed("prompt must be text or a list with one text")),
     }
 }
--- a/components/entry/src/chat/events.rs
+++ b/components/entry/src/chat/events.rs
@@ -1,7 +1,7 @@
-//! The streamed answer, as server-sent events.
+//! Streamed responses as server-sent events.
 //!
-//! A stream that ends without `[DONE]` is not a whole answer; a failure on the way is an event
-//! with an `error` object, after which the stream ends.
+//! A stream that ends without `[DONE]` is incomplete. A failure during the stream is sent as an
+//! event with an `error` object, after which the stream ends.
 
 use std::convert::Infallible;
 
@@ -19,34 +19,34 @@
 use crate::run::GenerationStream;
 use crate::run::Piece;
 
-struct Streaming {
+struct EventStream {
     head: ResponseHead,
-    generating: GenerationStream,
+    generation: GenerationStream,
     first: Option<Piece>,
     ended: bool,
 }
 
-/// Streams an answer whose first piece is there already.
+/// Streams a response whose first piece has been received already.
 pub fn events(
     head: ResponseHead,
-    generating: GenerationStream,
+    generation: GenerationStream,
     first: Piece,
 ) -> impl Stream<Item = Result<Bytes, Infallible>> {
-    let streaming = Streaming { head, generating, first: Some(first), ended: false };
-    stream::unfold(streaming, |mut streaming| async move {
-        if streaming.ended {
+    let events = EventStream { head, generation, first: Some(first), ended: false };
+    stream::unfold(events, |mut events| async move {
+        if events.ended {
             return None;
         }
-        let bytes = streaming.next().await;
-        Some((Ok(bytes), streaming))
+        let bytes = events.next().await;
+        Some((Ok(bytes), events))
     })
 }
 
-impl Streaming {
+impl EventStream {
     async fn next(&mut self) -> Bytes {
         let piece = match self.first.take() {
             Some(piece) => Ok(piece),
-            None => self.generating.next().await,
+            None => self.generation.next().await,
         };
         match piece {
             Ok(Piece::Tokens(tokens)) => event(&self.chunk(&tokens)),
@@ -69,8 +69,8 @@
 
     fn last(&self, reason: &str) -> Value {
         let mut last = self.object(json!({}), "", Value::Null, json!(reason));
-        last["usage"] = response::usage(&self.generating);
-        last["chicoryford"] = response::extension(&self.generating);
+        last["usage"] = response::usage(&self.generation);
+        last["chicoryford"] = response::extension(&self.generation);
         last
     }
 
--- a/components/entry/src/chat/mod.rs
+++ b/components/entry/src/chat/mod.rs
@@ -1,4 +1,4 @@
-//! Generations in the kind that completions clients send and read.
+//! The chat completions and text completions APIs.
 
 pub mod body;
 pub mod events;
--- a/components/entry/src/chat/response.rs
+++ b/components/entry/src/chat/response.rs
@@ -1,4 +1,4 @@
-//! The parts that streamed and whole answers have in common, and the whole answer.
+//! Complete responses, and the parts that they share with streamed ones.
 
 use chicoryford_types::Model;
 use serde_json::Value;
@@ -7,23 +7,23 @@
 use crate::chat::body::ApiKind;
 use crate::run::GenerationStream;
 
-/// What all parts of one answer name alike.
+/// Fields that are equal in all chunks of a response.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
-    /// The kind of the request.
+    /// The API of the request.
     pub kind: ApiKind,
-    /// The answer's identifier.
+    /// The identifier of the response.
     pub id: String,
-    /// When it began, in Unix seconds.
+    /// Creation time in Unix seconds.
     pub created: u64,
     /// The model.
     pub model: Model,
 }
 
 impl ResponseHead {
-    /// Makes the head of an answer to `generating`.
-    pub fn new(kind: ApiKind, generating: &GenerationStream) -> Self {
-        let job = generating.job();
+    /// Creates the head of a response to `generation`.
+    pub fn new(kind: ApiKind, generation: &GenerationStream) -> Self {
+        let job = generation.job();
         let prefix = if kind == ApiKind::Chat { "chatcmpl" } else { "cmpl" };
         Self {
             kind,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Makes an answer or a chunk with one choice.
+    /// Builds a response or a chunk with one choice.
     pub fn object(&self, object: &str, choice: Value) -> Value {
         json!({
             "id": self.id,
@@ -45,28 +45,28 @@
     }
 }
 
-/// Gives the usage in the kind that clients read. The count of the prompt's tokens is not
-/// known to the system, because only the engine has its tokenizer.
-pub fn usage(generating: &GenerationStream) -> Value {
-    let tokens = generating.output.tokens;
+/// Returns the usage object. The number of prompt tokens is reported as zero, because it is
+/// unknown: only the engine has the tokenizer.
+pub fn usage(generation: &GenerationStream) -> Value {
+    let tokens = generation.output.tokens;
     json!({"prompt_tokens": 0, "completion_tokens": tokens, "total_tokens": tokens})
 }
 
-/// Gives the extension that names the versions which produced the answer. A version that the
-/// engine did not say is null; it is never guessed.
-pub fn extension(generating: &GenerationStream) -> Value {
-    let job = generating.job();
+/// Returns the extension object with the versions that produced the response. A version that the
+/// engine did not report is null; it is never guessed.
+pub fn extension(generation: &GenerationStream) -> Value {
+    let job = generation.job();
     json!({
         "request": job.request.to_string(),
-        "spans": generating.output.runs,
+        "spans": generation.output.runs,
         "attempts": job.attempt,
     })
 }
 
-/// Gives the whole answer.
-pub fn complete(head: &ResponseHead, generating: &GenerationStream, reason: &str) -> Value {
-    let text = &generating.output.text;
-    let logprobs = logprobs(&generating.output.logprobs);
+/// Returns the complete response.
+pub fn complete(head: &ResponseHead, generation: &GenerationStream, reason: &str) -> Value {
+    let text = &generation.output.text;
+    let logprobs = logprobs(&generation.output.logprobs);
     let (object, choice) = match head.kind {
         ApiKind::Chat => {
             let message = json!({"role": "assistant", "content": text});
@@ -82,13 +82,13 @@
             ("text_completion", choice)
         }
     };
-    let mut answer = head.object(object, choice);
-    answer["usage"] = usage(generating);
-    answer["chicoryford"] = extension(generating);
-    answer
+    let mut response = head.object(object, choice);
+    response["usage"] = usage(generation);
+    response["chicoryford"] = extension(generation);
+    response
 }
 
-/// Gives log-probabilities, or null if there are none.
+/// Returns the log-probabilities, or null if there are none.
 pub fn logprobs(logprobs: &[f32]) -> Value {
     if logprobs.is_empty() { Value::Null } else { json!({"token_logprobs": logprobs}) }
 }
--- a/components/entry/src/context.rs
+++ b/components/entry/src/context.rs
@@ -1,4 +1,4 @@
-//! What a thread needs to run requests.
+//! Services and clients that a thread needs to run requests.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -24,45 +24,47 @@
 use crate::router::SERVICE;
 use crate::run::first_token::FirstTokenTimes;
 
-/// What a thread needs to run requests; an HTTP worker and the steps duty each make their own,
-/// because a client stays on one thread.
+/// Services and clients that a thread needs to run requests. Each HTTP worker creates its own
+/// context, as do the steps and reports duties, because a client cannot be shared between threads.
+
 #[derive(Clone)]
 pub struct Context(Rc<Inner>);
 
 /// The content of a [`Context`].
 pub struct Inner {
-    /// The process.
+    /// The kernel of the process.
     pub kernel: Kernel,
-    /// Calls agents over connections that are kept.
+    /// Calls other processes over pooled connections.
     pub client: Client,
-    /// Calls agents over new connections, to tell a silent connection from a dead endpoint.
+    /// Calls agents over new connections, to distinguish a silent connection from a failed
+    /// endpoint.
     pub fresh_client: Client,
     /// Chooses endpoints.
     pub router: Router,
-    /// The configuration in force.
+    /// The current configuration.
     pub config: ConfigHandle,
-    /// Who is there.
+    /// The members.
     pub members: MembersHandle,
-    /// The samples' bytes that this process holds.
+    /// The sample bodies stored in this process.
     pub bodies: Bodies,
     /// Proposes commands to the control processes.
     pub proposer: ProposerClient,
-    /// Learned times until the first tokens.
+    /// Learned times to first token.
     pub first_token_times: RefCell<FirstTokenTimes>,
-    /// The time without a frame after which a stream counts as silent.
+    /// Silence timeout: the time without a frame after which a stream counts as silent.
     pub silence: Duration,
-    /// This process.
+    /// The node name of this process.
     pub node: Node,
-    /// Where this process stands.
+    /// The data centre of this process.
     pub data_centre: DataCentre,
 }
 
 impl Context {
-    /// Finds the services of the process and makes clients for this thread.
+    /// Looks up the services of the process and creates clients for this thread.
     ///
     /// # Errors
     ///
-    /// [`MissingService`] if a service has not been started yet.
+    /// Returns [`MissingService`] if a service has not been started yet.
     pub fn new(kernel: &Kernel, settings: &Settings) -> Result<Self, MissingService> {
         let caller = kernel.registry.find::<Caller>(CALLER)?;
         let config = kernel.registry.find::<ConfigHandle>(chicoryford_config::SERVICE)?;
--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -1,8 +1,8 @@
-//! The entry role: callers, trainers, routing, streams.
+//! The entry role: serves callers and trainers, and routes their requests to endpoints.
 //!
-//! HTTP workers admit a request ([`admit`]), ask the router duty for an endpoint ([`router`]),
-//! and run attempts of it at agents ([`run`]). docs/API.md tells callers what they may send and
-//! what they get; docs/ARCHITECTURE.md shows the threads.
+//! HTTP workers check a request ([`admit`]), ask the router duty for admission and an endpoint
+//! ([`router`]), and run attempts of it at agents ([`run`]). docs/API.md describes requests and
+//! responses; docs/ARCHITECTURE.md describes the threads.
 
 pub mod admit;
 pub mod bodies;
--- a/components/entry/src/publish.rs
+++ b/components/entry/src/publish.rs
@@ -1,4 +1,4 @@
-//! What trainers call to publish weights.
+//! Handler with which trainers publish weights.
 
 use std::time::Duration;
 
@@ -21,26 +21,26 @@
 use crate::trainer::authorize;
 use crate::trainer::into_reply;
 
-/// The longest wait for a publication to be committed.
-const PUBLISH: Duration = Duration::from_secs(10);
+/// Timeout for committing a publication.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Publishes weights.
+/// Request to publish weights.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct PublishRequest {
-    /// The workspace on whose behalf.
+    /// The workspace on whose behalf the weights are published.
     pub workspace: Workspace,
     /// The model.
     pub model: Model,
-    /// The version, greater than any before.
+    /// The version, greater than all published before.
     pub version: Version,
-    /// Where the weight store has it.
+    /// Location of the version in the weight store.
     pub source: String,
-    /// Recognises a resend; drawn if it is left out.
+    /// Identifies resends of the request. If it is missing, an identifier is generated.
     #[serde(default)]
     pub change: Option<ChangeId>,
 }
 
-/// Publishes weights.
+/// Handles a publication of weights.
 pub async fn publish(context: Context, call: Call) -> Reply {
     into_reply(try_publish(&context, &call).await)
 }
@@ -52,24 +52,26 @@
         let detail = format!("{model:?} is not among the workspace's models");
         return Err(Failure::not_run(Code::Forbidden, detail));
     }
-    let drawn = || {
+    let generated = || {
         let issued = chicoryford_kernel::unix().0;
         ChangeId(format!("{issued}.{model}-{version}"))
     };
-    let change = change.unwrap_or_else(drawn);
+    let change = change.unwrap_or_else(generated);
     let command =
         Command::Publish { change, model: model.clone(), version, source: source.clone() };
-    match context.proposer.propose(&command, PUBLISH).await? {
+    match context.proposer.propose(&command, COMMIT_TIMEOUT).await? {
         StateReply::Accepted { at, .. } => {
             Ok(reply::json(200, &json!({"version": version, "at": at.to_string()})))
         }
         StateReply::Refused(Refusal::NotNewer(newest)) => {
             let config = context.config.current();
-            let held = config.weights.get(&model);
-            if held.is_some_and(|held| held.version == version && held.source == source) {
+            let published = config.weights.get(&model);
+            if published
+                .is_some_and(|weights| weights.version == version && weights.source == source)
+            {
                 return Ok(reply::json(200, &json!({"version": version, "at": "before"})));
             }
-            let detail = format!("version {newest} was published before");
+            let detail = format!("version {newest} is already published");
             Err(Failure::not_run(Code::Conflict, detail))
         }
         StateReply::Failed(failure) => Err(failure),
--- a/components/entry/src/reports.rs
+++ b/components/entry/src/reports.rs
@@ -1,4 +1,4 @@
-//! Reads load reports from the agents in this entry's subset, one stream an agent.
+//! Reads load reports from the agents in this entry's subset, with one stream per agent.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,13 +17,13 @@
 use crate::context::Context;
 use crate::router::Pick;
 
-/// The time between two looks at which agents should report.
-const LOOK: Duration = Duration::from_secs(1);
-/// The time without a report after which a stream counts as silent; agents send one at least
-/// each eight seconds.
-const SILENCE: Duration = Duration::from_secs(12);
-/// The pause before a stream is opened again.
-const PAUSE: Duration = Duration::from_secs(1);
+/// Interval at which the set of streams is adjusted to the subset.
+const ADJUST_INTERVAL: Duration = Duration::from_secs(1);
+/// Time without a report after which a stream counts as silent. Agents send a report at least every
+/// eight seconds.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(12);
+/// Delay before a stream is opened again.
+const REOPEN_DELAY: Duration = Duration::from_secs(1);
 
 type Streams = BTreeMap<Endpoint, (Pick, JoinHandle<()>)>;
 
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 ///
-/// [`DutyError`] if the thread cannot be started.
+/// Returns [`DutyError`] if the thread cannot be started.
 pub fn start(kernel: &Kernel, settings: &Settings) -> Result<(), DutyError> {
     let settings = settings.clone();
     kernel.duty("reports", move |kernel| async move {
@@ -39,7 +39,7 @@
         match Context::new(&kernel, &settings) {
             Ok(context) => tokio::select! {
                 () = phases.reached(Phase::Stopping) => {}
-                () = follow(context) => {}
+                () = follow_subset(context) => {}
             },
             Err(error) => tracing::error!(event = "reports_not_started", %error),
         }
@@ -47,14 +47,14 @@
     Ok(())
 }
 
-/// Keeps one stream to each agent of the subset, as it changes.
-async fn follow(context: Context) {
+/// Maintains one stream to each agent of the subset.
+async fn follow_subset(context: Context) {
     let mut streams = Streams::new();
     loop {
         if let Some(subset) = context.router.subset().await {
             adjust(&context, &mut streams, subset);
         }
-        actix_rt::time::sleep(LOOK).await;
+        actix_rt::time::sleep(ADJUST_INTERVAL).await;
     }
 }
 
@@ -70,29 +70,30 @@
         if streams.contains_key(&pick.endpoint) {
             continue;
         }
-        let task = actix_rt::spawn(read_for_ever(context.clone(), pick.clone()));
+        let task = actix_rt::spawn(read_repeatedly(context.clone(), pick.clone()));
         streams.insert(pick.endpoint.clone(), (pick, task));
     }
 }
 
-async fn read_for_ever(context: Context, pick: Pick) {
+async fn read_repeatedly(context: Context, pick: Pick) {
     loop {
         read(&context, &pick).await;
-        actix_rt::time::sleep(PAUSE).await;
+        actix_rt::time::sleep(REOPEN_DELAY).await;
     }
 }
 
-/// Reads one stream until it ends or goes silent. Each is opened on a new connection, because a
-/// kept one may be the very connection that went silent.
+/// Reads one stream until it ends or goes silent. It is opened on a new connection, because a
+/// pooled connection may be the one that went silent.
 async fn read(context: &Context, pick: &Pick) {
     let url = context.fresh_client.url(&pick.address, paths::REPORTS);
-    let sent = actix_rt::time::timeout(SILENCE, context.fresh_client.post(&url).send()).await;
-    let Ok(Ok(mut stream)) = sent else { return };
+    let response =
+        actix_rt::time::timeout(SILENCE_TIMEOUT, context.fresh_client.post(&url).send()).await;
+    let Ok(Ok(mut stream)) = response else { return };
     if !stream.status().is_success() {
         return;
     }
     let mut decoder = Decoder::default();
-    while let Ok(Some(Ok(chunk))) = actix_rt::time::timeout(SILENCE, stream.next()).await {
+    while let Ok(Some(Ok(chunk))) = actix_rt::time::timeout(SILENCE_TIMEOUT, stream.next()).await {
         decoder.push(&chunk);
         loop {
             match decoder.take::<LoadReport>() {
--- a/components/entry/src/service.rs
+++ b/components/entry/src/service.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services: `POST /v1/services/<service>/<path>`.
+//! Handler of calls to plain services: `POST /v1/services/<service>/<path>`.
 
 use chicoryford_types::Code;
 use chicoryford_types::Failure;
@@ -18,15 +18,15 @@
 use crate::run::service_call;
 use crate::run::service_call::ServiceReply;
 
-/// Tells how many attempts an answer took.
+/// Response header with the number of attempts.
 const ATTEMPTS: &str = "chicoryford-attempts";
-/// Names the request, for logs and questions to operators.
+/// Response header with the request identifier, to find the request in logs.
 const REQUEST: &str = "chicoryford-request";
 
-/// Answers one call.
+/// Handles one call.
 pub async fn answer(context: Context, call: Call) -> Reply {
     match run(&context, &call).await {
-        Ok((job, served)) => whole(&job, served),
+        Ok((job, served)) => build_reply(&job, served),
         Err(failure) => {
             context.kernel.metrics.count("entry.service.failed", 1);
             reply::failure(&failure)
@@ -39,7 +39,7 @@
     let content = content(call);
     let (job, admitted) = match admit::admit_request(context, call, model, &content) {
         Ok(admitted) => admitted,
-        Err(failure) => return Err(at_the_door(context, call, failure).await),
+        Err(failure) => return Err(correct_refusal(context, call, failure).await),
     };
     let media = call.header("content-type").unwrap_or("application/octet-stream");
     let task = ServiceCall { path, media: media.to_owned(), body: call.body.clone() };
@@ -51,34 +51,34 @@
     Ok((job, served))
 }
 
-/// Makes the refusal of an entry that leaves or has just started true of a resend as well, which
-/// comes to it because the entry that took the first sending has died.
-async fn at_the_door(context: &Context, call: &Call, failure: Failure) -> Failure {
-    let passes = matches!(failure.code, Code::Draining | Code::NoQuorum);
+/// Corrects the outcome of a refusal by an entry that is leaving or has just started. The call may
+/// be a resend that arrives here because the entry which received the first request has crashed.
+async fn correct_refusal(context: &Context, call: &Call, failure: Failure) -> Failure {
+    let is_temporary = matches!(failure.code, Code::Draining | Code::NoQuorum);
     match admit::read_headers(call) {
-        Ok(RequestHeaders { workspace, key: Some(key), .. }) if passes => {
+        Ok(RequestHeaders { workspace, key: Some(key), .. }) if is_temporary => {
             outcome::unknown_if_claimed(context, &workspace, &key, failure).await
         }
         _ => failure,
     }
 }
 
-/// Reads the service and the path below it.
+/// Splits the path into the service and the path at the service.
 fn target(path: &str) -> Result<(Model, String), Failure> {
     let rest = path.strip_prefix(paths::SERVICES).unwrap_or_default();
     let (model, path) = rest.split_once('/').unwrap_or((rest, ""));
     if model.is_empty() {
-        return Err(Failure::not_run(Code::NotFound, "the path names no service"));
+        return Err(Failure::not_run(Code::NotFound, "the path does not name a service"));
     }
     Ok((Model::from(model), format!("/{path}")))
 }
 
-/// Gives what a resend of the same content has in common, whatever its identifiers.
+/// Returns the bytes that are equal in all resends of the same call.
 fn content(call: &Call) -> Vec<u8> {
     [call.path.as_bytes(), b"\0", &call.body].concat()
 }
 
-fn whole(job: &Job, served: ServiceReply) -> Reply {
+fn build_reply(job: &Job, served: ServiceReply) -> Reply {
     let ServiceReply { answer, attempts } = served;
     let mut reply = reply::bytes(answer.status, &answer.media, answer.body);
     admit::set_header(&mut reply, REQUEST, &job.request.to_string());
--- a/components/entry/src/start.rs
+++ b/components/entry/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts the duties of the role and adds its paths.
+//! Starts the duties of the entry role and registers its routes.
 
 use chicoryford_config::Handle as ConfigHandle;
 use chicoryford_kernel::Kernel;
@@ -25,7 +25,7 @@
 /// The entry role could not be started.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// A service that the role needs was not started before it.
+    /// A service that the role depends on was not started before it.
     #[error(transparent)]
     Missing(#[from] MissingService),
     /// A thread could not be started.
@@ -33,11 +33,11 @@
     Duty(#[from] DutyError),
 }
 
-/// Starts the duties. Configuration and membership must have been started before.
+/// Starts the duties of the role. Configuration and membership must have been started before.
 ///
 /// # Errors
 ///
-/// [`StartError`] if a service is missing or a thread cannot be started.
+/// Returns [`StartError`] if a service is missing or a thread cannot be started.
 pub fn start(kernel: &Kernel, settings: &Settings) -> Result<(), StartError> {
     let members = kernel.registry.find::<MembersHandle>(chicoryford_membership::SERVICE)?;
     let config = kernel.registry.find::<ConfigHandle>(chicoryford_config::SERVICE)?;
@@ -49,43 +49,43 @@
     Ok(())
 }
 
-/// Adds the role's paths; each HTTP worker thread calls it.
+/// Adds the routes of the role. Each HTTP worker thread calls this function.
 ///
 /// # Errors
 ///
-/// [`MissingService`] if [`start`] has not run.
+/// Returns [`MissingService`] if [`start`] has not run.
 pub fn routes(
     routes: &mut Routes,
     kernel: &Kernel,
     settings: &Settings,
 ) -> Result<(), MissingService> {
     let context = Context::new(kernel, settings)?;
-    let here = context.clone();
+    let shared = context.clone();
     routes.add(paths::CHAT, &[Kind::Caller], move |call| {
-        chat::answer(here.clone(), chat::ApiKind::Chat, call)
+        chat::answer(shared.clone(), chat::ApiKind::Chat, call)
     });
-    let here = context.clone();
+    let shared = context.clone();
     routes.add(paths::COMPLETIONS, &[Kind::Caller], move |call| {
-        chat::answer(here.clone(), chat::ApiKind::Text, call)
+        chat::answer(shared.clone(), chat::ApiKind::Text, call)
     });
-    let here = context.clone();
-    routes.add(paths::SERVICES, &[Kind::Caller], move |call| service::answer(here.clone(), call));
+    let shared = context.clone();
+    routes.add(paths::SERVICES, &[Kind::Caller], move |call| service::answer(shared.clone(), call));
     body_routes(routes, &context);
     trainer_routes(routes, kernel, &context)
 }
 
 fn body_routes(routes: &mut Routes, context: &Context) {
-    let here = context.clone();
+    let shared = context.clone();
     routes.add(paths::BODY_PUT, &[Kind::Process], move |call| {
-        bodies::routes::put(here.clone(), call)
+        bodies::routes::put(shared.clone(), call)
     });
-    let here = context.clone();
+    let shared = context.clone();
     routes.add(paths::BODY_GET, &[Kind::Process], move |call| {
-        bodies::routes::get(here.clone(), call)
+        bodies::routes::get(shared.clone(), call)
     });
-    let here = context.clone();
+    let shared = context.clone();
     routes.add(paths::BODY_DROP, &[Kind::Process], move |call| {
-        bodies::routes::discard(here.clone(), call)
+        bodies::routes::discard(shared.clone(), call)
     });
 }
 
@@ -95,18 +95,19 @@
     context: &Context,
 ) -> Result<(), MissingService> {
     let steps = kernel.registry.find::<Steps>(steps::SERVICE)?;
-    let opened = steps.clone();
-    let here = context.clone();
+    let open_steps = steps.clone();
+    let shared = context.clone();
     routes.add(paths::STEP_OPEN, &[Kind::Trainer], move |call| {
-        trainer::open(here.clone(), Steps::clone(&opened), call)
+        trainer::open(shared.clone(), Steps::clone(&open_steps), call)
     });
-    let here = context.clone();
+    let shared = context.clone();
     routes.add(paths::STEP_PULL, &[Kind::Trainer], move |call| {
-        trainer::pull(here.clone(), Steps::clone(&steps), call)
+        trainer::pull(shared.clone(), Steps::clone(&steps), call)
     });
-    let here = context.clone();
-    routes.add(paths::STEP_ACK, &[Kind::Trainer], move |call| trainer::ack(here.clone(), call));
-    let here = context.clone();
-    routes.add(paths::PUBLISH, &[Kind::Trainer], move |call| publish::publish(here.clone(), call));
+    let shared = context.clone();
+    routes.add(paths::STEP_ACK, &[Kind::Trainer], move |call| trainer::ack(shared.clone(), call));
+    let shared = context.clone();
+    routes
+        .add(paths::PUBLISH, &[Kind::Trainer], move |call| publish::publish(shared.clone(), call));
     Ok(())
 }
--- a/components/entry/src/steps/step.rs
+++ b/components/entry/src/steps/step.rs
@@ -369,7 +369,7 @@
 }
 
 fn newest_version(config: &Config, model: &Model) -> Option<Version> {
-    config.weights.get(model).map(|held| held.version)
+    config.weights.get(model).map(|weights| weights.version)
 }
 
 /// Returns the fingerprint of a prompt, by which answer lengths, suspects and convictions are kept.
