--- a/components/entry/benches/decide.rs
+++ b/components/entry/benches/decide.rs
@@ -1,4 +1,5 @@
-//! What one request costs the router's thread: let in, placed, ended, taken out.
+//! Measures the cost of one request on the router thread: admission, placement, end of the attempt
+//! and end of the request.
 //!
 //! `cargo bench -p chicoryford-entry --bench decide`
 
@@ -29,7 +30,7 @@
 
 const SEED: u64 = 7;
 const SLOTS: u32 = 64;
-const TURNS: u64 = 100_000;
+const REQUESTS: u64 = 100_000;
 
 fn members(endpoints: u32) -> Arc<Members> {
     let mut members = Members::default();
@@ -74,8 +75,8 @@
     }
 }
 
-/// Gives the nanoseconds of one request while `busy` others are in progress, and how many of
-/// these there really were.
+/// Returns the nanoseconds per request while `busy` other requests are in progress, and how many of
+/// these were actually admitted.
 fn measure(endpoints: u32, busy: u64) -> (u64, usize) {
     let bounds = Bounds { running: 1_000_000, waiting: 4_096, subset: 48, ..Bounds::default() };
     let mut state = RouterState::new(bounds, SEED);
@@ -86,29 +87,29 @@
         next += 1;
         let _ = state.admit(endpoint_query(next, Millis(20_000)), Millis(20_000));
     }
-    let held = state.admission.running();
-    let begun = Instant::now();
-    for turn in 0..TURNS {
-        let now = Millis(20_000 + turn / 100);
+    let admitted = state.admission.running();
+    let started = Instant::now();
+    for request in 0..REQUESTS {
+        let now = Millis(20_000 + request / 100);
         next += 1;
-        let entering = state.admit(endpoint_query(next, now), now);
+        let result = state.admit(endpoint_query(next, now), now);
         state.poll(now);
-        if let Some(Ok((place, _))) = entering {
-            state.attempt_ended(place, AttemptEnd::Ran(None), 16, now);
+        if let Some(Ok((attempt, _))) = result {
+            state.attempt_ended(attempt, AttemptEnd::Ran(None), 16, now);
             state.request_ended(RequestId(0, next), true, now);
             state.poll(now);
         }
     }
-    (begun.elapsed().as_nanos() as u64 / TURNS, held)
+    (started.elapsed().as_nanos() as u64 / REQUESTS, admitted)
 }
 
 fn main() {
-    println!("seed {SEED}, {TURNS} requests each, {SLOTS} slots an endpoint, subset 48");
+    println!("seed {SEED}, {REQUESTS} requests each, {SLOTS} slots an endpoint, subset 48");
     println!("{:>9} {:>11} {:>10}", "endpoints", "in progress", "ns/request");
     for endpoints in [10, 100, 1_600] {
         for busy in [0, 100, 400] {
-            let (ns, held) = measure(endpoints, busy);
-            println!("{endpoints:>9} {held:>11} {ns:>10}");
+            let (ns, admitted) = measure(endpoints, busy);
+            println!("{endpoints:>9} {admitted:>11} {ns:>10}");
         }
     }
 }
--- a/components/entry/tests/once.rs
+++ b/components/entry/tests/at_most_once.rs
@@ -1,4 +1,5 @@
-//! Calls that may not be repeated, through an entry, fake agents and the real state machine.
+//! Tests of calls that may not be repeated, through an entry with fake agents and the real state
+//! machine.
 
 mod support;
 
@@ -43,7 +44,7 @@
     format!("{}.crate-7", chicoryford_kernel::unix().0)
 }
 
-/// Claims the call of [`PATH`] for another entry's request.
+/// Claims the call of [`PATH`] for a request of another entry.
 fn claim_elsewhere(fixture: &Fixture, key: &str) {
     let content = [PATH.as_bytes(), b"\0", b"{\"crate\":7}"].concat();
     fixture.control.apply(Command::Claim {
@@ -61,11 +62,11 @@
 
 #[test]
 fn a_resend_gets_the_stored_answer() {
-    // Symptom: a crate goes out twice, because its label was printed twice.
-    // Sequence: the packing line loses the answer and sends the call again.
-    // Cause: the second sending taken for a new call.
+    // Symptom: a crate is shipped twice because its label was printed twice.
+    // Sequence: the packing line loses the answer and resends the call.
+    // Cause: the resend is treated as a new call.
     actix_rt::System::new().block_on(async {
-        let agent = printer().saying(|_| AttemptState::Done(printed()));
+        let agent = printer().with_state(|_| AttemptState::Done(printed()));
         let fixture = Fixture::start(vec![agent]).await;
         let key = key();
         let headers = [("chicoryford-repeatable", "false"), ("idempotency-key", &key[..])];
@@ -100,10 +101,10 @@
 }
 
 #[test]
-fn what_broke_in_the_middle_is_unknown_and_never_run_again() {
+fn an_interrupted_call_is_unknown_and_never_runs_again() {
     // Symptom: a label is printed twice after an error.
-    // Sequence: the printer dies in the middle; the caller sends the call again.
-    // Cause: a failure in the middle told as "not run", or tried elsewhere.
+    // Sequence: the printer crashes during the call, and the caller resends it.
+    // Cause: a failure during the call is reported as "not run", or retried at another endpoint.
     actix_rt::System::new().block_on(async {
         let agent = || Agent::new(|work| Plan::Stream(frames(work, vec![Event::Accepted])));
         let fixture = Fixture::start(vec![agent(), agent()]).await;
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn a_refusal_by_the_agent_moves_the_claim_on() {
+fn a_refusal_by_the_agent_moves_the_claim_to_another_endpoint() {
     actix_rt::System::new().block_on(async {
         let leaving =
             Agent::new(|_| Plan::Refuse(Failure::not_run(Code::Draining, "the endpoint leaves")));
@@ -140,14 +141,14 @@
 }
 
 #[test]
-fn a_claim_of_another_entry_is_followed_at_its_agent() {
+fn a_claim_of_another_entry_is_resolved_at_its_agent() {
     // Symptom: a label is printed twice though the first entry crashed.
-    // Sequence: an entry claims and sends the call, then crashes; the caller sends it again
-    // through this entry while the first attempt still runs.
-    // Cause: the second entry not knowing of the first one's attempt.
+    // Sequence: an entry claims and sends the call, then crashes. The caller resends it through
+    // this entry while the first attempt is still running.
+    // Cause: the second entry does not know of the first entry's attempt.
     actix_rt::System::new().block_on(async {
         let asked = std::sync::atomic::AtomicU32::new(0);
-        let agent = printer().saying(move |question| {
+        let agent = printer().with_state(move |question| {
             assert_eq!(question.request, RequestId(1, 1));
             match asked.fetch_add(1, std::sync::atomic::Ordering::Relaxed) {
                 0 => AttemptState::Running,
@@ -169,11 +170,11 @@
 #[test]
 fn a_restarted_agent_makes_its_claim_unknown() {
     // Symptom: a label is printed twice after an agent restarted.
-    // Sequence: an entry claims and sends the call, both it and the agent crash; the new agent
-    // has never seen the attempt, so asking it would say so.
-    // Cause: a restarted agent taken for one that never saw the attempt.
+    // Sequence: an entry claims and sends the call, then both the entry and the agent crash. The
+    // restarted agent does not know the attempt and would report that it never received it.
+    // Cause: a restarted agent is confused with one that never received the attempt.
     actix_rt::System::new().block_on(async {
-        let agent = printer().saying(|_| AttemptState::Revoked);
+        let agent = printer().with_state(|_| AttemptState::Revoked);
         let fixture = Fixture::start(vec![agent]).await;
         let key = key();
         claim_elsewhere(&fixture, &key);
@@ -192,12 +193,12 @@
 }
 
 #[test]
-fn says_not_run_only_if_no_earlier_sending_has_the_claim() {
+fn the_outcome_is_not_run_only_if_no_earlier_request_has_the_claim() {
     // Symptom: the packing line is told that a label was not printed, prints it under a new key,
-    // and two crates carry it.
-    // Sequence: the first sending is lost with its agent; the second comes to an entry that sees
-    // no endpoint.
-    // Cause: "not run" was true of the second sending alone.
+    // and two crates have the same label.
+    // Sequence: the first request is lost with its agent, and the resend arrives at an entry
+    // without an available endpoint.
+    // Cause: "not run" holds only for the resend.
     actix_rt::System::new().block_on(async {
         let fixture = Fixture::start(Vec::new()).await;
         let key = key();
--- a/components/entry/tests/generations.rs
+++ b/components/entry/tests/generations.rs
@@ -1,4 +1,4 @@
-//! Generations through an entry and fake agents.
+//! Tests of generations through an entry with fake agents.
 
 mod support;
 
@@ -24,7 +24,7 @@
     json!({"model": MODEL, "messages": messages, "max_tokens": 8, "stream": stream, "seed": 7})
 }
 
-fn whole_answer() -> Agent {
+fn complete_answer() -> Agent {
     Agent::new(|work| {
         let events = vec![
             Event::Accepted,
@@ -38,9 +38,9 @@
 }
 
 #[test]
-fn gives_whole_answers_with_their_versions() {
+fn complete_answers_report_their_versions() {
     actix_rt::System::new().block_on(async {
-        let fixture = Fixture::start(vec![whole_answer()]).await;
+        let fixture = Fixture::start(vec![complete_answer()]).await;
         let seen = fixture.post(paths::CHAT, &[], &chat(false)).await;
         assert_eq!(seen.status, 200, "{}", seen.text());
         let answer = seen.json();
@@ -59,9 +59,9 @@
 }
 
 #[test]
-fn streams_events_that_end_with_done() {
+fn streamed_answers_end_with_done() {
     actix_rt::System::new().block_on(async {
-        let fixture = Fixture::start(vec![whole_answer()]).await;
+        let fixture = Fixture::start(vec![complete_answer()]).await;
         let seen = fixture.post(paths::CHAT, &[], &chat(true)).await;
         assert!(seen.text().ends_with("data: [DONE]\n\n"));
         let events = seen.text().split("\n\n").filter_map(|line| line.strip_prefix("data: {"));
@@ -79,11 +79,11 @@
 }
 
 #[test]
-fn a_broken_stream_never_looks_whole() {
-    // Symptom: a caller takes half an answer for the whole.
-    // Sequence: the engine dies after two tokens, its stream ends without an end, no other
-    // endpoint has the model and the request may not run again.
-    // Cause: the end of a connection taken for the end of an answer.
+fn an_interrupted_stream_is_not_reported_as_complete() {
+    // Symptom: a caller treats half an answer as complete.
+    // Sequence: the engine crashes after two tokens, its stream closes without a final frame, no
+    // other endpoint has the model, and the request may not run again.
+    // Cause: the end of the connection is treated as the end of the answer.
     actix_rt::System::new().block_on(async {
         let agent = Agent::new(|work| {
             Plan::Stream(frames(work, vec![Event::Accepted, tokens("the seven ", 3)]))
@@ -101,10 +101,10 @@
 }
 
 #[test]
-fn a_wrong_count_at_the_end_is_no_whole_answer() {
-    // Symptom: an answer lacks tokens in its middle.
-    // Sequence: the agent counts three tokens, the frames that arrived hold two.
-    // Cause: a frame was lost or garbled on the way.
+fn an_answer_with_a_wrong_token_count_is_incomplete() {
+    // Symptom: tokens are missing in the middle of an answer.
+    // Sequence: the final frame counts three tokens, but the received frames contain two.
+    // Cause: a frame was lost or corrupted in transit.
     actix_rt::System::new().block_on(async {
         let agent = Agent::new(|work| {
             let events = vec![Event::Accepted, tokens("the seven", 3), finished(3)];
@@ -119,10 +119,10 @@
 }
 
 #[test]
-fn crossed_frames_reach_no_caller() {
-    // Symptom: a student reads the answer to another student's question.
-    // Sequence: a connection is used again and carries a frame of the request before.
-    // Cause: frames taken by the connection on which they came.
+fn frames_of_other_requests_are_not_delivered() {
+    // Symptom: a student receives the answer to another student's question.
+    // Sequence: a connection is reused and contains a frame of the previous request.
+    // Cause: frames are assigned to a request by their connection only.
     actix_rt::System::new().block_on(async {
         let agent = Agent::new(|work| {
             let mut frames =
@@ -130,7 +130,7 @@
             frames[2].request.0 ^= 1;
             Plan::Stream(frames)
         });
-        let fixture = Fixture::start(vec![agent, whole_answer()]).await;
+        let fixture = Fixture::start(vec![agent, complete_answer()]).await;
         for _ in 0..8 {
             let seen = fixture.post(paths::CHAT, &[], &chat(false)).await;
             assert!(!seen.text().contains("theirs"), "{}", seen.text());
@@ -141,10 +141,10 @@
 }
 
 #[test]
-fn continues_elsewhere_by_tokens() {
-    // Symptom: a long generation starts anew, or its two halves do not fit together.
-    // Sequence: an engine dies after two tokens; another one takes over.
-    // Cause: the second attempt not told what the first produced, or given another seed.
+fn a_generation_continues_at_another_endpoint() {
+    // Symptom: a long generation starts again, or its two halves do not fit together.
+    // Sequence: an engine crashes after two tokens, and another one takes over.
+    // Cause: the second attempt does not receive the tokens of the first one, or has another seed.
     actix_rt::System::new().block_on(async {
         let agent = || {
             Agent::new(|work| {
@@ -175,14 +175,15 @@
 }
 
 #[test]
-fn what_did_not_run_is_run_elsewhere() {
+fn a_refused_attempt_is_retried_at_another_endpoint() {
     // Symptom: callers see refusals while other endpoints are free.
-    // Sequence: an endpoint begins to leave; its agent refuses before the entry has the news.
-    // Cause: a refusal that says "not run" passed on instead of tried elsewhere.
+    // Sequence: an endpoint starts to leave, and its agent refuses an attempt before the entry has
+    // received the update.
+    // Cause: a refusal with the outcome "not run" is returned to the caller instead of retried.
     actix_rt::System::new().block_on(async {
         let leaving =
             Agent::new(|_| Plan::Refuse(Failure::not_run(Code::Draining, "the endpoint leaves")));
-        let fixture = Fixture::start(vec![leaving, whole_answer()]).await;
+        let fixture = Fixture::start(vec![leaving, complete_answer()]).await;
         for _ in 0..8 {
             let seen = fixture.post(paths::CHAT, &[], &chat(false)).await;
             assert_eq!(seen.status, 200, "{}", seen.text());
@@ -194,10 +195,10 @@
 }
 
 #[test]
-fn a_silent_connection_is_probed_anew_and_its_endpoint_not_blamed() {
+fn a_silent_connection_does_not_count_as_an_endpoint_failure() {
     // Symptom: a request hangs until its deadline although its endpoint works.
-    // Sequence: the connection goes silent after the attempt was sent; new ones work.
-    // Cause: something between the two ends lost track of the connection.
+    // Sequence: the connection goes silent after the attempt was sent, while new ones work.
+    // Cause: a device on the network path lost the state of the connection.
     actix_rt::System::new().block_on(async {
         let agent = Agent::new(|work| match work.attempt.0 {
             1 => Plan::Silent(frames(work, vec![Event::Accepted, tokens("the seven ", 3)])),
@@ -205,7 +206,7 @@
                 Plan::Stream(frames(work, vec![Event::Accepted, tokens("o'clock", 3), finished(1)]))
             }
         });
-        let agent = agent.saying(|_| AttemptState::Running);
+        let agent = agent.with_state(|_| AttemptState::Running);
         let fixture = Fixture::start(vec![agent]).await;
         let seen = fixture.post(paths::CHAT, &[], &chat(false)).await;
         assert_eq!(seen.status, 200, "{}", seen.text());
@@ -222,9 +223,9 @@
 }
 
 #[test]
-fn refuses_at_the_door_with_stable_codes() {
+fn admission_refuses_with_stable_codes() {
     actix_rt::System::new().block_on(async {
-        let fixture = Fixture::start(vec![whole_answer()]).await;
+        let fixture = Fixture::start(vec![complete_answer()]).await;
         let stranger = Client::new(Some("stranger".to_owned()), None);
         let seen = fixture.post_as(&stranger, paths::CHAT, &[], &chat(false)).await;
         assert_eq!((seen.status, &seen.json()["error"]["code"]), (403, &json!("forbidden")));
--- a/components/entry/tests/pull.rs
+++ b/components/entry/tests/pull.rs
@@ -1,4 +1,4 @@
-//! Pulls that wait at the entry for a group.
+//! Tests of pulls that wait at the entry for a group.
 
 mod support;
 
@@ -25,7 +25,7 @@
 use support::frames;
 use support::tokens;
 
-/// Opens a step of one group whose samples end once the number is not zero.
+/// Opens a step with one group whose samples finish once the returned number is not zero.
 async fn held_step() -> (Fixture, Arc<AtomicU32>) {
     let release = Arc::new(AtomicU32::new(0));
     let released = release.clone();
@@ -55,8 +55,8 @@
     fixture.post_as(&trainer(), paths::STEP_PULL, &[], &body).await
 }
 
-/// Counts the questions for a batch that reached the log.
-fn questions(fixture: &Fixture) -> usize {
+/// Counts the pull commands that were proposed to the log.
+fn pull_commands(fixture: &Fixture) -> usize {
     let proposed = fixture.control.proposed.lock().unwrap();
     let asks = |command: &&Command| match command {
         Command::Ledger(command) => matches!(**command, LedgerCommand::Pull { .. }),
@@ -65,24 +65,24 @@
     proposed.iter().filter(asks).count()
 }
 
-async fn until_asked(fixture: &Fixture) {
-    while questions(fixture) == 0 {
+async fn until_pulled(fixture: &Fixture) {
+    while pull_commands(fixture) == 0 {
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
 #[test]
-fn a_pull_waits_until_a_group_is_whole() {
-    // Symptom: trainers idle between the end of a group and their next question for it.
-    // Sequence: the trainer pulls before the group is whole; it becomes whole a moment later.
-    // Cause: the trainer told to come back instead of woken.
+fn a_pull_waits_until_a_group_is_complete() {
+    // Symptom: trainers idle between the completion of a group and their next pull.
+    // Sequence: the trainer pulls shortly before the group is complete.
+    // Cause: the trainer is told to retry later instead of being notified.
     actix_rt::System::new().block_on(async {
         let (fixture, release) = held_step().await;
-        let end = async {
-            until_asked(&fixture).await;
+        let finish = async {
+            until_pulled(&fixture).await;
             release.store(1, Ordering::Relaxed);
         };
-        let (seen, ()) = join(pull(&fixture, 1), end).await;
+        let (seen, ()) = join(pull(&fixture, 1), finish).await;
         assert_eq!(seen.status, 200, "{}", seen.text());
         assert_eq!(seen.json()["samples"].as_array().unwrap().len(), 2);
         fixture.settled().await;
@@ -91,15 +91,15 @@
 }
 
 #[test]
-fn only_what_may_still_come_is_waited_for() {
-    // Symptom: a trainer learns seconds late that its question was wrong.
-    // Sequence: it pulls a cursor that is not the next one, and says that it would wait.
-    // Cause: every answer without a batch waited on, final ones too.
+fn a_final_reply_is_returned_without_waiting() {
+    // Symptom: a trainer learns only after seconds that its pull was wrong.
+    // Sequence: it pulls a cursor that is not the next one, with a waiting time.
+    // Cause: the entry waits on every reply without a batch, including final ones.
     actix_rt::System::new().block_on(async {
         let (fixture, release) = held_step().await;
         let seen = pull(&fixture, 9).await;
         assert_eq!(seen.status, 409, "{}", seen.text());
-        assert_eq!(questions(&fixture), 1, "a final answer is not asked for again");
+        assert_eq!(pull_commands(&fixture), 1, "a final reply is not queried again");
         release.store(1, Ordering::Relaxed);
         fixture.settled().await;
         fixture.check().await;
@@ -107,19 +107,19 @@
 }
 
 #[test]
-fn a_leaving_entry_sends_waiting_pulls_elsewhere() {
-    // Symptom: a planned stop of an entry holds up its trainers.
-    // Sequence: the entry begins to drain while a pull waits there.
-    // Cause: the pull waited on as if the entry stayed.
+fn a_leaving_entry_ends_waiting_pulls() {
+    // Symptom: a planned stop of an entry delays its trainers.
+    // Sequence: the entry starts to drain while a pull is waiting there.
+    // Cause: the entry continues the wait although it is leaving.
     actix_rt::System::new().block_on(async {
         let (fixture, release) = held_step().await;
         let drain = async {
-            until_asked(&fixture).await;
+            until_pulled(&fixture).await;
             fixture.kernel.phases.advance(Phase::Draining);
         };
         let (seen, ()) = join(pull(&fixture, 1), drain).await;
         assert_eq!(seen.status, 202, "{}", seen.text());
-        assert!(seen.json()["retry_ms"].as_u64().unwrap() > 0, "it tells when to come back");
+        assert!(seen.json()["retry_ms"].as_u64().unwrap() > 0, "the reply has a retry delay");
         release.store(1, Ordering::Relaxed);
         fixture.settled().await;
         fixture.check().await;
--- a/components/entry/tests/rescue.rs
+++ b/components/entry/tests/rescue.rs
@@ -1,4 +1,4 @@
-//! Urgent requests that stay silent.
+//! Tests of the rescue of urgent requests that stay silent.
 
 mod support;
 
@@ -36,20 +36,20 @@
     json!({"model": MODEL, "messages": messages, "max_tokens": 8, "seed": 7})
 }
 
-/// Makes two agents; whichever gets one of the first `silent` attempts gives no token.
+/// Creates two agents. The first `silent` attempts, at either of them, produce no tokens.
 fn agents(silent: u32) -> Vec<Agent> {
-    let begun = Arc::new(AtomicU32::new(0));
-    let agent = |begun: Arc<AtomicU32>| {
+    let started = Arc::new(AtomicU32::new(0));
+    let agent = |started: Arc<AtomicU32>| {
         let agent = Agent::new(move |work| {
-            if begun.fetch_add(1, Ordering::Relaxed) < silent {
+            if started.fetch_add(1, Ordering::Relaxed) < silent {
                 return Plan::Lingering(frames(work, vec![Event::Accepted]));
             }
             let events = vec![Event::Accepted, tokens("at seven", 3), finished(2)];
             Plan::Stream(frames(work, events))
         });
-        agent.saying(|_| AttemptState::Running)
+        agent.with_state(|_| AttemptState::Running)
     };
-    vec![agent(begun.clone()), agent(begun)]
+    vec![agent(started.clone()), agent(started)]
 }
 
 async fn cancelled(fixture: &Fixture) -> Vec<(u32, bool)> {
@@ -59,11 +59,10 @@
 
 #[test]
 fn an_urgent_request_that_stays_silent_is_rescued_with_one_winner() {
-    // Symptom: a crate stays on the quay although an idle endpoint could have answered in time.
-    // Sequence: the endpoint that got the desk's request says only that it still runs, and never
-    // gives a token.
-    // Cause: the request waited for seconds of silence, or for ever behind heartbeats, before it
-    // was tried elsewhere.
+    // Symptom: a crate remains on the quay although an idle endpoint could have answered in time.
+    // Sequence: the endpoint of the desk's request sends only heartbeats and never a token.
+    // Cause: the request waits for seconds of silence, or forever because of the heartbeats, before
+    // another endpoint is tried.
     actix_rt::System::new().block_on(async {
         let fixture = Fixture::start_with(agents(1), urgent()).await;
         let seen = fixture.post(paths::CHAT, &[], &chat()).await;
@@ -73,7 +72,11 @@
         assert_eq!(answer["chicoryford"]["attempts"], 2);
         assert_eq!(answer["usage"]["completion_tokens"], 2);
         fixture.settled().await;
-        assert_eq!(cancelled(&fixture).await, [(1, true)], "the loser is cancelled, once");
+        assert_eq!(
+            cancelled(&fixture).await,
+            [(1, true)],
+            "the losing attempt is cancelled exactly once"
+        );
         let attempts = fixture.attempts();
         assert_eq!(attempts.len(), 2);
         assert_ne!(attempts[0].attempt, attempts[1].attempt);
@@ -86,8 +89,8 @@
 #[test]
 fn only_urgent_repeatable_requests_are_rescued() {
     // Symptom: a request that may run only once runs twice.
-    // Sequence: its endpoint is slow to give the first token.
-    // Cause: a second attempt made for every silent request.
+    // Sequence: its endpoint is slow to produce the first token.
+    // Cause: every silent request gets a second attempt.
     actix_rt::System::new().block_on(async {
         let fixture = Fixture::start_with(agents(2), urgent()).await;
         for header in [("chicoryford-class", "normal"), ("chicoryford-repeatable", "false")] {
@@ -103,13 +106,13 @@
 
 #[test]
 fn rescues_stay_within_the_retry_budget() {
-    // Symptom: an overload doubles by itself.
-    // Sequence: all endpoints become slow at once, every urgent request stays silent for long.
-    // Cause: a second attempt for each of them.
+    // Symptom: an overload doubles its own load.
+    // Sequence: all endpoints become slow at once, and every urgent request stays silent for long.
+    // Cause: each of these requests gets a second attempt.
     actix_rt::System::new().block_on(async {
         let agent = || {
             let lingers = |work: &Work| Plan::Lingering(frames(work, vec![Event::Accepted]));
-            Agent::new(lingers).saying(|_| AttemptState::Running)
+            Agent::new(lingers).with_state(|_| AttemptState::Running)
         };
         let mut template = urgent();
         template.retries.percent = 0;
@@ -120,18 +123,18 @@
             fixture.post(paths::CHAT, &[late], &chat()).await;
         }
         let rescues = fixture.attempts().len() - requests;
-        assert!(rescues <= 10, "{rescues} rescues on a budget of ten saved up");
+        assert!(rescues <= 10, "{rescues} rescues with a saved budget of ten");
         fixture.settled().await;
         fixture.check().await;
     });
 }
 
 #[test]
-fn the_time_until_a_request_counts_as_silent_is_learned() {
+fn the_rescue_delay_is_learned() {
     let model = Model::from(MODEL);
     let mut times = FirstTokenTimes::new(1_200);
     assert_eq!(times.rescue_delay(&model, 60_000).as_millis(), 1_200);
-    assert_eq!(times.rescue_delay(&model, 1_000).as_millis(), 500, "half of what is left");
+    assert_eq!(times.rescue_delay(&model, 1_000).as_millis(), 500, "half of the remaining time");
     for _ in 0..100 {
         times.record(&model, 40);
     }
--- a/components/entry/tests/router_state.rs
+++ b/components/entry/tests/router_state.rs
@@ -1,4 +1,4 @@
-//! Randomised runs of the router's decisions, without threads, sockets or a clock.
+//! Randomised tests of the router's decisions, without threads, sockets or a clock.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -75,7 +75,7 @@
     Arc::new(config)
 }
 
-/// Drives a state and keeps its own account of what it was told.
+/// Drives a [`RouterState`] and tracks the expected waiting and running requests.
 struct Run {
     state: RouterState,
     now: Millis,
@@ -95,17 +95,21 @@
         Self { state, now: Millis(1), next: 0, waiting, running, stopped: None }
     }
 
-    fn take(&mut self, request: RequestId, entering: AdmitResult) {
-        match entering {
-            Ok((place, pick)) => {
-                assert_ne!(Some(&pick.endpoint), self.stopped.as_ref(), "a stopped endpoint");
-                self.running.push((request, place, pick.endpoint));
+    fn record(&mut self, request: RequestId, result: AdmitResult) {
+        match result {
+            Ok((attempt, pick)) => {
+                assert_ne!(
+                    Some(&pick.endpoint),
+                    self.stopped.as_ref(),
+                    "no attempt is placed at a stopped endpoint"
+                );
+                self.running.push((request, attempt, pick.endpoint));
             }
             Err(failure) => assert_eq!(failure.outcome, Outcome::NotRun),
         }
     }
 
-    fn enter(&mut self, random: u8) {
+    fn admit(&mut self, random: u8) {
         self.next += 1;
         let request = RequestId(0, self.next);
         let query = EndpointQuery {
@@ -118,7 +122,7 @@
             ..EndpointQuery::default()
         };
         match self.state.admit(query, self.now) {
-            Some(entering) => self.take(request, entering),
+            Some(result) => self.record(request, result),
             None => assert!(self.waiting.insert(request)),
         }
     }
@@ -128,22 +132,22 @@
             return;
         }
         let at = usize::from(random) % self.running.len();
-        let (request, place, _) = self.running.swap_remove(at);
-        let verdict = match random % 5 {
+        let (request, attempt, _) = self.running.swap_remove(at);
+        let end = match random % 5 {
             0 => AttemptEnd::Failed,
             1 => AttemptEnd::Leaving,
             2 => AttemptEnd::Dropped,
             _ => AttemptEnd::Ran(None),
         };
-        let ran = matches!(verdict, AttemptEnd::Ran(_));
-        self.state.attempt_ended(place, verdict, u32::from(random % 7), self.now);
+        let ran = matches!(end, AttemptEnd::Ran(_));
+        self.state.attempt_ended(attempt, end, u32::from(random % 7), self.now);
         self.state.request_ended(request, ran, self.now);
     }
 
     fn step(&mut self, (kind, random): (u8, u8)) {
         self.now = self.now + u64::from(random % 16);
         match kind % 10 {
-            0..=3 => self.enter(random),
+            0..=3 => self.admit(random),
             4..=6 => self.end(random),
             7 => self.state.update_members(members(random | 1, random >> 5), self.now),
             8 => {
@@ -161,9 +165,12 @@
     }
 
     fn poll(&mut self) {
-        for (request, entering) in self.state.poll(self.now) {
-            assert!(self.waiting.remove(&request), "answered once, and only if it waited");
-            self.take(request, entering);
+        for (request, result) in self.state.poll(self.now) {
+            assert!(
+                self.waiting.remove(&request),
+                "only waiting requests get a result, and only once"
+            );
+            self.record(request, result);
         }
     }
 }
@@ -177,7 +184,7 @@
         for event in events {
             run.step(event);
         }
-        // All that runs ends and time passes every deadline: nothing may be left over.
+        // End all running attempts and pass every deadline; nothing may remain.
         while !run.running.is_empty() || !run.waiting.is_empty() {
             run.end(3);
             run.now = run.now + 1_000;
--- a/components/entry/tests/steps.rs
+++ b/components/entry/tests/steps.rs
@@ -1,4 +1,4 @@
-//! Trainers' steps through an entry, fake agents and the real state machine.
+//! Tests of trainers' steps through an entry with fake agents and the real state machine.
 
 mod support;
 
@@ -68,7 +68,7 @@
         let seen = pull(fixture, cursor).await;
         assert_eq!(seen.status, 200, "{}", seen.text());
         let again = pull(fixture, cursor).await;
-        assert_eq!(seen.body, again.body, "the same cursor gives the same bytes");
+        assert_eq!(seen.body, again.body, "the same cursor returns the same bytes");
         samples.extend(seen.json()["samples"].as_array().unwrap().clone());
         let ack = json!({"workspace": WORKSPACE, "cursor": cursor});
         let acked = fixture.post_as(&trainer(), paths::STEP_ACK, &[], &ack).await;
@@ -87,9 +87,9 @@
             assert_eq!(seen.status, 200, "{}", seen.text());
         }
         let samples = pull_all(&fixture, 4).await;
-        let places: BTreeSet<String> =
+        let ids: BTreeSet<String> =
             samples.iter().map(|s| format!("{}.{}", s["group"], s["number"])).collect();
-        assert_eq!((samples.len(), places.len()), (4, 4));
+        assert_eq!((samples.len(), ids.len()), (4, 4));
         for sample in &samples {
             assert_eq!(sample["spans"], json!([{"from": 0, "to": 2, "version": 1}]));
             assert_eq!(sample["text"], "by sea");
@@ -102,7 +102,7 @@
                 Task::Call(_) => panic!("not a generation"),
             })
             .collect();
-        assert_eq!(seeds.len(), 4, "each sample has a seed of its own");
+        assert_eq!(seeds.len(), 4, "each sample has its own seed");
         let other = json!({"workspace": WORKSPACE, "cursor": 9});
         let seen = fixture.post_as(&trainer(), paths::STEP_PULL, &[], &other).await;
         assert_eq!(seen.status, 409);
@@ -112,16 +112,16 @@
 }
 
 #[test]
-fn a_sample_of_unknown_version_is_made_again() {
+fn a_sample_of_unknown_version_is_generated_again() {
     // Symptom: a sample names a version that did not produce it.
-    // Sequence: a swap falls into the middle of a stream, the engine reports no version for some
+    // Sequence: weights are swapped during a stream, and the engine reports no version for some
     // tokens.
-    // Cause: the version guessed from what was ordered.
+    // Cause: the version is guessed from the ordered one.
     actix_rt::System::new().block_on(async {
-        let turns = AtomicU32::new(0);
+        let calls = AtomicU32::new(0);
         let agent = Agent::new(move |work| {
             let mut events = vec![Event::Accepted, tokens("by sea", 1), finished(2)];
-            if turns.fetch_add(1, Ordering::Relaxed) < 3 {
+            if calls.fetch_add(1, Ordering::Relaxed) < 3 {
                 let text = "by sea".to_owned();
                 events[1] = Event::Tokens(Tokens { text, count: 2, ..Tokens::default() });
             }
@@ -140,8 +140,9 @@
 #[test]
 fn no_sample_older_than_the_bound_is_delivered() {
     // Symptom: a trainer learns from samples of weights that are too old.
-    // Sequence: new weights are published three times; one sampler still runs the first.
-    // Cause: the age judged when the sample began, or not at all.
+    // Sequence: new weights are published three times, and one sampler still runs the first
+    // version.
+    // Cause: the age is checked only when the sample starts, or not at all.
     actix_rt::System::new().block_on(async {
         let fixture = Fixture::start(vec![sampler(1), sampler(4)]).await;
         for version in 2..=4 {
@@ -167,7 +168,7 @@
 }
 
 #[test]
-fn samples_are_scored_where_the_template_asks() {
+fn samples_are_scored_if_the_template_names_a_scorer() {
     actix_rt::System::new().block_on(async {
         let agent = Agent::new(|work| {
             let events = match &work.task {
@@ -195,14 +196,14 @@
 
 #[test]
 fn the_last_sample_of_a_group_is_hedged_and_has_one_winner() {
-    // Symptom: a trainer idles although all its samples but one are there.
-    // Sequence: an engine slows down in the middle of a sample without failing.
-    // Cause: the sample left where it runs for as long as it takes.
+    // Symptom: a trainer idles although all its samples but one are recorded.
+    // Sequence: an engine slows down during a sample without failing.
+    // Cause: the sample continues there for as long as it takes.
     actix_rt::System::new().block_on(async {
-        let begun = Arc::new(AtomicU32::new(0));
+        let started = Arc::new(AtomicU32::new(0));
         let agent = || {
-            let begun = begun.clone();
-            Agent::new(move |work| match begun.fetch_add(1, Ordering::Relaxed) {
+            let started = started.clone();
+            Agent::new(move |work| match started.fetch_add(1, Ordering::Relaxed) {
                 0 => Plan::Lingering(frames(work, vec![Event::Accepted, tokens("by ", 1)])),
                 _ => {
                     let events = vec![Event::Accepted, tokens("by sea", 1), finished(2)];
@@ -214,9 +215,9 @@
         fixture.post_as(&trainer(), paths::STEP_OPEN, &[], &step()).await;
         let samples = pull_all(&fixture, 4).await;
         assert!(samples.iter().all(|sample| sample["text"] == "by sea"));
-        let places: BTreeSet<String> =
+        let ids: BTreeSet<String> =
             samples.iter().map(|s| format!("{}.{}", s["group"], s["number"])).collect();
-        assert_eq!((samples.len(), places.len()), (4, 4));
+        assert_eq!((samples.len(), ids.len()), (4, 4));
         assert_eq!(fixture.attempts().len(), 5);
         let dump = fixture.kernel.dumps.take().await;
         assert_eq!(dump["entry"]["admission"]["hedges"], 1);
@@ -227,10 +228,10 @@
 
 #[test]
 fn a_leaving_entry_finishes_its_samples_and_hands_its_step_over() {
-    // Symptom: a planned stop of an entry throws samples away, and its steps stand still until
-    // the lease has run out.
-    // Sequence: a stop that names the entry comes into force while a sample runs.
-    // Cause: samples cut at the stop, or the session left open behind it.
+    // Symptom: a planned stop of an entry discards samples, and its steps make no progress until
+    // the lease has expired.
+    // Sequence: a planned stop of the entry takes effect while a sample is running.
+    // Cause: the stop interrupts samples, or the session stays open after it.
     actix_rt::System::new().block_on(async {
         let release = Arc::new(AtomicU32::new(0));
         let released = release.clone();
@@ -245,8 +246,12 @@
         while fixture.attempts().len() < 2 {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
-        // A signal may come without a look of the duty between it and the end of the process.
-        assert!(fixture.progress.count() > 0, "samples hold up the end before any stop");
+        // After a signal, the process may exit before the duty checks again whether it has to
+        // leave.
+        assert!(
+            fixture.progress.count() > 0,
+            "running samples count as work in progress before any stop"
+        );
         fixture.stop_entry();
         let mut refused = fixture.post_as(&trainer(), paths::STEP_OPEN, &[], &spec).await;
         while refused.status == 200 {
@@ -257,7 +262,7 @@
         release.store(1, Ordering::Relaxed);
         let samples = pull(&fixture, 1).await.json();
         assert_eq!(samples["samples"].as_array().unwrap().len(), 2);
-        assert_eq!(fixture.attempts().len(), 2, "no sample was made twice");
+        assert_eq!(fixture.attempts().len(), 2, "no sample was generated twice");
         while fixture.progress.count() > 0 {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
@@ -273,7 +278,7 @@
     actix_rt::System::new().block_on(async {
         let fixture = Fixture::start(vec![sampler(1)]).await;
         let seen = fixture.post(paths::STEP_OPEN, &[], &step()).await;
-        assert_eq!(seen.status, 403, "a caller's token opens no steps");
+        assert_eq!(seen.status, 403, "a caller's token cannot open steps");
         fixture.apply(Template { trainers: Vec::new(), ..template() });
         let seen = fixture.post_as(&trainer(), paths::STEP_OPEN, &[], &step()).await;
         assert_eq!(seen.json()["error"]["code"], "forbidden");
--- a/components/entry/tests/support/mod.rs
+++ b/components/entry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An entry over the real server, with fake agents whose answers a test scripts.
+//! Test fixture: an entry behind the real server, with fake agents whose answers a test scripts.
 
 #![allow(dead_code)]
 
@@ -86,47 +86,46 @@
     Refuse(Failure),
     /// Sends frames and closes the stream.
     Stream(Vec<Frame>),
-    /// Sends the first frame, and the others once the number is not zero; meanwhile word that
-    /// the attempt still runs.
+    /// Sends the first frame, then heartbeats until the number is not zero, then the other frames.
     Held(Vec<Frame>, Arc<AtomicU32>),
-    /// Sends frames, then only word that it still runs.
+    /// Sends frames, then only heartbeats.
     Lingering(Vec<Frame>),
-    /// Sends frames, then nothing for ever.
+    /// Sends frames, then keeps the stream open without sending anything.
     Silent(Vec<Frame>),
 }
 
 type Answer = Box<dyn Fn(&Work) -> Plan + Send + Sync>;
-type Word = Box<dyn Fn(&AttemptQuestion) -> AttemptState + Send + Sync>;
+type StateOf = Box<dyn Fn(&AttemptQuestion) -> AttemptState + Send + Sync>;
 
 /// A fake agent.
 pub struct Agent {
-    /// What it answers to attempts.
+    /// Returns how the agent answers an attempt.
     pub answer: Answer,
-    /// What it says of attempts.
-    pub word: Word,
-    /// The attempts that it saw.
+    /// Returns the state that the agent reports for an attempt.
+    pub state_of: StateOf,
+    /// The attempts that the agent received.
     pub seen: Mutex<Vec<Work>>,
-    /// The questions that it saw.
+    /// The state queries that the agent received.
     pub asked: Mutex<Vec<AttemptQuestion>>,
 }
 
 impl Agent {
-    /// Makes an agent that answers attempts so, and knows nothing of them afterwards.
+    /// Creates an agent that answers attempts with `answer` and reports their state as unknown.
     pub fn new(answer: impl Fn(&Work) -> Plan + Send + Sync + 'static) -> Self {
         Self {
             answer: Box::new(answer),
-            word: Box::new(|_| AttemptState::Unknown),
+            state_of: Box::new(|_| AttemptState::Unknown),
             seen: Mutex::default(),
             asked: Mutex::default(),
         }
     }
 
-    /// Makes it say this of attempts.
-    pub fn saying(
+    /// Sets the state that the agent reports for attempts.
+    pub fn with_state(
         self,
-        word: impl Fn(&AttemptQuestion) -> AttemptState + Send + Sync + 'static,
+        state_of: impl Fn(&AttemptQuestion) -> AttemptState + Send + Sync + 'static,
     ) -> Self {
-        Self { word: Box::new(word), ..self }
+        Self { state_of: Box::new(state_of), ..self }
     }
 
     fn work(&self, work: Work) -> Reply {
@@ -147,7 +146,7 @@
     }
 
     fn attempt(&self, question: AttemptQuestion) -> Reply {
-        let state = (self.word)(&question);
+        let state = (self.state_of)(&question);
         self.asked.lock().unwrap().push(question);
         reply::msgpack(&state)
     }
@@ -157,7 +156,7 @@
     stream::iter(frames.into_iter().map(|frame| Ok(framing::encode(&frame))))
 }
 
-/// Sends the first frame, then word that the attempt still runs, then the others.
+/// Sends the first frame, then heartbeats until `released` is not zero, then the other frames.
 fn held(
     mut frames: Vec<Frame>,
     released: Arc<AtomicU32>,
@@ -179,7 +178,7 @@
     })
 }
 
-/// Goes on after a frame with word that the attempt still runs.
+/// Sends heartbeats after a frame.
 fn alive(last: Frame) -> impl futures_util::Stream<Item = Result<Bytes, std::io::Error>> {
     stream::unfold(last, |last| async move {
         actix_rt::time::sleep(Duration::from_millis(20)).await;
@@ -199,23 +198,23 @@
     events.into_iter().enumerate().map(frame).collect()
 }
 
-/// Makes tokens of one version, one a word.
+/// Creates tokens of one version, one per word.
 pub fn tokens(text: &str, version: u64) -> Event {
     let count = text.split_whitespace().count() as u32;
     let version = Some(Version(version));
     Event::Tokens(Tokens { text: text.to_owned(), count, version, logprobs: Vec::new() })
 }
 
-/// Makes the end of an answer.
+/// Creates the end of an answer.
 pub fn finished(tokens: u32) -> Event {
     Event::Finished(Finish { tokens, reason: "stop".to_owned(), load: None })
 }
 
-/// A control process with the real state machine and no peers.
+/// A control process with the real state machine and without peers.
 pub struct Control {
     /// The state.
     pub state: Mutex<State>,
-    /// The commands that were proposed.
+    /// The proposed commands.
     pub proposed: Mutex<Vec<Command>>,
     config: watch::Sender<Arc<Config>>,
 }
@@ -250,14 +249,14 @@
 fn serve_control(control: Arc<Control>, keys: Arc<Keys>) -> String {
     listen(keys, move || {
         let mut routes = Routes::default();
-        let here = control.clone();
+        let shared = control.clone();
         routes.add(paths::PROPOSE, &[Kind::Process], move |call| {
-            let reply = reply::msgpack(&here.apply(call.msgpack().unwrap()));
+            let reply = reply::msgpack(&shared.apply(call.msgpack().unwrap()));
             async move { reply }
         });
-        let here = control.clone();
+        let shared = control.clone();
         routes.add(paths::RENEW, &[Kind::Process], move |call| {
-            let reply = reply::msgpack(&here.renew(call.msgpack().unwrap()));
+            let reply = reply::msgpack(&shared.renew(call.msgpack().unwrap()));
             async move { reply }
         });
         routes
@@ -268,38 +267,38 @@
 pub struct Fixture {
     /// The control process.
     pub control: Arc<Control>,
-    /// The entry's process.
+    /// The kernel of the entry.
     pub kernel: Kernel,
-    /// Where the entry answers.
+    /// The address of the entry.
     pub address: String,
     /// The agents.
     pub agents: Vec<Arc<Agent>>,
-    /// What the process has in progress.
+    /// Counts the work in progress of the process.
     pub progress: Progress,
-    /// Presents the desk's token.
+    /// A client with the token of the caller "desk".
     pub desk: Client,
     keys: Arc<Keys>,
     members: watch::Sender<Arc<Members>>,
 }
 
-/// An answer as a caller sees it.
+/// A response as a caller receives it.
 #[derive(Debug)]
 pub struct Seen {
     /// The HTTP status.
     pub status: u16,
     /// The body.
     pub body: Bytes,
-    /// When to come back, in seconds.
+    /// The `retry-after` header in seconds.
     pub retry_after: Option<u64>,
 }
 
 impl Seen {
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap()
     }
 
-    /// Reads the body as text.
+    /// Returns the body as text.
     pub fn text(&self) -> &str {
         std::str::from_utf8(&self.body).unwrap()
     }
@@ -322,12 +321,12 @@
 }
 
 impl Fixture {
-    /// Starts an entry before these agents.
+    /// Starts an entry with these agents.
     pub async fn start(agents: Vec<Agent>) -> Self {
         Self::start_with(agents, template()).await
     }
 
-    /// Starts an entry before these agents, with this template.
+    /// Starts an entry with these agents and this template.
     pub async fn start_with(agents: Vec<Agent>, template: Template) -> Self {
         let keys = keys();
         let (config, follow) = watch::channel(Arc::default());
@@ -371,12 +370,12 @@
         Self { control, kernel, address, agents, progress, desk, keys, members }
     }
 
-    /// Sends a caller's request with these headers besides the workspace.
+    /// Sends a request as the caller "desk" with these headers in addition to the workspace.
     pub async fn post(&self, path: &str, headers: &[(&str, &str)], body: &Value) -> Seen {
         self.post_as(&self.desk, path, headers, body).await
     }
 
-    /// Sends a request as the holder of another token.
+    /// Sends a request with another client's token.
     pub async fn post_as(
         &self,
         client: &Client,
@@ -401,7 +400,7 @@
         Seen { status, body: body.into(), retry_after }
     }
 
-    /// Changes who is there.
+    /// Changes the members.
     pub fn change_members(&self, change: impl FnOnce(&mut Members)) {
         self.members.send_modify(|members| change(Arc::make_mut(members)));
     }
@@ -428,7 +427,7 @@
         assert!(matches!(reply, StateReply::Accepted { .. }), "{reply:?}");
     }
 
-    /// Checks that no decision found one of its promises broken.
+    /// Checks that routing and admission detected no violated invariant.
     pub async fn check(&self) {
         let dump = self.kernel.dumps.take().await;
         let entry = &dump["entry"];
@@ -436,7 +435,7 @@
         assert_eq!(entry["admission"]["broken"], 0, "{entry}");
     }
 
-    /// Waits until no request is counted as in progress; one that were leaked would never end.
+    /// Waits until no request counts as in progress. A leaked request would make this wait forever.
     pub async fn settled(&self) {
         loop {
             let dump = self.kernel.dumps.take().await;
@@ -449,7 +448,7 @@
         }
     }
 
-    /// Lists the attempts that all agents saw.
+    /// Lists the attempts that all agents received.
     pub fn attempts(&self) -> Vec<Work> {
         let seen = self.agents.iter().map(|agent| agent.seen.lock().unwrap().clone());
         seen.flatten().collect()
@@ -486,14 +485,14 @@
 fn serve_agent(agent: Arc<Agent>, keys: Arc<Keys>) -> String {
     listen(keys, move || {
         let mut routes = Routes::default();
-        let here = agent.clone();
+        let shared = agent.clone();
         routes.add(paths::WORK, &[Kind::Process], move |call| {
-            let reply = here.work(call.msgpack().unwrap());
+            let reply = shared.work(call.msgpack().unwrap());
             async move { reply }
         });
-        let here = agent.clone();
+        let shared = agent.clone();
         routes.add(paths::ATTEMPT, &[Kind::Process], move |call| {
-            let reply = here.attempt(call.msgpack().unwrap());
+            let reply = shared.attempt(call.msgpack().unwrap());
             async move { reply }
         });
         routes
