--- a/components/entry/src/bodies/repair.rs
+++ b/components/entry/src/bodies/repair.rs
@@ -68,7 +68,7 @@
     }
     to.extend(added);
     let command = LedgerCommand::Rehold { name, from, to };
-    propose(context, command).await
+    propose_repair(context, command).await
 }
 
 /// Reopens a sample whose bytes no holder has, so that it runs again. If a holder is up but does
@@ -84,10 +84,10 @@
     }
     let (group, number) = (name.group, name.number);
     tracing::warn!(event = "sample_reopened", %group, %number);
-    propose(context, LedgerCommand::Lost { name, from }).await
+    propose_repair(context, LedgerCommand::Lost { name, from }).await
 }
 
-async fn propose(context: &Context, command: LedgerCommand) -> bool {
+async fn propose_repair(context: &Context, command: LedgerCommand) -> bool {
     match propose::ledger_command(context, command).await {
         Ok(reply) => {
             tracing::debug!(event = "body_mended", ?reply);
--- a/components/entry/src/router/capacity.rs
+++ b/components/entry/src/router/capacity.rs
@@ -7,9 +7,10 @@
 use chicoryford_types::Millis;
 use chicoryford_types::Model;
 
-/// Milliseconds for which a sum is cached. Computing it visits every endpoint of the subset, which
-/// would cost more per request than all its other decisions. The load reports are older than this
-/// interval anyway, and starts and ends of this entry's own attempts are counted immediately.
+/// Milliseconds for which the capacity and load of a model are cached. Computing them visits every
+/// endpoint of the subset, which would cost more per request than all its other decisions. The load
+/// reports are older than this interval anyway, and starts and ends of this entry's own attempts
+/// are counted immediately.
 const CACHE_MS: u64 = 5;
 
 /// The capacity and load of each model when they were last computed.
@@ -30,14 +31,14 @@
         room
     }
 
-    /// Counts an attempt that started after the sum was computed.
+    /// Counts an attempt that started after the values were computed.
     pub fn started(&mut self, model: &Model) {
         if let Some((_, room)) = self.0.get_mut(model) {
             room.load += 1;
         }
     }
 
-    /// Counts an attempt that ended after the sum was computed.
+    /// Counts an attempt that ended after the values were computed.
     pub fn ended(&mut self, model: &Model) {
         if let Some((_, room)) = self.0.get_mut(model) {
             room.load = room.load.saturating_sub(1);
--- a/components/entry/src/run/attempt.rs
+++ b/components/entry/src/run/attempt.rs
@@ -138,9 +138,7 @@
             let chunk = with_timeout(&self.context, self.deadline, self.stream.next()).await?;
             match chunk {
                 Some(Ok(chunk)) => self.decoder.push(&chunk),
-                Some(Err(error)) => {
-                    return Err(lost(format!("the connection failed: {error}")));
-                }
+                Some(Err(error)) => return Err(lost(format!("the connection failed: {error}"))),
                 None => return Err(lost("the stream ended without a final frame".to_owned())),
             }
         }
--- a/components/entry/src/run/attempts.rs
+++ b/components/entry/src/run/attempts.rs
@@ -49,7 +49,7 @@
 /// What follows a failed attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Recovery {
-    /// Another attempt may be made.
+    /// The request may be retried.
     Retry,
     /// The agent had stored the answer of a plain service.
     Answered(StoredAnswer),
@@ -76,8 +76,8 @@
         Self { context, job, may_have_run: false, last_failure: None, first: Some(first) }
     }
 
-    /// Starts the next attempt. Tries one endpoint after the other while each refuses the attempt
-    /// without running it.
+    /// Starts the next attempt. If it fails before its first event, tries further endpoints as long
+    /// as the request may be retried.
     ///
     /// # Errors
     ///
