--- a/components/node/src/copies.rs
+++ b/components/node/src/copies.rs
@@ -179,7 +179,7 @@
     }
 
     /// Gives where a part can be read in a data centre, if a copy lies there.
-    pub fn beside(&self, place: &Place, data_centre: &str) -> Option<SocketAddr> {
+    pub fn address_in(&self, place: &Place, data_centre: &str) -> Option<SocketAddr> {
         self.stores.borrow().beside(place, data_centre)
     }
 
--- a/components/node/src/leader/crashes.rs
+++ b/components/node/src/leader/crashes.rs
@@ -1,4 +1,4 @@
-//! Contents that crash endpoints, at the leader: written into the log, told to all members.
+//! Request contents that crash endpoints: recorded in the log and broadcast to all members.
 
 use std::rc::Rc;
 
@@ -10,23 +10,23 @@
 use crate::message::Update;
 
 impl Leader {
-    /// Takes in that an endpoint crashed while it ran a content.
+    /// Records that an endpoint crashed while it ran a request with this content.
     pub fn record_crash(self: &Rc<Self>, crash: Crash) {
-        self.write(Command::Crash(crash));
+        self.commit_in_background(Command::Crash(crash));
     }
 
-    /// Takes in that a content ran to its end.
+    /// Records that a request with this content completed.
     pub fn record_cleared(self: &Rc<Self>, content: Fingerprint) {
-        self.write(Command::Clear(content));
+        self.commit_in_background(Command::Clear(content));
     }
 
-    fn write(self: &Rc<Self>, command: Command) {
+    fn commit_in_background(self: &Rc<Self>, command: Command) {
         let leader = self.clone();
         actix_rt::spawn(async move { leader.commit(command).await });
     }
 
-    /// Tells all members once a content is refused.
-    pub(super) fn crash_noted(&self, crash: &Crash) {
+    /// Logs an applied crash, and broadcasts the refused contents if this one is refused now.
+    pub(super) fn on_crash_applied(&self, crash: &Crash) {
         let refused = self.context.replica.state().crashes.refused();
         let is_refused = refused.contains(&crash.content);
         let (content, endpoint) = (crash.content.0, &crash.endpoint);
--- a/components/node/src/leader/endpoints.rs
+++ b/components/node/src/leader/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints at the leader: what they announce, and who is told.
+//! The leader's endpoint registry: announcements, liveness, and updates to members.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,14 +27,14 @@
         }
         let (id, draining) = (said.id.clone(), said.draining);
         let effect = self.registry.borrow_mut().announce(said, clock::now());
-        self.spread(&id, effect);
-        if draining && !matches!(self.forget_leaving(&id).await, Answer::Done) {
+        self.publish_endpoint(&id, effect);
+        if draining && !matches!(self.persist_departure(&id).await, Answer::Done) {
             return Answer::NotNow;
         }
         Answer::Heard
     }
 
-    /// Takes in whom a control process has heard.
+    /// Records the endpoints whose unchanged announcements a control process has answered itself.
     pub fn record_signs(&self, signs: &[Sign]) {
         let now = clock::now();
         let mut registry = self.registry.borrow_mut();
@@ -48,74 +48,74 @@
 
     pub(super) async fn leave(&self, id: &str) -> Answer {
         let effect = self.registry.borrow_mut().leave(id, clock::now());
-        self.spread(id, effect);
-        self.forget_leaving(id).await
+        self.publish_endpoint(id, effect);
+        self.persist_departure(id).await
     }
 
-    /// Notes the version of a model that an engine was seen to have.
-    pub fn learn_version(&self, id: &str, model: &str, version: u64) {
+    /// Records the version of a model that an engine reported.
+    pub fn record_version(&self, id: &str, model: &str, version: u64) {
         let effect = self.registry.borrow_mut().learn(id, model, version);
-        self.spread(id, effect);
+        self.publish_endpoint(id, effect);
     }
 
-    pub(super) fn spread(&self, id: &str, effect: Effect) {
+    pub(super) fn publish_endpoint(&self, id: &str, effect: Effect) {
         if effect == Effect::Old {
             return;
         }
         let Some(endpoint) = self.registry.borrow().get(id).cloned() else { return };
         self.plan.borrow_mut().observe(&endpoint);
         let service = endpoint.said.service.clone();
-        let news = Update::Endpoint(endpoint);
-        self.context.forwarder.apply(&news);
+        let update = Update::Endpoint(endpoint);
+        self.context.forwarder.apply(&update);
         if effect == Effect::Changed {
-            if let Update::Endpoint(endpoint) = &news {
+            if let Update::Endpoint(endpoint) = &update {
                 let said = &endpoint.said;
                 tracing::info!(event = "endpoint_changed", endpoint = id, service = said.service,
                     standing = ?endpoint.standing, address = %said.address, born = said.born,
                     sequence = said.sequence,
                     models = ?said.models);
             }
-            self.context.followers.broadcast_to_replicas(&news);
-            if self.called.borrow().contains(&service) {
-                self.context.followers.broadcast_to_others(&news);
+            self.context.followers.broadcast_to_replicas(&update);
+            if self.callable.borrow().contains(&service) {
+                self.context.followers.broadcast_to_others(&update);
             }
-            self.kick.notify_one();
+            self.wake_planner.notify_one();
         }
     }
 
-    /// Tells entries and hosts of endpoints that they may call under a configuration and could not
-    /// under the one before.
+    /// Sends entries and hosts the endpoints that they may call under the new configuration but
+    /// could not call under the previous one.
     ///
-    /// They are told of no others. An engine changes with each of its weights, and thousands of them
-    /// told to hundreds of members would take all the leader's time, for news of endpoints to which
-    /// the leader alone sends work.
-    pub(super) fn spread_called(&self, config: &Config) {
-        let called: BTreeSet<String> =
+    /// No other endpoints are sent to them. An engine changes with each version of its weights, and
+    /// sending thousands of engines to hundreds of members would take all of the leader's time,
+    /// although only the leader sends work to engines.
+    pub(super) fn publish_callable(&self, config: &Config) {
+        let callable: BTreeSet<String> =
             config.called_services().into_iter().map(str::to_owned).collect();
-        let before = self.called.replace(called.clone());
+        let before = self.callable.replace(callable.clone());
         for endpoint in self.registry.borrow().all() {
             let service = &endpoint.said.service;
-            if called.contains(service) && !before.contains(service) {
+            if callable.contains(service) && !before.contains(service) {
                 self.context.followers.broadcast_to_others(&Update::Endpoint(endpoint.clone()));
             }
         }
     }
 
-    /// Notes in the log which endpoints are known, if others are than are noted.
-    pub(super) async fn know(&self) {
+    /// Commits the set of known endpoints to the log if it differs from the logged one.
+    pub(super) async fn persist_endpoints(&self) {
         let (live, gone) = self.registry.borrow().unlike(&self.context.replica.state().endpoints);
-        let known = |endpoint: &Endpoint| {
+        let is_logged = |endpoint: &Endpoint| {
             self.context.replica.state().endpoints.contains_key(&endpoint.said.id)
         };
-        if gone.is_empty() && live.iter().all(known) {
+        if gone.is_empty() && live.iter().all(is_logged) {
             return;
         }
         self.commit(Command::Know { live, gone }).await;
     }
 
-    /// Has the log forget an endpoint that leaves. A leader that is elected later and knows nobody
-    /// who heard of it would otherwise send it work again.
-    pub(super) async fn forget_leaving(&self, id: &str) -> Answer {
+    /// Removes a leaving endpoint from the log. Otherwise, a later leader that has not received the
+    /// departure would send it work again.
+    pub(super) async fn persist_departure(&self, id: &str) -> Answer {
         if !self.context.replica.state().endpoints.contains_key(id) {
             return Answer::Done;
         }
@@ -125,17 +125,17 @@
     pub(super) fn tick_registry(&self) {
         let (changed, forgotten) = self.registry.borrow_mut().tick(clock::now());
         for endpoint in changed {
-            self.spread(&endpoint.said.id, Effect::Changed);
+            self.publish_endpoint(&endpoint.said.id, Effect::Changed);
         }
         for id in forgotten {
             self.plan.borrow_mut().forget(&id);
-            let news = Update::Forgotten(id);
-            self.context.forwarder.apply(&news);
-            self.context.followers.broadcast(&news);
+            let update = Update::Forgotten(id);
+            self.context.forwarder.apply(&update);
+            self.context.followers.broadcast(&update);
         }
     }
 
-    /// Counts the endpoints by standing.
+    /// Returns the number of endpoints by standing.
     pub fn endpoint_counts(&self) -> BTreeMap<String, i64> {
         let mut counts = BTreeMap::new();
         for endpoint in self.registry.borrow().all() {
@@ -145,7 +145,7 @@
         counts
     }
 
-    /// Gives the data centre of an endpoint, as far as it is known.
+    /// Returns the data centre of an endpoint, or an empty string if the endpoint is unknown.
     pub(super) fn data_centre(&self, id: &str) -> String {
         let registry = self.registry.borrow();
         registry.get(id).map(|endpoint| endpoint.said.data_centre.clone()).unwrap_or_default()
--- a/components/node/src/leader/mod.rs
+++ b/components/node/src/leader/mod.rs
@@ -1,5 +1,5 @@
-//! What a process does while it leads: it keeps the endpoints, commits what is submitted, and
-//! has samples made.
+//! The duties of the elected leader: it keeps the endpoint registry, commits what is submitted, and
+//! assigns the samples of steps to hosts.
 
 mod crashes;
 mod endpoints;
@@ -60,71 +60,74 @@
 use crate::view::View;
 use readers::Readers;
 
-/// The planner looks around this often, besides when something happens.
-const LOOK: Duration = Duration::from_millis(50);
-/// How often it is looked what is to be noted of runs.
-const NOTE: Duration = Duration::from_millis(250);
-/// Milliseconds between two looks whether the endpoints that the log knows are still those.
-const KNOW_MS: u64 = 2_000;
-/// Milliseconds between two looks for steps to be forgotten.
-const FORGET_MS: u64 = 5_000;
-/// Milliseconds between two looks at the members.
-const MEMBERS_MS: u64 = 300;
+/// Interval of the planner's rounds; events start additional rounds.
+const PLAN_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between checks for run progress to persist.
+const NOTE_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between checks whether the logged endpoints still match the registry.
+const PERSIST_ENDPOINTS_INTERVAL_MS: u64 = 2_000;
+/// Interval between checks for expired steps.
+const EXPIRE_STEPS_INTERVAL_MS: u64 = 5_000;
+/// Interval between checks for replicas to remove.
+const CHECK_MEMBERS_INTERVAL_MS: u64 = 300;
 
-/// What the leader's parts share from the start.
+/// Dependencies of the leader, which outlive each term of leadership.
 pub struct Context {
     /// The replica.
     pub replica: Rc<LocalReplica>,
-    /// The members that follow.
+    /// The connected members.
     pub followers: Rc<Followers>,
     /// The settings.
     pub settings: Rc<Settings>,
-    /// Carries scorers' calls.
+    /// Forwards calls to scorers.
     pub forwarder: Rc<Forwarder>,
-    /// Hosts runs while no other VM does.
+    /// Executes runs in this process while no other host is available.
     pub runner: Rc<Runner>,
 }
 
-/// The leader's state. It is gone with the leadership; what must survive is in the log.
+/// The state of one term of leadership. It is dropped with the term; whatever must survive is in
+/// the log.
 pub struct Leader {
-    /// What the parts share.
+    /// Dependencies from outside this term.
     pub context: Context,
-    /// The epoch, which fences orders.
+    /// The epoch, which is also the fencing token of orders.
     pub epoch: Epoch,
-    /// Parts of steps on the stores.
+    /// Replicated parts of steps on the stores.
     pub copies: Copies,
-    /// Plans runs.
+    /// Assigns runs to endpoints.
     pub plan: RefCell<Plan>,
     /// Connections to engines.
     pub pool: RefCell<Pool>,
-    /// Orders to engines.
+    /// Orders that change the weights of engines.
     pub orders: RefCell<Orders>,
-    /// When the leadership began.
+    /// When this term began.
     pub began: Millis,
     registry: RefCell<Registry>,
-    /// Services whose endpoints entries and hosts call.
-    called: RefCell<BTreeSet<String>>,
+    /// Services whose endpoints entries and hosts may call.
+    callable: RefCell<BTreeSet<String>>,
     fleet_clock: u64,
-    /// Steps that are being submitted: on their way to the stores, or into the log.
+    /// Ids of steps whose submission is in progress, either on the way to the stores or into the
+    /// log.
     submitting: RefCell<Vec<String>>,
-    /// Steps whose submission is on its way into the log.
+    /// Steps whose submission is being committed to the log.
     submitted: RefCell<BTreeMap<String, Arc<Step>>>,
-    /// Open steps whose samples are still to be read from the stores.
+    /// Open steps whose samples have not been read from the stores yet.
     unread: RefCell<Vec<String>>,
     listed: watch::Sender<u64>,
-    kick: Notify,
+    wake_planner: Notify,
     hosts: Hosts,
     outbox: Outbox,
-    /// Reads of results that wait.
+    /// Long-polling reads of results.
     pub(crate) readers: Readers,
-    duties: RefCell<Vec<JoinHandle<()>>>,
+    tasks: RefCell<Vec<JoinHandle<()>>>,
     usage: usage::Usage,
-    /// Set once this leadership has ended; the process may lead again, in another epoch.
+    /// Set once this term has ended; the process may lead again in another epoch.
     ended: Cell<bool>,
 }
 
 impl Leader {
-    /// Begins to lead, from what the log holds and what the leader before told this process.
+    /// Starts a term with the state in the log and with the updates that this process received from
+    /// the previous leader.
     pub fn start(context: Context, epoch: Epoch, view: &View) -> Rc<Self> {
         let now = clock::now();
         let known = view.endpoints();
@@ -135,7 +138,7 @@
             ordered: view.ordered(),
         };
         let fleet_clock = context.replica.fleet_clock();
-        // What this process was told last is newer than what the log holds.
+        // The view of this process is newer than the log.
         let mut endpoints = context.replica.state().endpoints.clone();
         endpoints.extend(known.into_iter().map(|endpoint| (endpoint.said.id.clone(), endpoint)));
         let near = context.settings.policy.near_hosts;
@@ -155,26 +158,26 @@
                 endpoints.into_values(),
                 now,
             )),
-            called: RefCell::default(),
+            callable: RefCell::default(),
             fleet_clock,
             submitting: RefCell::default(),
             submitted: RefCell::default(),
             unread: RefCell::default(),
             listed: watch::Sender::new(0),
-            kick: Notify::new(),
+            wake_planner: Notify::new(),
             hosts,
             outbox: Outbox::default(),
             readers: Readers::default(),
-            duties: RefCell::default(),
+            tasks: RefCell::default(),
             usage,
             ended: Cell::default(),
             context,
         });
-        leader.adopt();
+        leader.adopt_endpoints();
         let weak = Rc::downgrade(&leader);
-        leader.context.replica.observe(Some(Box::new(move |command, done| {
+        leader.context.replica.set_observer(Some(Box::new(move |command, done| {
             if let Some(leader) = weak.upgrade() {
-                leader.applied(command, done);
+                leader.on_applied(command, done);
             }
         })));
         let weak = Rc::downgrade(&leader);
@@ -183,26 +186,26 @@
                 leader.handle_report(hosts::LOCAL, report);
             }
         });
-        let duties = [
-            actix_rt::spawn(plan_on(Rc::downgrade(&leader))),
+        let tasks = [
+            actix_rt::spawn(run_planner(Rc::downgrade(&leader))),
             actix_rt::spawn(steps::adopt_steps(Rc::downgrade(&leader))),
             actix_rt::spawn(copies::keep(Rc::downgrade(&leader))),
-            actix_rt::spawn(note_on(Rc::downgrade(&leader))),
+            actix_rt::spawn(run_persistence(Rc::downgrade(&leader))),
             actix_rt::spawn(crate::listing::run(Rc::downgrade(&leader))),
             actix_rt::spawn(members::keep(
                 Rc::downgrade(&leader),
-                Duration::from_millis(MEMBERS_MS),
+                Duration::from_millis(CHECK_MEMBERS_INTERVAL_MS),
             )),
         ];
-        leader.duties.borrow_mut().extend(duties);
-        leader.duties.borrow_mut().extend(usage::start(&leader));
+        leader.tasks.borrow_mut().extend(tasks);
+        leader.tasks.borrow_mut().extend(usage::start(&leader));
         leader
     }
 
-    /// Takes over the endpoints.
-    fn adopt(&self) {
+    /// Passes the adopted endpoints to the plan and to the forwarder.
+    fn adopt_endpoints(&self) {
         if let Some(config) = self.config() {
-            self.spread_called(&config);
+            self.publish_callable(&config);
         }
         let mut plan = self.plan.borrow_mut();
         let registry = self.registry.borrow();
@@ -215,12 +218,12 @@
         tracing::info!(event = "lead_begun", epoch = self.epoch.0, steps, endpoints);
     }
 
-    /// Ends all that the leader does.
+    /// Ends the term: stops all tasks and disconnects the followers.
     pub fn stop(&self) {
         self.ended.set(true);
-        self.context.replica.observe(None);
-        for duty in self.duties.borrow_mut().drain(..) {
-            duty.abort();
+        self.context.replica.set_observer(None);
+        for task in self.tasks.borrow_mut().drain(..) {
+            task.abort();
         }
         self.context.runner.detach();
         self.context.runner.clear();
@@ -229,44 +232,44 @@
         tracing::info!(event = "lead_ended", epoch = self.epoch.0);
     }
 
-    /// Tells whether this leadership surely lasts.
+    /// Returns whether this term is still in force: it has not ended, and the lease is valid.
     pub fn leads(&self) -> bool {
         !self.ended.get() && self.context.replica.leads()
     }
 
-    /// Tells whether this leadership is over.
+    /// Returns whether this term has ended. An expired lease alone does not end it.
     pub fn has_ended(&self) -> bool {
         self.ended.get()
     }
 
-    /// Gives all that a new follower is told: of endpoints only those that it may call, unless it may
-    /// lead next.
-    pub fn all_news(&self, replica: bool) -> Vec<Update> {
-        let mut news = vec![Update::Controls(self.controls())];
+    /// Returns the updates that bring a new follower up to date. A replica, which may lead next,
+    /// gets all endpoints; other members get only those that they may call.
+    pub fn initial_updates(&self, replica: bool) -> Vec<Update> {
+        let mut updates = vec![Update::Controls(self.control_addresses())];
         let config = self.config();
         let called = config.as_ref().map(|config| config.called_services()).unwrap_or_default();
-        let told = |endpoint: &&Endpoint| replica || called.contains(&*endpoint.said.service);
+        let is_sent = |endpoint: &&Endpoint| replica || called.contains(&*endpoint.said.service);
         let registry = self.registry.borrow();
-        let endpoints: Vec<&Endpoint> = registry.all().filter(told).collect();
+        let endpoints: Vec<&Endpoint> = registry.all().filter(is_sent).collect();
         let ids = endpoints.iter().map(|endpoint| endpoint.said.id.clone()).collect();
-        news.extend(config.as_ref().map(|config| Update::Config(Arc::new(config.told()))));
-        news.extend(endpoints.into_iter().cloned().map(Update::Endpoint));
-        news.push(Update::Whole(ids));
-        news.push(Update::Refused(self.context.replica.state().crashes.refused()));
-        news
+        updates.extend(config.as_ref().map(|config| Update::Config(Arc::new(config.told()))));
+        updates.extend(endpoints.into_iter().cloned().map(Update::Endpoint));
+        updates.push(Update::Whole(ids));
+        updates.push(Update::Refused(self.context.replica.state().crashes.refused()));
+        updates
     }
 
-    fn controls(&self) -> BTreeSet<SocketAddr> {
+    fn control_addresses(&self) -> BTreeSet<SocketAddr> {
         let members = self.context.replica.status().members;
         members.seats.values().filter_map(|seat| seat.address.parse().ok()).collect()
     }
 
-    /// Tells all followers where control processes are.
+    /// Broadcasts the addresses of the control processes.
     pub fn broadcast_controls(&self) {
-        self.context.followers.broadcast(&Update::Controls(self.controls()));
+        self.context.followers.broadcast(&Update::Controls(self.control_addresses()));
     }
 
-    /// Answers a call of a member.
+    /// Handles a call from a member.
     pub async fn answer(self: &Rc<Self>, call: Call) -> Answer {
         if !self.leads() {
             return Answer::NotNow;
@@ -281,17 +284,17 @@
             }
             Call::Submit(step) => self.submit(step).await,
             Call::Read { step, after, wait_ms, near } => {
-                self.read(&step, after, wait_ms, &near).await
+                self.read_results(&step, after, wait_ms, &near).await
             }
             Call::Body { step, sample } => self.body(&step, &sample).await,
-            Call::End(step) => self.end(step).await,
+            Call::End(step) => self.end_step(step).await,
             Call::Retire(node) => self.retire(node).await,
             Call::Retired(node) => self.retired(&node),
             Call::Join(id) => members::join(self, id).await,
         }
     }
 
-    /// Has a command committed.
+    /// Commits a command and translates the outcome into an answer.
     pub async fn commit(&self, command: Command) -> Answer {
         match self.propose(command).await {
             Ok(Done::Changed | Done::Held) => Answer::Done,
@@ -314,7 +317,7 @@
         })
     }
 
-    /// Reads the fleet's clock.
+    /// Returns the time of the fleet's clock in milliseconds.
     pub fn fleet_now(&self) -> u64 {
         self.fleet_clock + clock::now().since(self.began)
     }
@@ -326,19 +329,19 @@
         }
     }
 
-    /// Takes in a command that was applied.
-    fn applied(self: &Rc<Self>, command: &Command, done: Done) {
+    /// Reacts to a command that was applied to the state.
+    fn on_applied(self: &Rc<Self>, command: &Command, done: Done) {
         if done != Done::Changed {
             return;
         }
         match command {
             Command::Configure(config) => {
                 self.context.followers.broadcast(&Update::Config(Arc::new(config.told())));
-                self.spread_called(config);
+                self.publish_callable(config);
             }
-            Command::Submit { step, place } => self.accepted(step, place),
+            Command::Submit { step, place } => self.on_submitted(step, place),
             Command::End { step } => {
-                self.close(step);
+                self.close_step(step);
             }
             Command::List { step, results, .. } => {
                 for listed in results {
@@ -355,13 +358,13 @@
                     listed
                 );
                 self.listed.send_modify(|count| *count += 1);
-                let over =
+                let is_closed =
                     self.context.replica.state().steps.get(step).is_none_or(|s| !s.is_open());
-                if over {
-                    self.close(step);
+                if is_closed {
+                    self.close_step(step);
                 }
             }
-            Command::Crash(crash) => self.crash_noted(crash),
+            Command::Crash(crash) => self.on_crash_applied(crash),
             Command::Publish { model, version } => {
                 tracing::info!(event = "version_named", model, version);
                 self.orders.borrow_mut().hurry();
@@ -376,22 +379,22 @@
             | Command::Clear(_)
             | Command::CloseWindow { .. } => {}
         }
-        self.kick.notify_one();
+        self.wake_planner.notify_one();
     }
 
-    /// Gives the configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> Option<Arc<Config>> {
         self.context.replica.state().config.clone()
     }
 
-    /// Starts what can start now.
-    fn round(self: &Rc<Self>) {
+    /// Runs one planning round: ends lost, slow and hopeless runs, and starts new ones.
+    fn plan_round(self: &Rc<Self>) {
         if !self.leads() {
             return;
         }
         let Some(config) = self.config() else { return };
         let now = clock::now();
-        crate::orders::round(self, &config, now);
+        crate::orders::start_due_changes(self, &config, now);
         for host in self.hosts.take_expired() {
             let orphaned = self.plan.borrow_mut().orphan(&host);
             tracing::warn!(event = "host_lost", host, orphaned);
@@ -420,41 +423,42 @@
         }
     }
 
-    /// Gives the verdicts that are to be listed.
+    /// Returns the queue of verdicts that wait to be listed.
     pub fn outbox(&self) -> &Outbox {
         &self.outbox
     }
 }
 
-async fn plan_on(leader: Weak<Leader>) {
-    let mut forgotten = clock::now();
+async fn run_planner(leader: Weak<Leader>) {
+    let mut last_expiry = clock::now();
     loop {
-        let Some(strong) = leader.upgrade() else { return };
-        strong.round();
-        strong.tick_registry();
-        if clock::now().since(forgotten) >= FORGET_MS {
-            forgotten = clock::now();
-            strong.forget_old().await;
-            strong.pool.borrow_mut().sweep(|_| true);
-            strong.context.forwarder.sweep();
+        let Some(leader) = leader.upgrade() else { return };
+        leader.plan_round();
+        leader.tick_registry();
+        if clock::now().since(last_expiry) >= EXPIRE_STEPS_INTERVAL_MS {
+            last_expiry = clock::now();
+            leader.forget_expired_steps().await;
+            leader.pool.borrow_mut().sweep(|_| true);
+            leader.context.forwarder.sweep();
         }
         tokio::select! {
-            () = strong.kick.notified() => {}
-            () = tokio::time::sleep(LOOK) => {}
+            () = leader.wake_planner.notified() => {}
+            () = tokio::time::sleep(PLAN_INTERVAL) => {}
         }
     }
 }
 
-/// Notes what would be lost with all processes at once.
-async fn note_on(leader: Weak<Leader>) {
-    let mut knows = clock::now();
+/// Persists run progress and known endpoints, which would otherwise be lost if all processes failed
+/// at once.
+async fn run_persistence(leader: Weak<Leader>) {
+    let mut last_persisted = clock::now();
     loop {
-        tokio::time::sleep(NOTE).await;
+        tokio::time::sleep(NOTE_INTERVAL).await;
         let Some(leader) = leader.upgrade() else { return };
-        leader.note().await;
-        if clock::now().since(knows) >= KNOW_MS {
-            knows = clock::now();
-            leader.know().await;
+        leader.write_notes().await;
+        if clock::now().since(last_persisted) >= PERSIST_ENDPOINTS_INTERVAL_MS {
+            last_persisted = clock::now();
+            leader.persist_endpoints().await;
         }
     }
 }
--- a/components/node/src/leader/readers.rs
+++ b/components/node/src/leader/readers.rs
@@ -1,4 +1,4 @@
-//! Reads of results that wait at the leader.
+//! Long-polling reads of results at the leader.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -7,7 +7,7 @@
 
 use chicoryford_types::Millis;
 
-/// Reads that wait for results, by step: when each is over.
+/// Reads that wait for results, with the deadline of each, by step.
 #[derive(Default)]
 pub struct Readers {
     waiting: RefCell<BTreeMap<String, BTreeSet<(Millis, u64)>>>,
@@ -15,29 +15,30 @@
 }
 
 impl Readers {
-    /// Notes a read that waits until `until`, for as long as what this gives lives.
-    pub fn wait(&self, step: &str, until: Millis) -> Waiting<'_> {
+    /// Registers a read with its deadline. The read stays registered until the returned guard is
+    /// dropped.
+    pub fn register(&self, step: &str, deadline: Millis) -> PendingRead<'_> {
         let number = self.next.get();
         self.next.set(number + 1);
         let mut waiting = self.waiting.borrow_mut();
-        waiting.entry(step.to_owned()).or_default().insert((until, number));
-        Waiting { readers: self, step: step.to_owned(), read: (until, number) }
+        waiting.entry(step.to_owned()).or_default().insert((deadline, number));
+        PendingRead { readers: self, step: step.to_owned(), read: (deadline, number) }
     }
 
-    /// Tells when the read of a step is over that ends first.
-    pub fn first(&self, step: &str) -> Option<Millis> {
-        self.waiting.borrow().get(step)?.first().map(|(until, _)| *until)
+    /// Returns the earliest deadline of the reads that wait for a step.
+    pub fn earliest_deadline(&self, step: &str) -> Option<Millis> {
+        self.waiting.borrow().get(step)?.first().map(|(deadline, _)| *deadline)
     }
 }
 
-/// A read that waits.
-pub struct Waiting<'a> {
+/// A registered read; dropping it removes the registration.
+pub struct PendingRead<'a> {
     readers: &'a Readers,
     step: String,
     read: (Millis, u64),
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingRead<'_> {
     fn drop(&mut self) {
         let mut waiting = self.readers.waiting.borrow_mut();
         if let Some(reads) = waiting.get_mut(&self.step) {
--- a/components/node/src/leader/runs.rs
+++ b/components/node/src/leader/runs.rs
@@ -1,4 +1,4 @@
-//! Runs at the leader: given to hosts, and what hosts tell of them.
+//! The leader's runs: assignment to hosts, and handling of the hosts' reports.
 
 use chicoryford_fleet::Verdict;
 use chicoryford_fleet::plan::Assignment;
@@ -56,17 +56,18 @@
         };
         self.plan.borrow_mut().hosted(&step.id, index, &host);
         if !self.hosts.send(&host, Work::Run(Box::new(job))) {
-            // The next look gives it to another host. To look at once would choose this one again,
-            // and again, until its connection has ended.
+            // The next planning round assigns the run to another host. Planning again at once would
+            // choose the same host repeatedly until its connection has ended.
             self.hosts.mark_overloaded(&host);
             self.finish_run(&step.id, index, RunEnd::Late);
         }
     }
 
-    /// Ends a run from here: its host is told to stop it, and the sample waits for another one.
+    /// Ends a run at the leader's initiative: its host is told to stop it, and the sample waits for
+    /// another run.
     pub(super) fn end_run(&self, step: &str, index: u32, end: RunEnd) {
         self.finish_run(step, index, end);
-        self.kick.notify_one();
+        self.wake_planner.notify_one();
     }
 
     fn finish_run(&self, step: &str, index: u32, end: RunEnd) {
@@ -76,14 +77,14 @@
             let next = plan.ended(step, index, end, clock::now());
             (next, plan.made(step, index).map_or(0, |made| made.events.len()))
         };
-        metrics::RUNS.with_label_values(&[ending(end)]).inc();
+        metrics::RUNS.with_label_values(&[outcome_label(end)]).inc();
         tracing::info!(event = "run_ended", step, index, ?end, ?next, events);
         if next == Next::GiveUp {
             self.settle(step, index, Verdict::GivenUp);
         }
     }
 
-    /// Has the host of a sample's run stop it or forget it.
+    /// Makes the host of a sample's run stop or forget it.
     pub(super) fn release(&self, step: &str, index: u32) {
         let host = self.plan.borrow().host(step, index);
         if let Some((host, run)) = host {
@@ -92,13 +93,13 @@
         }
     }
 
-    /// Notes that a host has connected and is about to tell of its runs.
+    /// Records that a host has connected but has not reported its runs yet.
     pub fn host_connecting(&self, host: &str, link: u64) {
         self.hosts.connecting(host, link);
         self.plan.borrow_mut().mark_untold(host);
     }
 
-    /// Notes that a host is connected and has told of its runs.
+    /// Records that a host has reported all its runs. The host may be given work from now on.
     pub fn host_ready(&self, host: &str, data_centre: &str, link: u64) {
         if !self.hosts.reported(host, data_centre, link) {
             return;
@@ -106,25 +107,26 @@
         let orphaned = self.plan.borrow_mut().orphan_untold(host);
         self.plan.borrow_mut().host_told(host);
         tracing::info!(event = "host_found", host, orphaned);
-        self.kick.notify_one();
+        self.wake_planner.notify_one();
     }
 
-    /// Notes that the connection to a host has ended; `silent` if nothing was heard for too long.
-    pub fn host_lost(&self, host: &str, link: u64, silent: bool) {
+    /// Records that the connection to a host has ended. `silent` means that it was closed because
+    /// the host had been silent for too long.
+    pub fn host_disconnected(&self, host: &str, link: u64, silent: bool) {
         self.hosts.disconnected(host, link, silent);
-        self.kick.notify_one();
+        self.wake_planner.notify_one();
     }
 
-    /// Takes in what a host tells of a run.
+    /// Handles a host's report about a run.
     pub fn handle_report(&self, host: &str, report: &Report) {
         let (step, index) = (&report.step, report.index);
         let told = self.plan.borrow_mut().told(host, report, clock::now());
         match told {
             Told::GoOn => {}
             Told::Stop => {
-                // The step may still be on its way from the stores; the host is asked again then.
-                // One that has ended never comes: nobody would stop its run, and its scorer would
-                // be called for as long as it does not answer.
+                // If the step is open but has not been read from the stores yet, the host is asked
+                // to report again later. A step that has ended is never read: without a stop here,
+                // its run would go on and its scorer would be called until it answers.
                 let open =
                     self.context.replica.state().steps.get(step).is_some_and(|s| s.is_open());
                 let unread = open && self.unread.borrow().contains(step);
@@ -144,7 +146,7 @@
                 let endpoint = &report.endpoint;
                 metrics::RUNS.with_label_values(&["whole"]).inc();
                 tracing::info!(event = "run_whole", step, index, endpoint, events, host);
-                self.kick.notify_one();
+                self.wake_planner.notify_one();
             }
             Standing::Ended(end) => {
                 if *end == RunEnd::Late {
@@ -164,12 +166,12 @@
                     score: score.clone(),
                 };
                 self.settle(step, index, verdict);
-                self.kick.notify_one();
+                self.wake_planner.notify_one();
             }
         }
     }
 
-    /// Has a sample's verdict listed.
+    /// Queues the verdict of a sample for listing.
     pub(super) fn settle(&self, step: &str, index: u32, verdict: Verdict) {
         let sample = self.plan.borrow_mut().settled(step, index);
         if let Some(sample) = sample {
@@ -178,7 +180,7 @@
     }
 }
 
-pub(super) fn ending(end: RunEnd) -> &'static str {
+pub(super) fn outcome_label(end: RunEnd) -> &'static str {
     match end {
         RunEnd::Failed => "failed",
         RunEnd::Unfit => "unfit",
--- a/components/node/src/leader/steps.rs
+++ b/components/node/src/leader/steps.rs
@@ -1,4 +1,4 @@
-//! Steps at the leader: accepted, read, ended, and taken over from the leader before.
+//! The leader's steps: submission, reads, ends, and takeover from the previous leader.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,22 +24,22 @@
 
 use crate::clock;
 use crate::copies;
-use crate::leader::LOOK;
 use crate::leader::Leader;
+use crate::leader::PLAN_INTERVAL;
 use crate::message::Answer;
 
-/// Milliseconds for which hosts may tell that they run samples of a step that was taken over from
-/// the leader before, if some host does not tell. They notice its loss within 0.9 s, mostly before
-/// the next one is elected.
-const HELD_MS: u64 = 500;
+/// Milliseconds for which a step that was taken over waits for reports about its running samples if
+/// some host does not report. Hosts notice the loss of the previous leader within 0.9 s, mostly
+/// before the next one is elected.
+const HOST_REPORTS_WAIT_MS: u64 = 500;
 
 impl Leader {
-    /// Accepts a step: its samples are on enough stores, and the log says where.
+    /// Accepts a step: writes its samples to enough stores and commits their location to the log.
     pub(super) async fn submit(&self, step: Arc<Step>) -> Answer {
         if self.context.replica.state().steps.contains_key(&step.id) {
             return Answer::Done;
         }
-        // It may be submitted twice at once, so each submission has its own mark.
+        // The same step may be submitted twice concurrently, so each submission adds its own entry.
         self.submitting.borrow_mut().push(step.id.clone());
         let answer = self.write_step(&step).await;
         let mut submitting = self.submitting.borrow_mut();
@@ -67,9 +67,9 @@
         answer
     }
 
-    pub(super) fn accepted(&self, outline: &Outline, place: &copies::Place) {
+    pub(super) fn on_submitted(&self, outline: &Outline, place: &copies::Place) {
         let Some(step) = self.submitted.borrow().get(&outline.id).cloned() else {
-            // Proposed by a leader before this one; it is read from the stores.
+            // Proposed by an earlier leader; the step is read from the stores.
             self.unread.borrow_mut().push(outline.id.clone());
             return;
         };
@@ -90,7 +90,13 @@
         self.plan.borrow_mut().open(step, clock::now(), Millis::default(), |_| false);
     }
 
-    pub(super) async fn read(&self, step: &str, after: u64, wait_ms: u64, near: &str) -> Answer {
+    pub(super) async fn read_results(
+        &self,
+        step: &str,
+        after: u64,
+        wait_ms: u64,
+        near: &str,
+    ) -> Answer {
         let until = clock::now() + wait_ms;
         let mut listed = self.listed.subscribe();
         let mut waiting = None;
@@ -108,8 +114,8 @@
                 return self.results(step, after, near).await;
             }
             if waiting.is_none() {
-                waiting = Some(self.readers.wait(step, until));
-                self.outbox.look();
+                waiting = Some(self.readers.register(step, until));
+                self.outbox.recheck();
             }
             let changed = listed.changed();
             if let Ok(Err(_)) = tokio::time::timeout(Duration::from_millis(left), changed).await {
@@ -118,8 +124,9 @@
         }
     }
 
-    /// Puts results together: what the log says of them, and their texts from the parts. Texts that
-    /// the caller can read in its own data centre stay out; within the leader's own it is as near.
+    /// Assembles results from their records in the log and their texts in the parts. Omits texts
+    /// that the caller can read from a store in its own data centre, unless that is also the
+    /// leader's data centre, where reading from the leader is just as near.
     async fn results(&self, step: &str, after: u64, near: &str) -> Answer {
         let (total, chosen, places) = {
             let state = self.context.replica.state();
@@ -132,12 +139,12 @@
             (u64::from(found.step.samples), chosen, places)
         };
         let mut texts: BTreeMap<PartId, Vec<String>> = BTreeMap::new();
-        let mut beside: BTreeMap<PartId, SocketAddr> = BTreeMap::new();
+        let mut nearby: BTreeMap<PartId, SocketAddr> = BTreeMap::new();
         let far = !near.is_empty() && near != self.context.settings.data_centre;
         for (part, place) in places {
-            let address = if far { self.copies.beside(&place, near) } else { None };
+            let address = if far { self.copies.address_in(&place, near) } else { None };
             if let Some(address) = address {
-                beside.insert(part, address);
+                nearby.insert(part, address);
                 continue;
             }
             let Some(bytes) = self.copies.read(part, &place).await else { return Answer::NotNow };
@@ -149,7 +156,7 @@
                 }
             };
         }
-        Answer::Results { total, listed: chosen, texts, near: beside }
+        Answer::Results { total, listed: chosen, texts, near: nearby }
     }
 
     pub(super) async fn body(&self, step: &str, sample: &str) -> Answer {
@@ -165,22 +172,24 @@
         sample.map_or(Answer::Unknown, |sample| Answer::Body(sample.body))
     }
 
-    pub(super) async fn end(&self, step: String) -> Answer {
+    pub(super) async fn end_step(&self, step: String) -> Answer {
         if !self.context.replica.state().steps.contains_key(&step) {
-            // A step on its way to the stores will be in the log in a moment. Were its end answered as
-            // that of an unknown step, its samples would run for nobody; so the caller comes again.
-            let coming = self.submitting.borrow().contains(&step);
-            return if coming { Answer::NotNow } else { Answer::Unknown };
+            // The submission is about to be committed. If the end were answered as that of an
+            // unknown step, the samples would run although nobody wants them, so the caller
+            // retries.
+            let is_submitting = self.submitting.borrow().contains(&step);
+            return if is_submitting { Answer::NotNow } else { Answer::Unknown };
         }
         self.commit(Command::End { step }).await
     }
 
-    pub(super) fn close(&self, step: &str) {
+    pub(super) fn close_step(&self, step: &str) {
         if !self.plan.borrow().has(step) {
             let unread = self.unread.borrow().iter().any(|other| other == step);
             if unread {
-                // What hosts told of its runs was passed over, and they say nothing more of those
-                // whose scorers they call; asked again, they are told to stop them.
+                // Reports about its runs were ignored while the step was unread, and hosts do not
+                // repeat the report of a run whose scorer is being called. When asked to report
+                // again, they are told to stop the run.
                 self.hosts.request_reports();
                 tracing::info!(event = "step_closed", step, unread);
             }
@@ -199,7 +208,8 @@
         tracing::info!(event = "step_closed", step, stopped, untold);
     }
 
-    /// Takes over an open step of the leader before; tells whether that is done.
+    /// Takes over an open step from the previous leader. Returns whether no further attempt is
+    /// needed.
     pub(super) async fn adopt_step(&self, id: &str) -> bool {
         let found = {
             let state = self.context.replica.state();
@@ -216,20 +226,21 @@
         if let Some(open) = state.steps.get(id).filter(|step| step.is_open()) {
             let at = self.began.0.saturating_sub(self.fleet_clock.saturating_sub(open.at));
             let mut plan = self.plan.borrow_mut();
-            let held = clock::now() + HELD_MS;
-            plan.open(Arc::new(step), Millis(at), held, |index| open.is_listed(index));
+            let reports_until = clock::now() + HOST_REPORTS_WAIT_MS;
+            plan.open(Arc::new(step), Millis(at), reports_until, |index| open.is_listed(index));
             plan.recall(id, notes);
             tracing::info!(event = "step_adopted", step = id, listed = open.results.len());
         }
         true
     }
 
-    /// Has all hosts tell of their runs again. Steps that were taken over wait for it.
-    fn ask_hosts(&self) {
+    /// Requests reports of all runs from all hosts. The steps that were taken over wait for these
+    /// reports.
+    fn request_host_reports(&self) {
         let mut hosts = self.hosts.request_reports();
         hosts.extend(self.context.replica.state().store_nodes());
         self.plan.borrow_mut().await_hosts(hosts, clock::now());
-        self.kick.notify_one();
+        self.wake_planner.notify_one();
     }
 
     pub(super) async fn read_step(&self, part: PartId, place: &copies::Place) -> Option<Step> {
@@ -239,7 +250,8 @@
             .ok()
     }
 
-    /// Reads what was noted of a step's samples. A note that cannot be read only costs time.
+    /// Reads the notes about a step's samples. A note that cannot be read costs only the time to
+    /// repeat the work.
     pub(super) async fn read_notes(&self, id: &str) -> Vec<Note> {
         let places: Vec<(PartId, copies::Place)> = {
             let state = self.context.replica.state();
@@ -258,8 +270,8 @@
         notes
     }
 
-    /// Notes on the stores what long runs have made.
-    pub(super) async fn note(&self) {
+    /// Writes the progress of long runs to the stores.
+    pub(super) async fn write_notes(&self) {
         let notes = self.plan.borrow_mut().to_note();
         let retired = self.context.replica.state().retired.clone();
         let writes = notes.into_iter().map(|(step, notes)| {
@@ -268,7 +280,8 @@
                 let part = PartId(rand::random());
                 let bytes = Bytes::from(rmp_serde::to_vec(&notes).expect("notes are plain data"));
                 let place = self.copies.write(part, &bytes, retired).await;
-                // Without enough stores the run is not noted: the log is not made for this.
+                // Without enough stores the progress is not recorded: the log is not meant for this
+                // volume of data.
                 if matches!(place, copies::Place::Stores(_)) {
                     self.commit(Command::Note { step, part, place }).await;
                 }
@@ -277,7 +290,7 @@
         futures_util::future::join_all(writes).await;
     }
 
-    pub(super) async fn forget_old(&self) {
+    pub(super) async fn forget_expired_steps(&self) {
         let now = self.fleet_now();
         let keep_ms = self.context.settings.keep_s * 1_000;
         let steps = self.context.replica.state().expired(now, keep_ms);
@@ -288,13 +301,14 @@
     }
 }
 
-/// Reads the open steps of the leaders before from the stores, each by itself, so that one whose part
-/// or notes are slow to come holds up no other.
+/// Reads the open steps of earlier leaders from the stores, concurrently, so that a step whose part
+/// or notes are slow to read delays no other.
 ///
-/// Hosts told of their runs before a step was read, which was passed over; so they are asked again,
-/// once for all steps that were read meanwhile. To tell all runs takes a host and the leader some
-/// tenths of a second of their processors. Asked at each look while a step cannot be read, hosts and
-/// leader fall behind by seconds, each order waits in that line, and the leadership is lost again.
+/// Reports that hosts sent before a step was read were ignored, so the hosts are asked again, once
+/// for all steps that were read in the meantime. Reporting all runs takes a host and the leader
+/// some tenths of a second of processor time. If they were asked at each check while a step cannot
+/// be read, hosts and leader would fall behind by seconds, orders would wait behind the reports,
+/// and the leader would lose its leadership again.
 pub(super) async fn adopt_steps(leader: Weak<Leader>) {
     if let Some(leader) = leader.upgrade() {
         let state = leader.context.replica.state();
@@ -302,38 +316,39 @@
         leader.unread.borrow_mut().extend(open.map(|(id, _)| id.clone()));
     }
     let mut reading = FuturesUnordered::new();
-    let mut begun = BTreeSet::new();
+    let mut in_progress = BTreeSet::new();
     loop {
         let Some(leader) = leader.upgrade() else { return };
         for id in leader.unread.borrow().iter() {
-            if begun.insert(id.clone()) {
-                reading.push(read_in(leader.clone(), id.clone()));
+            if in_progress.insert(id.clone()) {
+                reading.push(adopt_unread(leader.clone(), id.clone()));
             }
         }
-        let pause = tokio::time::sleep(LOOK);
+        let pause = tokio::time::sleep(PLAN_INTERVAL);
         tokio::pin!(pause);
-        let mut read = false;
+        let mut any_read = false;
         loop {
             tokio::select! {
                 Some((id, done)) = reading.next() => {
-                    begun.remove(&id);
-                    read |= done;
-                    if read && reading.is_empty() {
-                        leader.ask_hosts();
-                        read = false;
+                    in_progress.remove(&id);
+                    any_read |= done;
+                    if any_read && reading.is_empty() {
+                        leader.request_host_reports();
+                        any_read = false;
                     }
                 }
                 () = &mut pause => break,
             }
         }
-        if read {
-            leader.ask_hosts();
+        if any_read {
+            leader.request_host_reports();
         }
     }
 }
 
-/// Takes over one step of the leader before; tells which, and whether that is done.
-async fn read_in(leader: Rc<Leader>, id: String) -> (String, bool) {
+/// Takes over one step of the previous leader. Returns its id, and whether no further attempt is
+/// needed.
+async fn adopt_unread(leader: Rc<Leader>, id: String) -> (String, bool) {
     let done = leader.plan.borrow().has(&id) || leader.adopt_step(&id).await;
     if done {
         leader.unread.borrow_mut().retain(|other| *other != id);
@@ -341,12 +356,12 @@
     (id, done)
 }
 
-/// Chooses the results from a place on that fit into one answer.
+/// Returns the results from position `after` that fit into one reply, at least one if there is any.
 pub(super) fn choose_results(results: &[Arc<Listed>], after: u64) -> Vec<Arc<Listed>> {
     let mut bytes = 0;
     let mut chosen = Vec::new();
     for listed in results.iter().skip(after as usize) {
-        bytes += size(listed);
+        bytes += result_bytes(listed);
         if bytes > REPLY_BYTES && !chosen.is_empty() {
             break;
         }
@@ -355,8 +370,8 @@
     chosen
 }
 
-/// Gives about how many bytes a result takes in a reply.
-pub(super) fn size(listed: &Listed) -> usize {
+/// Returns the approximate size of a result in a reply, in bytes.
+pub(super) fn result_bytes(listed: &Listed) -> usize {
     let text = match &listed.result {
         Result::Completed { bytes, .. } => *bytes as usize,
         Result::GivenUp => 0,
--- a/components/node/src/leader/stores.rs
+++ b/components/node/src/leader/stores.rs
@@ -1,4 +1,4 @@
-//! Store VMs that are to be emptied.
+//! Retiring store VMs: their parts are copied elsewhere first.
 
 use chicoryford_fleet::Command;
 
--- a/components/node/src/leader/usage.rs
+++ b/components/node/src/leader/usage.rs
@@ -1,5 +1,5 @@
-//! What workspaces used, at the leader: written into the log, summed up by window, reported to the
-//! platform.
+//! The leader's accounting of workspace usage: committed to the log, summed up by window, and
+//! reported to the platform.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -28,28 +28,27 @@
 use crate::leader::Leader;
 use crate::metrics;
 
-/// How often it is looked what is to be written, closed or reported.
-const LOOK: Duration = Duration::from_millis(100);
-/// Milliseconds between two writes of what entries told. A total loss of all processes loses what was
-/// counted since the last one.
-const WRITE_MS: u64 = 500;
-/// How long a connection to the platform may take to come about.
-const CONNECT: Duration = Duration::from_secs(1);
-/// How long one call to the platform may take. It may be slow; a report is due ten seconds after its
-/// window, and the next one waits for it.
-const CALL_MS: u64 = 2_500;
-/// The first pause after a call that was not answered well, and the longest; each is twice the one
-/// before.
-const PAUSE: Duration = Duration::from_millis(250);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-
-/// What the leader has of usage that is not in the log.
+/// Interval between checks for usage to commit, windows to close and reports to send.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between commits of the usage that entries reported. If all processes fail at once, the
+/// usage counted since the last commit is lost.
+const WRITE_INTERVAL_MS: u64 = 500;
+/// Timeout for connecting to the platform.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of one call to the platform, in milliseconds. The platform may be slow; a report is due
+/// ten seconds after its window, and the next report waits for it.
+const CALL_TIMEOUT_MS: u64 = 2_500;
+/// The first and the longest pause after a failed call; the pause doubles with each failure.
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
+
+/// Usage state of the leader that is not in the log.
 pub(super) struct Usage {
     windows: Windows,
     lives: RefCell<Lives>,
-    /// What entries told and is not in the log yet.
-    untold: RefCell<Vec<Told>>,
-    /// The newest window that the platform has accepted, with all before it.
+    /// Reports of entries that are not in the log yet.
+    pending: RefCell<Vec<Told>>,
+    /// The newest window that the platform has accepted; it has also accepted all earlier ones.
     accepted: Cell<Option<u64>>,
 }
 
@@ -58,39 +57,39 @@
         Self {
             windows,
             lives: RefCell::new(lives),
-            untold: RefCell::default(),
+            pending: RefCell::default(),
             accepted: Cell::default(),
         }
     }
 }
 
 impl Leader {
-    /// Takes in what an entry has counted.
+    /// Queues the usage that an entry reported.
     pub fn record_usage(&self, told: Told) {
-        self.usage.untold.borrow_mut().push(told);
+        self.usage.pending.borrow_mut().push(told);
     }
 
-    /// Writes what entries told into the log.
+    /// Commits the queued usage reports to the log.
     async fn write_usage(&self) {
-        let told = std::mem::take(&mut *self.usage.untold.borrow_mut());
+        let told = std::mem::take(&mut *self.usage.pending.borrow_mut());
         if told.is_empty() {
             return;
         }
         let totals: Vec<Totals> = told.iter().flat_map(|told| told.totals.clone()).collect();
         let written = totals.is_empty() || self.propose(Command::Use(totals)).await.is_ok();
         if !written {
-            // It is as good as not told, and its windows are not complete without it.
-            self.usage.untold.borrow_mut().splice(0..0, told);
+            // The reports stay queued; their windows must not be closed without them.
+            self.usage.pending.borrow_mut().splice(0..0, told);
             return;
         }
         let mut lives = self.usage.lives.borrow_mut();
         told.iter().for_each(|told| lives.heard(told));
     }
 
-    /// Closes the next window if that is due.
+    /// Closes the next window if it is due.
     async fn close_window(&self) {
-        let keyed = self.config().is_some_and(|config| !config.workspaces.is_empty());
-        let Some(wall) = self.context.followers.wall().filter(|_| keyed) else { return };
+        let has_workspaces = self.config().is_some_and(|config| !config.workspaces.is_empty());
+        let Some(wall) = self.context.followers.wall().filter(|_| has_workspaces) else { return };
         let next = self.context.replica.state().usage.next();
         let accepted = self.usage.accepted.get();
         let Some(window) = next else {
@@ -109,7 +108,8 @@
         }
     }
 
-    /// Reports the next window that is closed; gives how it was taken, if there was a call.
+    /// Reports the next closed window to the platform. Returns the outcome of the call if one was
+    /// made.
     async fn report_usage(&self, platform: SocketAddr) -> Option<Taken> {
         let (window, counts) = self.next_report()?;
         let (node, token) = (&self.context.settings.node, self.epoch.0);
@@ -127,7 +127,7 @@
         let requests: u64 = counts.values().sum();
         let request = duty::usage(&held?, window, &counts);
         let began = clock::now();
-        let limit_ms = left_ms.min(CALL_MS);
+        let limit_ms = left_ms.min(CALL_TIMEOUT_MS);
         let calling = call(platform, &request, began + limit_ms);
         let answer = tokio::time::timeout(Duration::from_millis(limit_ms), calling).await;
         let taken = match &answer {
@@ -140,7 +140,7 @@
             Ok(Ok(_)) => String::new(),
         };
         let ms = clock::now().since(began);
-        metrics::DUTY_CALLS.with_label_values(&["usage", word(taken)]).inc();
+        metrics::DUTY_CALLS.with_label_values(&["usage", outcome_label(taken)]).inc();
         tracing::info!(event = "usage_reported", window, token, requests, ?taken, ms, error);
         if matches!(taken, Taken::Done | Taken::Unfit) {
             self.usage.accepted.set(Some(window));
@@ -155,7 +155,7 @@
     }
 }
 
-fn word(taken: Taken) -> &'static str {
+fn outcome_label(taken: Taken) -> &'static str {
     match taken {
         Taken::Done => "done",
         Taken::Fenced => "fenced",
@@ -165,11 +165,12 @@
     }
 }
 
-/// Makes one call. Its connection is reset when the call is given up, so that what still waits on the
-/// way is not carried out after the time for which the duty is held. A VM that was frozen while it
-/// connected sends nothing afterwards: its timers have not noticed the freeze, this clock has.
+/// Makes one call. If the call is abandoned, the connection is reset, so that a request still in
+/// transit is not executed after the time for which the duty is held. A VM that was frozen while
+/// connecting must not send the request afterwards: its timers have not noticed the freeze, but
+/// this clock has.
 async fn call(platform: SocketAddr, request: &Request, until: Millis) -> Result<Taken, Broken> {
-    let connection = Connection::open(platform, CONNECT).await?;
+    let connection = Connection::open(platform, CONNECT_TIMEOUT).await?;
     if clock::now() >= until {
         return Err(Broken::NotSent(std::io::Error::from(std::io::ErrorKind::TimedOut)));
     }
@@ -178,47 +179,47 @@
     Ok(duty::taken(reply.status))
 }
 
-/// Keeps the log's account of usage, for as long as this process leads.
-pub(super) async fn keep_book(leader: Weak<Leader>) {
-    let mut written = Millis::default();
+/// Commits usage and closes windows for as long as this process leads.
+pub(super) async fn run_accounting(leader: Weak<Leader>) {
+    let mut last_written = Millis::default();
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let Some(leader) = leader.upgrade() else { return };
-        if clock::now().since(written) >= WRITE_MS {
-            written = clock::now();
+        if clock::now().since(last_written) >= WRITE_INTERVAL_MS {
+            last_written = clock::now();
             leader.write_usage().await;
         }
         leader.close_window().await;
     }
 }
 
-/// Reports usage, for as long as this process leads and no other has called with a higher token.
-pub(super) async fn report(leader: Weak<Leader>, platform: SocketAddr) {
-    let mut pause = PAUSE;
+/// Reports usage for as long as this process leads and no other has called with a higher token.
+pub(super) async fn run_reports(leader: Weak<Leader>, platform: SocketAddr) {
+    let mut pause = RETRY_PAUSE;
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let Some(leader) = leader.upgrade() else { return };
         match leader.report_usage(platform).await {
             None => {}
-            Some(Taken::Done | Taken::Unfit) => pause = PAUSE,
+            Some(Taken::Done | Taken::Unfit) => pause = RETRY_PAUSE,
             Some(Taken::Fenced) => {
                 tracing::error!(event = "duty_lost", token = leader.epoch.0);
                 return;
             }
             Some(Taken::Busy | Taken::Unclear) => {
                 tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                pause = (pause * 2).min(MAX_RETRY_PAUSE);
             }
         }
     }
 }
 
-/// Starts what this module does, as far as the settings ask for it.
+/// Starts the tasks of this module if the settings enable them.
 pub(super) fn start(leader: &Rc<Leader>) -> Vec<tokio::task::JoinHandle<()>> {
     let settings = &leader.context.settings;
     let Some(platform) = settings.usage_address() else { return Vec::new() };
     vec![
-        actix_rt::spawn(keep_book(Rc::downgrade(leader))),
-        actix_rt::spawn(report(Rc::downgrade(leader), platform)),
+        actix_rt::spawn(run_accounting(Rc::downgrade(leader))),
+        actix_rt::spawn(run_reports(Rc::downgrade(leader), platform)),
     ]
 }
--- a/components/node/src/link_server.rs
+++ b/components/node/src/link_server.rs
@@ -128,7 +128,8 @@
             let _ = socket.send(encode(&down)).await;
             return;
         };
-        let first = [LeaderMessage::Welcome, LeaderMessage::Everything(leader.all_news(replica))];
+        let first =
+            [LeaderMessage::Welcome, LeaderMessage::Everything(leader.initial_updates(replica))];
         let (frames, mut queue) = mpsc::channel(QUEUE + first.len());
         for down in first {
             let frame = encode(&down);
@@ -301,7 +302,7 @@
         self.followers.remove(self.number);
         if let Some(store) = &self.store {
             self.leader.copies.disconnected(store);
-            self.leader.host_lost(&store.node, self.number, self.silent.get());
+            self.leader.host_disconnected(&store.node, self.number, self.silent.get());
         }
     }
 }
--- a/components/node/src/listing.rs
+++ b/components/node/src/listing.rs
@@ -61,7 +61,7 @@
     }
 
     /// Has it looked again when verdicts are to be listed.
-    pub fn look(&self) {
+    pub fn recheck(&self) {
         self.filled.notify_one();
     }
 
@@ -93,7 +93,7 @@
         let Some(leader) = leader.upgrade() else { return };
         let outbox = leader.outbox();
         let list_at = |step: &str, since| {
-            leader.plan.borrow().list_at(step, since, leader.readers.first(step))
+            leader.plan.borrow().list_at(step, since, leader.readers.earliest_deadline(step))
         };
         let (due, next) = outbox.take(clock::now(), list_at);
         if due.is_empty() {
--- a/components/node/src/orders.rs
+++ b/components/node/src/orders.rs
@@ -85,7 +85,7 @@
 ///
 /// To look takes 0.4 ms with 3,000 engines, and rounds come with each sample that is whole, some
 /// hundreds a second; a load takes about a second, so [`LOOK_MS`] later is as good.
-pub fn round(leader: &Rc<Leader>, config: &Config, now: Millis) {
+pub fn start_due_changes(leader: &Rc<Leader>, config: &Config, now: Millis) {
     {
         let mut orders = leader.orders.borrow_mut();
         if orders.fenced || now.since(orders.looked) < LOOK_MS {
@@ -222,7 +222,7 @@
 
 fn has(leader: &Rc<Leader>, wish: &Wish, report: &Report) -> bool {
     let Some(held) = report.models.get(&wish.model) else { return false };
-    leader.learn_version(&wish.endpoint, &wish.model, *held);
+    leader.record_version(&wish.endpoint, &wish.model, *held);
     *held >= wish.version && !report.busy
 }
 
--- a/components/node/src/replica.rs
+++ b/components/node/src/replica.rs
@@ -1,7 +1,8 @@
-//! A replica with its disk and state, on the process's one thread.
+//! A replica of the agreement with its disk and its state machine, driven by the process's single
+//! thread.
 //!
-//! The decisions are the agreement's; writing and syncing is the disk duty's, on a thread of its
-//! own, so that a disk that stalls holds up neither heartbeats nor the commits of the others.
+//! The agreement crate makes the decisions. Writes and syncs run on a separate thread, so that a
+//! stalling disk delays neither heartbeats nor the commits of other replicas.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -56,26 +57,26 @@
 use crate::message::ReplicaMessage;
 use crate::peers::Peers;
 
-/// The replica is told about the time this often.
-const TICK: Duration = Duration::from_millis(25);
-/// Writes that may wait for the disk before the replica holds them back itself.
-const JOBS: usize = 1_024;
-/// Writes that one sync serves at most.
-const GROUP: usize = 256;
-/// A snapshot is taken after commands of this many bytes. The log on disk stays below about three
-/// times of it, and restarting reads no more than that.
+/// Interval of the replica's clock ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Writes that may be queued for the disk thread; further ones wait in the replica's backlog.
+const DISK_QUEUE_LENGTH: usize = 1_024;
+/// Maximum number of writes per sync.
+const MAX_WRITES_PER_SYNC: usize = 256;
+/// Bytes of commands after which a snapshot is taken. The log on disk stays below about three times
+/// this size, and a restart reads no more than that.
 const SNAPSHOT_BYTES: usize = 12 << 20;
-/// Or after this many commands.
+/// Number of commands after which a snapshot is taken.
 const SNAPSHOT_ENTRIES: u64 = 8_000;
-/// Entries kept behind a snapshot for replicas that lag a little.
-const TAIL: u64 = 512;
-/// Bytes of one segment of the log; whole segments are removed behind a snapshot.
-const SEGMENT: u64 = 4 << 20;
-/// Milliseconds from a leader's last word to an election at most; half of it at least. Ten round
-/// trips and syncs of a healthy disk fit into the shortest, and all of it is time in which steps
-/// and configurations are not accepted.
+/// Log entries kept before a snapshot, for replicas that lag slightly behind.
+const LOG_TAIL_ENTRIES: u64 = 512;
+/// Bytes of one log segment; whole segments are removed after a snapshot.
+const SEGMENT_BYTES: u64 = 4 << 20;
+/// Maximum election timeout in milliseconds, counted from the leader's last message; the minimum is
+/// half of it. The minimum covers ten round trips and syncs of a healthy disk. No steps or
+/// configurations are accepted during this time.
 const ELECTION_MS: u64 = 700;
-/// Milliseconds between heartbeats: two may be lost before an election.
+/// Milliseconds between heartbeats; two may be lost before an election starts.
 const HEARTBEAT_MS: u64 = 90;
 
 /// The replica could not start.
@@ -84,10 +85,10 @@
     /// Its data folder cannot be used.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// Its data folder holds what this release does not know.
+    /// Its data folder has content that this release cannot read.
     #[error(transparent)]
     Content(#[from] ContentError),
-    /// The state in its snapshot cannot be read.
+    /// The state in its snapshot cannot be decoded.
     #[error("the state in the snapshot cannot be read")]
     State(#[from] rmp_serde::decode::Error),
     /// The disk's thread could not be started.
@@ -95,50 +96,55 @@
     Thread(#[source] std::io::Error),
 }
 
-/// Who may be told what a command did.
+/// The channel that delivers the outcome of a command.
 type Waiter = oneshot::Sender<Result<Done, Refusal>>;
 
-/// Is told of each command as it is applied.
+/// A callback for each applied command.
 type Observer = Box<dyn Fn(&Command, Done)>;
 
-/// A replica with its disk and state.
+/// A replica with its disk and its state machine.
 pub struct LocalReplica {
     id: ReplicaId,
     replica: RefCell<Replica>,
     state: RefCell<State>,
-    /// The newest leader whose commands were applied here, and how far its clock is ahead of this VM's.
-    ahead: Cell<Option<(Epoch, i64)>>,
+    /// The epoch of the newest leader whose commands were applied here, and how far its clock is
+    /// ahead of this VM's.
+    clock_offset: Cell<Option<(Epoch, i64)>>,
     applied: Cell<Mark>,
     jobs: Sender<Job>,
     backlog: RefCell<VecDeque<Job>>,
     peers: Peers,
-    waiting: RefCell<BTreeMap<Token, Waiter>>,
-    reading: RefCell<BTreeMap<Token, oneshot::Sender<Result<(), Refusal>>>>,
-    next: Cell<u64>,
+    proposals: RefCell<BTreeMap<Token, Waiter>>,
+    reads: RefCell<BTreeMap<Token, oneshot::Sender<Result<(), Refusal>>>>,
+    next_token: Cell<u64>,
     leading: watch::Sender<Option<Epoch>>,
     failed: watch::Sender<bool>,
     observer: RefCell<Option<Observer>>,
-    bytes: Cell<usize>,
-    covered: Cell<u64>,
-    taking: Cell<bool>,
-    encoded: Sender<Report>,
+    bytes_since_snapshot: Cell<usize>,
+    snapshot_index: Cell<u64>,
+    taking_snapshot: Cell<bool>,
+    encoded_reports: Sender<Report>,
 }
 
 impl LocalReplica {
-    /// Opens the data folder and starts the disk's thread. Gives the replica and what the disk
-    /// reports, which [`LocalReplica::run`] takes.
+    /// Opens the data folder and starts the disk thread. Returns the replica and the receiver of
+    /// the disk's reports, which [`LocalReplica::run`] needs.
     ///
     /// # Errors
     ///
-    /// [`CoreError`].
+    /// [`ReplicaError`].
     pub fn open(
         folder: &Path,
         own: SocketAddr,
         founders: &[SocketAddr],
         peers: Peers,
     ) -> Result<(Rc<Self>, Receiver<Report>), ReplicaError> {
-        let kept = StorageSettings { segment: SEGMENT, kept: TAIL, identity: new_identity() };
-        let (storage, recovered) = Storage::open(folder, kept, Disk::default())?;
+        let storage_settings = StorageSettings {
+            segment: SEGMENT_BYTES,
+            kept: LOG_TAIL_ENTRIES,
+            identity: new_identity(),
+        };
+        let (storage, recovered) = Storage::open(folder, storage_settings, Disk::default())?;
         let id = ReplicaId::new(Node::from(own.to_string().as_str()), recovered.identity);
         let saved = convert::saved(recovered)?;
         let mut state = State::default();
@@ -156,202 +162,205 @@
             founders: founders.collect(),
             election_ms: ELECTION_MS,
             heartbeat_ms: HEARTBEAT_MS,
-            tail: TAIL,
+            tail: LOG_TAIL_ENTRIES,
             ..agreement::Settings::default()
         };
         let replica = Replica::new(settings, saved, rand::random());
-        let (jobs, jobs_end) = ring(JOBS);
-        let (reports, reports_end) = ring(JOBS);
-        let encoded = reports.clone();
+        let (jobs, jobs_end) = ring(DISK_QUEUE_LENGTH);
+        let (reports, reports_end) = ring(DISK_QUEUE_LENGTH);
+        let encoded_reports = reports.clone();
         std::thread::Builder::new()
             .name("disk".to_owned())
-            .spawn(move || disk::run(storage, jobs_end, &reports, GROUP))
+            .spawn(move || disk::run(storage, jobs_end, &reports, MAX_WRITES_PER_SYNC))
             .map_err(ReplicaError::Thread)?;
         let replica = Self {
             id,
             replica: RefCell::new(replica),
             state: RefCell::new(state),
-            ahead: Cell::default(),
+            clock_offset: Cell::default(),
             applied: Cell::new(applied),
             jobs,
             backlog: RefCell::default(),
             peers,
-            waiting: RefCell::default(),
-            reading: RefCell::default(),
-            next: Cell::default(),
+            proposals: RefCell::default(),
+            reads: RefCell::default(),
+            next_token: Cell::default(),
             leading: watch::Sender::new(None),
             failed: watch::Sender::new(false),
             observer: RefCell::default(),
-            bytes: Cell::default(),
-            covered: Cell::new(applied.index),
-            taking: Cell::default(),
-            encoded,
+            bytes_since_snapshot: Cell::default(),
+            snapshot_index: Cell::new(applied.index),
+            taking_snapshot: Cell::default(),
+            encoded_reports,
         };
         Ok((Rc::new(replica), reports_end))
     }
 
-    /// Lets time pass and takes the disk's reports, until the disk's thread ends.
+    /// Processes clock ticks and the disk's reports until the disk thread ends.
     pub async fn run(&self, mut reports: Receiver<Report>) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 report = reports.next() => {
                     let Some(report) = report else { return };
-                    self.report(report);
+                    self.handle_report(report);
                 }
-                _ = ticks.tick() => self.tell(Event::Tick),
+                _ = ticks.tick() => self.handle_event(Event::Tick),
             }
             self.push_backlog();
         }
     }
 
-    /// Gives this replica's identity.
+    /// Returns this replica's identity.
     pub fn id(&self) -> &ReplicaId {
         &self.id
     }
 
-    /// Tells whether this replica leads and surely no other does yet.
+    /// Returns whether this replica leads and holds a valid lease, so that no other replica can
+    /// lead.
     pub fn leads(&self) -> bool {
         self.replica.borrow().leads(clock::now())
     }
 
-    /// Follows whether this replica leads, and in which epoch.
+    /// Subscribes to this replica's leadership; the value is the epoch in which it leads.
     pub fn leading(&self) -> watch::Receiver<Option<Epoch>> {
         self.leading.subscribe()
     }
 
-    /// Follows whether the disk has failed.
+    /// Subscribes to whether the disk has failed.
     pub fn failed(&self) -> watch::Receiver<bool> {
         self.failed.subscribe()
     }
 
-    /// Gives where the leader takes links, as far as this replica knows.
+    /// Returns the leader's link address, as far as this replica knows.
     pub fn leader(&self) -> Option<SocketAddr> {
         let replica = self.replica.borrow();
         replica.leader().and_then(|id| id.node.to_string().parse().ok())
     }
 
-    /// Gives how the replica stands.
+    /// Returns the status of the replica.
     pub fn status(&self) -> agreement::Status {
         self.replica.borrow().status()
     }
 
-    /// Gives the state; it must not be held across a wait.
+    /// Returns the state. The borrow must not be held across an `await`.
     pub fn state(&self) -> std::cell::Ref<'_, State> {
         self.state.borrow()
     }
 
-    /// Reads the fleet's clock as far as this replica knows it. It goes on while nobody leads, and never runs
-    /// ahead of the clock of the leader before: stamps come here late, and never early.
+    /// Returns the fleet's clock as known to this replica. It continues while there is no leader,
+    /// and never runs ahead of the previous leader's clock, because stamps arrive late and never
+    /// early.
     pub fn fleet_clock(&self) -> u64 {
         let clock = self.state.borrow().clock;
-        let ahead = self.ahead.get().map(|(_, ahead)| clock::now().0.saturating_add_signed(ahead));
+        let ahead =
+            self.clock_offset.get().map(|(_, ahead)| clock::now().0.saturating_add_signed(ahead));
         ahead.map_or(clock, |ahead| ahead.max(clock))
     }
 
-    /// Learns how far a leader's clock is ahead from a command that it has stamped.
-    fn note_stamp(&self, epoch: Epoch, stamp: u64) {
+    /// Updates the offset of a leader's clock from a command that it has stamped.
+    fn update_clock_offset(&self, epoch: Epoch, stamp: u64) {
         let ahead = stamp as i64 - clock::now().0 as i64;
-        self.ahead.set(self.ahead.get().max(Some((epoch, ahead))));
+        self.clock_offset.set(self.clock_offset.get().max(Some((epoch, ahead))));
     }
 
-    /// Sets who is told of each command as it is applied.
-    pub fn observe(&self, observer: Option<Observer>) {
+    /// Sets the callback for applied commands.
+    pub fn set_observer(&self, observer: Option<Observer>) {
         *self.observer.borrow_mut() = observer;
     }
 
-    /// Has a command committed. The answer comes when it is on the disks of a majority.
+    /// Commits a command. Completes when the command is on the disks of a majority.
     ///
     /// # Errors
     ///
-    /// [`Refusal`], which tells whether the command may yet be committed.
+    /// [`Refusal`], which shows whether the command may still be committed later.
     pub async fn propose(&self, stamped: &Stamped) -> Result<Done, Refusal> {
         let data = Bytes::from(rmp_serde::to_vec(stamped).expect("commands are plain data"));
-        let token = self.token();
+        let token = self.new_token();
         let (waiter, answer) = oneshot::channel();
-        self.waiting.borrow_mut().insert(token, waiter);
-        self.tell(Event::Propose(vec![Proposal { token, data }]));
+        self.proposals.borrow_mut().insert(token, waiter);
+        self.handle_event(Event::Propose(vec![Proposal { token, data }]));
         answer.await.unwrap_or(Err(Refusal::Unknown { leader: None }))
     }
 
-    /// Waits until it is sure that the state holds all that was committed before this call.
+    /// Waits until the state is known to include everything that was committed before this call.
     ///
     /// # Errors
     ///
     /// [`Refusal`] if this replica does not lead.
     pub async fn read(&self) -> Result<(), Refusal> {
-        let token = self.token();
+        let token = self.new_token();
         let (waiter, answer) = oneshot::channel();
-        self.reading.borrow_mut().insert(token, waiter);
-        self.tell(Event::Read { token });
+        self.reads.borrow_mut().insert(token, waiter);
+        self.handle_event(Event::Read { token });
         answer.await.unwrap_or(Err(Refusal::Unknown { leader: None }))
     }
 
-    /// Has the members changed.
+    /// Changes the members.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] if they cannot be changed so now.
+    /// [`Refusal`] if this change is not possible now.
     pub async fn change(&self, change: Change) -> Result<Done, Refusal> {
-        let token = self.token();
+        let token = self.new_token();
         let (waiter, answer) = oneshot::channel();
-        self.waiting.borrow_mut().insert(token, waiter);
-        self.tell(Event::ChangeMembers { token, change });
+        self.proposals.borrow_mut().insert(token, waiter);
+        self.handle_event(Event::ChangeMembers { token, change });
         answer.await.unwrap_or(Err(Refusal::Unknown { leader: None }))
     }
 
-    /// Takes a message of another replica.
-    pub fn receive(&self, letter: ReplicaMessage) {
-        self.tell(Event::Message(letter));
+    /// Handles a message from another replica.
+    pub fn receive(&self, message: ReplicaMessage) {
+        self.handle_event(Event::Message(message));
     }
 
-    /// Hands leadership over before a stop.
+    /// Hands over the leadership before a stop.
     pub fn hand_over(&self) {
-        self.tell(Event::HandOver { to: None });
+        self.handle_event(Event::HandOver { to: None });
     }
 
-    fn token(&self) -> Token {
-        self.next.set(self.next.get() + 1);
-        Token(self.next.get())
+    fn new_token(&self) -> Token {
+        self.next_token.set(self.next_token.get() + 1);
+        Token(self.next_token.get())
     }
 
-    fn report(&self, report: Report) {
+    fn handle_report(&self, report: Report) {
         match report {
-            Report::Synced { write, .. } => self.tell(Event::Synced { write }),
+            Report::Synced { write, .. } => self.handle_event(Event::Synced { write }),
             Report::Encoded(snapshot) => self.backlog.borrow_mut().push_back(Job::Keep(snapshot)),
             Report::Kept(snapshot) => {
-                self.taking.set(false);
-                self.covered.set(self.covered.get().max(snapshot.meta.mark.index));
-                self.tell(Event::SnapshotTaken(snapshot));
+                self.taking_snapshot.set(false);
+                self.snapshot_index.set(self.snapshot_index.get().max(snapshot.meta.mark.index));
+                self.handle_event(Event::SnapshotTaken(snapshot));
             }
             Report::Failed(error) => {
                 tracing::error!(event = "disk_failed", %error);
-                self.tell(Event::StorageFailed);
+                self.handle_event(Event::StorageFailed);
                 self.failed.send_replace(true);
             }
         }
     }
 
-    fn tell(&self, event: Event) {
+    fn handle_event(&self, event: Event) {
         let actions = self.replica.borrow_mut().handle(clock::now(), event);
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
         self.push_backlog();
         self.take_snapshot();
     }
 
-    fn act(&self, action: Action) {
+    fn perform(&self, action: Action) {
         match action {
             Action::Persist(write) => self.backlog.borrow_mut().push_back(Job::Write(write)),
-            Action::Send(letter) => self.peers.send(letter),
-            Action::Commit(batch) => batch.into_iter().for_each(|one| self.commit(one)),
-            Action::ApplySnapshot(snapshot) => self.reset(&snapshot),
+            Action::Send(message) => self.peers.send(message),
+            Action::Commit(batch) => batch.into_iter().for_each(|one| self.apply_committed(one)),
+            Action::ApplySnapshot(snapshot) => self.install_snapshot(&snapshot),
             Action::Refuse { token, why } => self.refuse(token, why),
             Action::ReadReady { token, .. } => {
-                // What it must hold is applied already: commits are handed over before.
-                if let Some(reader) = self.reading.borrow_mut().remove(&token) {
+                // The required commits are already applied: they are delivered before this action.
+                if let Some(reader) = self.reads.borrow_mut().remove(&token) {
                     let _ = reader.send(Ok(()));
                 }
             }
@@ -368,40 +377,41 @@
     }
 
     fn refuse(&self, token: Token, why: Refusal) {
-        if let Some(waiter) = self.waiting.borrow_mut().remove(&token) {
+        if let Some(waiter) = self.proposals.borrow_mut().remove(&token) {
             let _ = waiter.send(Err(why));
-        } else if let Some(reader) = self.reading.borrow_mut().remove(&token) {
+        } else if let Some(reader) = self.reads.borrow_mut().remove(&token) {
             let _ = reader.send(Err(why));
         }
     }
 
-    fn commit(&self, committed: Committed) {
+    fn apply_committed(&self, committed: Committed) {
         let Committed { entry, token } = committed;
         self.applied.set(entry.mark);
         let done = match entry.payload {
             Payload::Data(data) => self.apply(entry.mark, &data),
             Payload::Empty | Payload::Members(_) => Done::Changed,
         };
-        let waiter = token.and_then(|token| self.waiting.borrow_mut().remove(&token));
+        let waiter = token.and_then(|token| self.proposals.borrow_mut().remove(&token));
         if let Some(waiter) = waiter {
-            // Whoever waited may have left.
+            // The caller may have stopped waiting.
             let _ = waiter.send(Ok(done));
         }
     }
 
     fn apply(&self, mark: Mark, data: &Bytes) -> Done {
-        self.bytes.set(self.bytes.get() + data.len());
+        self.bytes_since_snapshot.set(self.bytes_since_snapshot.get() + data.len());
         let stamped: Stamped = match rmp_serde::from_slice(data) {
             Ok(stamped) => stamped,
             Err(error) => {
-                // To go on without the command would make this replica's state differ from the
-                // others', so it takes no part until another release reads it.
+                // Skipping the command would make this replica's state differ from that of the
+                // others, so the replica stops participating until a release that can read it is
+                // installed.
                 tracing::error!(event = "command_unreadable", index = mark.index, %error);
                 self.failed.send_replace(true);
                 return Done::Unknown;
             }
         };
-        self.note_stamp(mark.epoch, stamped.at);
+        self.update_clock_offset(mark.epoch, stamped.at);
         let command = stamped.command.clone();
         let done = self.state.borrow_mut().apply(stamped);
         if let Some(observer) = self.observer.borrow().as_ref() {
@@ -410,7 +420,7 @@
         done
     }
 
-    fn reset(&self, snapshot: &Snapshot) {
+    fn install_snapshot(&self, snapshot: &Snapshot) {
         match rmp_serde::from_slice(&snapshot.data) {
             Ok(state) => *self.state.borrow_mut() = state,
             Err(error) => {
@@ -419,8 +429,8 @@
             }
         }
         self.applied.set(snapshot.meta.mark);
-        self.covered.set(snapshot.meta.mark.index);
-        self.bytes.set(0);
+        self.snapshot_index.set(snapshot.meta.mark.index);
+        self.bytes_since_snapshot.set(0);
     }
 
     fn push_backlog(&self) {
@@ -439,28 +449,30 @@
 
     fn take_snapshot(&self) {
         let applied = self.applied.get();
-        let many = applied.index.saturating_sub(self.covered.get()) >= SNAPSHOT_ENTRIES;
-        let due = many || self.bytes.get() >= SNAPSHOT_BYTES;
-        if !due || self.taking.get() || *self.failed.borrow() {
+        let has_many_entries =
+            applied.index.saturating_sub(self.snapshot_index.get()) >= SNAPSHOT_ENTRIES;
+        let due = has_many_entries || self.bytes_since_snapshot.get() >= SNAPSHOT_BYTES;
+        if !due || self.taking_snapshot.get() || *self.failed.borrow() {
             return;
         }
-        self.taking.set(true);
-        self.bytes.set(0);
+        self.taking_snapshot.set(true);
+        self.bytes_since_snapshot.set(0);
         let members = self.replica.borrow().members_at(applied.index);
         let meta = SnapshotMeta { mark: applied, members };
-        // Steps and results are shared, so the copy is small; encoding is long, and would hold
-        // up heartbeats here.
+        // Cloning is cheap because steps and results are reference-counted. Encoding takes long and
+        // would delay heartbeats on this thread.
         let state = self.state.borrow().clone();
-        let encoded = self.encoded.clone();
+        let encoded_reports = self.encoded_reports.clone();
         drop(std::thread::spawn(move || {
             let data = rmp_serde::to_vec(&state).expect("the state is plain data");
             tracing::info!(event = "snapshot_encoded", index = meta.mark.index, bytes = data.len());
-            let _ = encoded.send_blocking(Report::Encoded(convert::join(meta, data)));
+            let _ = encoded_reports.send_blocking(Report::Encoded(convert::join(meta, data)));
         }));
     }
 }
 
 fn new_identity() -> Incarnation {
-    // Drawn and not read from the clock, which may be set back to an earlier folder's moment.
+    // Random rather than derived from the clock, which may be set back to the time of an earlier
+    // data folder.
     Incarnation(rand::random())
 }
