--- a/components/node/src/forward/attempt.rs
+++ b/components/node/src/forward/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an endpoint, and what is written down of it.
+//! One attempt at an endpoint, and its record for the log.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,23 +14,24 @@
 use crate::clock;
 use crate::metrics;
 
-/// What became of a request's attempts, for its log line.
+/// The records of a request's attempts, for its log line.
 pub(super) type AttemptLog = Rc<RefCell<Vec<AttemptRecord>>>;
 
-/// One attempt: why it went where it went, and how it ended.
+/// The record of one attempt: which endpoint was chosen and why, and how the attempt ended.
 pub(super) struct AttemptRecord {
-    /// Where it went.
+    /// The chosen endpoint.
     pub(super) target: Target,
-    /// Milliseconds after the request came.
+    /// Milliseconds between the arrival of the request and the start of the attempt.
     pub(super) at_ms: u64,
-    /// When the request was written to a connection; none before.
+    /// When the request was written to a connection; `None` before that.
     pub(super) sent: Option<Millis>,
-    /// How it ended, after so many milliseconds; none while it is under way.
+    /// How it ended, and after how many milliseconds; `None` while it is in progress.
     pub(super) end: Option<(Ending, u64)>,
 }
 
 impl AttemptRecord {
-    /// Gives when the endpoint began to run the request, as far as is known; none if it did not.
+    /// Returns when the endpoint began to run the request, as far as is known; `None` if it did
+    /// not.
     pub(super) fn began(&self) -> Option<Millis> {
         let refused = matches!(self.end, Some((Ending::Refused | Ending::Moved, _)));
         self.sent.filter(|_| !refused)
@@ -45,15 +46,15 @@
             write!(f, " penalty={penalty_ms}")?;
         }
         match self.end {
-            Some((ending, ms)) => write!(f, " {}={ms}", word(ending)),
+            Some((ending, ms)) => write!(f, " {}={ms}", outcome_label(ending)),
             None => write!(f, " unended"),
         }
     }
 }
 
-/// An attempt under way; dropped without an end, its caller has left.
+/// An attempt in progress. If it is dropped before its end was recorded, its caller has left.
 pub(super) struct Attempt<'a> {
-    /// Chose the endpoint, and learns from how it ends.
+    /// The forwarder that chose the endpoint, and whose statistics record the end.
     pub(super) forwarder: &'a Forwarder,
     /// The endpoint's incarnation.
     pub(super) id: &'a str,
@@ -61,29 +62,29 @@
     pub(super) route: &'a str,
     /// When it began.
     pub(super) began: Millis,
-    /// Whether its end was noted.
+    /// Whether its end was recorded.
     pub(super) ended: bool,
-    /// Where it is written down.
-    pub(super) note: (AttemptLog, usize),
+    /// The attempt log and the index of this attempt in it.
+    pub(super) record: (AttemptLog, usize),
 }
 
 impl Attempt<'_> {
-    /// Notes that the request is being written.
+    /// Records that the request is being written.
     pub(super) fn send(&mut self) {
-        let (tries, place) = &self.note;
-        tries.borrow_mut()[*place].sent = Some(clock::now());
+        let (log, index) = &self.record;
+        log.borrow_mut()[*index].sent = Some(clock::now());
     }
 
-    /// Notes how it ended.
+    /// Records how it ended.
     pub(super) fn end(&mut self, ending: Ending) {
         self.ended = true;
-        let (tries, place) = &self.note;
-        tries.borrow_mut()[*place].end = Some((ending, clock::now().since(self.began)));
-        metrics::TRIES.with_label_values(&[word(ending)]).inc();
+        let (log, index) = &self.record;
+        log.borrow_mut()[*index].end = Some((ending, clock::now().since(self.began)));
+        metrics::TRIES.with_label_values(&[outcome_label(ending)]).inc();
         self.forwarder.picker.borrow_mut().ended(self.id, self.route, ending, clock::now());
     }
 
-    /// Writes down why it came to nothing.
+    /// Logs why the attempt failed.
     pub(super) fn log(&self, request: &Request, outcome: &str, error: &Broken) {
         let ms = clock::now().since(self.began);
         let request = plain::attempt(request).unwrap_or_default();
@@ -91,7 +92,7 @@
     }
 }
 
-fn word(ending: Ending) -> &'static str {
+fn outcome_label(ending: Ending) -> &'static str {
     match ending {
         Ending::Answered(_) => "answered",
         Ending::Refused => "refused",
--- a/components/node/src/forward/budget.rs
+++ b/components/node/src/forward/budget.rs
@@ -1,4 +1,4 @@
-//! What a request may cost: time and endpoints, however often it is carried.
+//! Limits of a request in time and endpoints, over all of its passes.
 
 use std::cell::RefCell;
 
@@ -8,41 +8,42 @@
 
 use crate::clock;
 
-/// What a request may cost, over all passes in which it is carried: endpoints are told the same end of
-/// its time in each, and no more of them run it than its route allows.
+/// Limits of a request over all passes in which it is forwarded: endpoints get the same deadline in
+/// each pass, and no more of them run the request than its route allows.
 #[derive(Debug)]
 pub struct Budget {
     pub(super) deadline: Millis,
-    /// Names the request at whichever process carries it.
-    pub(super) shared: Option<String>,
+    /// Identifies a request that several processes may forward.
+    pub(super) request_id: Option<String>,
     pub(super) spent: RefCell<Spent>,
-    pub(super) grown: Notify,
+    pub(super) added: Notify,
 }
 
 impl Budget {
-    /// Makes the budget of a request whose caller waits until then.
+    /// Creates the budget of a request whose caller waits until `deadline`.
     pub fn new(deadline: Millis) -> Self {
-        Self { deadline, shared: None, spent: RefCell::default(), grown: Notify::new() }
+        Self { deadline, request_id: None, spent: RefCell::default(), added: Notify::new() }
     }
 
-    /// Makes the budget of a request that other processes may have carried before, or carry as well. All
-    /// of them prefer the same endpoints, so that together they ask no more than one of them may.
+    /// Creates the budget of a request that other processes may have forwarded before, or may
+    /// forward concurrently. All of them prefer the same endpoints, so that together they use no
+    /// more endpoints than one of them may.
     pub fn shared(id: &str, deadline: Millis, spent: Spent) -> Self {
-        let shared = Some(id.to_owned());
-        Self { deadline, shared, spent: RefCell::new(spent), grown: Notify::new() }
+        let request_id = Some(id.to_owned());
+        Self { deadline, request_id, spent: RefCell::new(spent), added: Notify::new() }
     }
 
-    /// Gives the milliseconds for which its caller still waits.
+    /// Returns the milliseconds for which the caller still waits.
     pub fn left_ms(&self) -> u64 {
         self.deadline.since(clock::now())
     }
 
-    /// Waits until an endpoint is asked that was not asked before.
-    pub async fn asked_another(&self) {
-        self.grown.notified().await;
+    /// Waits until the request is sent to an endpoint that it was not sent to before.
+    pub async fn endpoint_added(&self) {
+        self.added.notified().await;
     }
 
-    /// Gives what was spent so far.
+    /// Returns what was spent so far.
     pub fn spent(&self) -> Spent {
         self.spent.borrow().clone()
     }
--- a/components/node/src/forward/dispatch.rs
+++ b/components/node/src/forward/dispatch.rs
@@ -1,4 +1,4 @@
-//! One request on its way: from endpoint to endpoint until one answers.
+//! Dispatches one request: tries endpoints until one answers.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -17,12 +17,12 @@
 
 use super::AttemptResult;
 use super::Budget;
-use super::CRASHES;
-use super::FULL_AFTER_MS;
+use super::CRASHING_CONTENT;
+use super::FULL_RETRY_AFTER_MS;
 use super::Forwarder;
-use super::NONE_AFTER_MS;
+use super::NOT_READY_RETRY_AFTER_MS;
 use super::Outcome;
-use super::REFUSED_AFTER_MS;
+use super::REFUSED_RETRY_AFTER_MS;
 use super::Requester;
 use super::attempt::AttemptLog;
 use super::attempt::AttemptRecord;
@@ -30,50 +30,51 @@
 use crate::crashes;
 use crate::metrics;
 
-/// Multiples of the usual time after which a second attempt starts beside the first. An endpoint
-/// that turns slow takes about four times as long; one attempt in some hundred takes three times
-/// as long by itself.
-const HEDGE: f64 = 3.0;
-/// Milliseconds before which no second attempt starts, and when nothing is known of the usual
-/// time.
-const HEDGE_LEAST_MS: u64 = 60;
-/// Milliseconds for which a request waits while endpoints are all full before it is refused. The caller
-/// can wait just as well, and another entry may know of room.
-const FULL_MS: u64 = 90;
+/// Multiple of the usual response time after which a second attempt starts concurrently. An
+/// endpoint that becomes slow takes about four times as long; about one attempt in a hundred takes
+/// three times as long by chance.
+const HEDGE_FACTOR: f64 = 3.0;
+/// Minimum time before a second attempt in milliseconds, also used while the usual response time is
+/// unknown.
+const MIN_HEDGE_MS: u64 = 60;
+/// Milliseconds for which a request waits while all endpoints are full before it is refused. The
+/// caller can wait just as well, and another entry may find a free endpoint.
+const MAX_FULL_WAIT_MS: u64 = 90;
 
-/// One request on its way.
+/// The state of one request in one pass.
 pub(super) struct Dispatch<'a> {
     pub(super) forwarder: &'a Forwarder,
     pub(super) service: &'a str,
     pub(super) route: &'a str,
     pub(super) request: &'a Request,
     pub(super) budget: &'a Budget,
-    pub(super) once: bool,
-    /// Endpoints that may run it, over all passes.
-    pub(super) attempts: u32,
-    /// Attempts that are left in this pass.
-    pub(super) left: u32,
+    pub(super) at_most_once: bool,
+    /// Maximum number of endpoints that may run the request, over all passes.
+    pub(super) max_endpoints: u32,
+    /// Remaining attempts in this pass.
+    pub(super) attempts_left: u32,
     pub(super) tried: Vec<String>,
-    /// Endpoints that may have run it in this pass, and not before.
-    pub(super) added: BTreeSet<String>,
-    /// Its place among those that wait while endpoints are full, if it was first there.
-    pub(super) place: Option<Place>,
-    /// Milliseconds for which it has waited while endpoints were full.
+    /// Endpoints that may have run the request in this pass for the first time.
+    pub(super) new_endpoints: BTreeSet<String>,
+    /// Its place in the queue of requests that wait for full endpoints, once it has reached the
+    /// head.
+    pub(super) queue_place: Option<Place>,
+    /// Milliseconds for which it has waited for full endpoints.
     pub(super) waited_ms: u64,
-    /// Attempts that may have run.
-    pub(super) runs: u32,
-    pub(super) last: Option<Reply>,
+    /// Number of attempts that may have run.
+    pub(super) possible_runs: u32,
+    pub(super) last_failure: Option<Reply>,
     pub(super) began: Millis,
-    pub(super) tries: AttemptLog,
-    pub(super) user: Requester<'a>,
+    pub(super) attempt_log: AttemptLog,
+    pub(super) requester: Requester<'a>,
 }
 
 impl Drop for Dispatch<'_> {
-    /// Notes for its workspace whether the request began to run, and when. It counts once, however
+    /// Records for its workspace whether and when the request began to run. It counts once, however
     /// many endpoints ran it.
     fn drop(&mut self) {
-        let Some(usage) = &mut self.user.usage else { return };
-        let tries = self.tries.borrow();
+        let Some(usage) = &mut self.requester.usage else { return };
+        let tries = self.attempt_log.borrow();
         if let Some(began) = tries.iter().filter_map(AttemptRecord::began).min() {
             usage.began(began);
         }
@@ -81,24 +82,26 @@
 }
 
 impl<'a> Dispatch<'a> {
-    /// Carries it until that is settled.
+    /// Tries endpoints until the outcome is known.
     pub(super) async fn run(&mut self) -> Outcome {
         let mut running = FuturesUnordered::new();
-        let mut hedged = self.once || !self.forwarder.second;
-        if self.forwarder.queues.is_closed(self.service) && !self.wait().await {
+        let mut hedged = self.at_most_once || !self.forwarder.hedging;
+        if self.forwarder.queues.is_closed(self.service) && !self.wait_for_turn().await {
             return self.give_up(Nowhere::AllTried);
         }
         loop {
             if running.is_empty() {
-                if self.forwarder.crashes.refuses(self.request, self.user.workspace) {
-                    return self.refuse();
+                if self.forwarder.crashes.refuses(self.request, self.requester.workspace) {
+                    return self.refuse_content();
                 }
-                match self.choose() {
-                    Ok(target) => running.push(self.start(target)),
-                    Err(Nowhere::AllTried) if self.left > 0 && !self.is_bound() => {
+                match self.pick_endpoint() {
+                    Ok(target) => running.push(self.start_attempt(target)),
+                    Err(Nowhere::AllTried)
+                        if self.attempts_left > 0 && !self.is_budget_limited() =>
+                    {
                         self.tried.clear();
                         self.forwarder.queues.found_full(self.service);
-                        if !self.wait().await {
+                        if !self.wait_for_turn().await {
                             return self.give_up(Nowhere::AllTried);
                         }
                         continue;
@@ -111,149 +114,161 @@
                 tried = running.next() => tried,
                 () = tokio::time::sleep(hedge), if !hedged => {
                     hedged = true;
-                    if let Ok(target) = self.choose() {
-                        running.push(self.start(target));
+                    if let Ok(target) = self.pick_endpoint() {
+                        running.push(self.start_attempt(target));
                     }
                     continue;
                 }
             };
-            if let Some(outcome) = tried.and_then(|tried| self.take(tried)) {
+            if let Some(outcome) = tried.and_then(|tried| self.handle_result(tried)) {
                 return outcome;
             }
         }
     }
 
-    /// Waits for the turn to ask endpoints that were full; tells whether it came in time.
-    async fn wait(&mut self) -> bool {
+    /// Waits in the queue for full endpoints. Returns whether the turn came in time.
+    async fn wait_for_turn(&mut self) -> bool {
         let began = clock::now();
-        let until = began + FULL_MS.saturating_sub(self.waited_ms);
-        let user = (self.user.workspace, self.user.rank);
-        let place = self.place.take();
-        self.place = self.forwarder.queues.turn(self.service, user, place, until).await;
+        let until = began + MAX_FULL_WAIT_MS.saturating_sub(self.waited_ms);
+        let queued_as = (self.requester.workspace, self.requester.rank);
+        let place = self.queue_place.take();
+        self.queue_place = self.forwarder.queues.turn(self.service, queued_as, place, until).await;
         self.waited_ms += clock::now().since(began);
-        self.place.is_some()
+        self.queue_place.is_some()
     }
 
-    /// Tells whether an endpoint is ready that was not tried, and that the budget does not allow: then it is
-    /// not for want of room that there is none.
-    fn is_bound(&self) -> bool {
+    /// Returns whether there is an untried ready endpoint that the budget excludes. Then a lack of
+    /// capacity is not the reason that no endpoint can be picked.
+    fn is_budget_limited(&self) -> bool {
         let picker = self.forwarder.picker.borrow();
         picker.has_ready(self.service, |id| !self.tried.iter().any(|tried| tried == id))
     }
 
-    fn choose(&mut self) -> Result<Target, Nowhere> {
-        if self.left == 0 {
+    fn pick_endpoint(&mut self) -> Result<Target, Nowhere> {
+        if self.attempts_left == 0 {
             return Err(Nowhere::AllTried);
         }
         let mut picker = self.forwarder.picker.borrow_mut();
         let spent = self.budget.spent.borrow();
         let live = spent.endpoints.iter().filter(|id| picker.is_ready(id)).count();
-        let may_add = live < self.attempts as usize;
+        let may_add = live < self.max_endpoints as usize;
         let tried = |id: &str| self.tried.iter().any(|tried| tried == id);
-        let preferred = self.budget.shared.as_ref().map(|request| {
-            // Those that did not run it are passed over for the next in order.
+        let preferred = self.budget.request_id.as_ref().map(|request| {
+            // Tried endpoints that did not run the request are replaced by the next in order.
             let open = |id: &str| !tried(id) || spent.endpoints.contains(id);
-            picker.preferred(self.service, request, self.attempts as usize, open)
+            picker.preferred(self.service, request, self.max_endpoints as usize, open)
         });
         let fits = |id: &str| {
-            let may_add = may_add && preferred.as_ref().is_none_or(|some| some.contains(id));
+            let may_add =
+                may_add && preferred.as_ref().is_none_or(|preferred| preferred.contains(id));
             !tried(id) && (may_add || spent.endpoints.contains(id))
         };
         picker.pick(self.service, self.route, fits, clock::now())
     }
 
-    fn start(&mut self, target: Target) -> impl Future<Output = (String, AttemptResult)> + use<'a> {
-        let why = match (self.tries.borrow().is_empty(), self.under_way()) {
+    fn start_attempt(
+        &mut self,
+        target: Target,
+    ) -> impl Future<Output = (String, AttemptResult)> + use<'a> {
+        let why = match (self.attempt_log.borrow().is_empty(), self.in_progress()) {
             (true, _) => "first",
             (false, true) => "beside",
             (false, false) => "again",
         };
         metrics::ATTEMPTS.with_label_values(&[why]).inc();
-        self.left -= 1;
-        self.runs += 1;
+        self.attempts_left -= 1;
+        self.possible_runs += 1;
         let id = target.id.clone();
         self.tried.push(id.clone());
         if self.budget.spent.borrow_mut().endpoints.insert(id.clone()) {
-            self.added.insert(id.clone());
-            self.budget.grown.notify_one();
+            self.new_endpoints.insert(id.clone());
+            self.budget.added.notify_one();
         }
         let at_ms = clock::now().since(self.began);
-        self.tries.borrow_mut().push(AttemptRecord {
+        self.attempt_log.borrow_mut().push(AttemptRecord {
             target: target.clone(),
             at_ms,
             sent: None,
             end: None,
         });
-        let note = (self.tries.clone(), self.tries.borrow().len() - 1);
+        let record = (self.attempt_log.clone(), self.attempt_log.borrow().len() - 1);
         let (forwarder, route, request) = (self.forwarder, self.route, self.request);
-        let (deadline, once) = (self.budget.deadline, self.once);
-        async move { (id, forwarder.attempt(target, route, request, deadline, once, note).await) }
+        let (deadline, at_most_once) = (self.budget.deadline, self.at_most_once);
+        async move {
+            (id, forwarder.attempt(target, route, request, deadline, at_most_once, record).await)
+        }
     }
 
-    /// Tells whether an attempt has not ended yet.
-    fn under_way(&self) -> bool {
-        self.tries.borrow().iter().any(|one| one.end.is_none())
+    /// Returns whether an attempt is in progress.
+    fn in_progress(&self) -> bool {
+        self.attempt_log.borrow().iter().any(|one| one.end.is_none())
     }
 
-    /// Takes in how an attempt ended; gives the outcome if that settles the request.
-    fn take(&mut self, (id, tried): (String, AttemptResult)) -> Option<Outcome> {
+    /// Handles the result of an attempt. Returns the outcome if it decides the request.
+    fn handle_result(&mut self, (id, tried): (String, AttemptResult)) -> Option<Outcome> {
         match tried {
             AttemptResult::Answered(reply) => {
-                // Only this status says that the endpoint failed at it; samples are given up for it.
+                // Only this status means that the endpoint failed to process the request; samples
+                // are given up because of it.
                 let failed = reply.status == StatusCode::INTERNAL_SERVER_ERROR;
-                self.forwarder.crashes.ran(self.request, self.user.workspace);
+                self.forwarder.crashes.ran(self.request, self.requester.workspace);
                 self.budget.spent.borrow_mut().failures += u32::from(failed);
-                if self.once || !reply.status.is_server_error() {
+                if self.at_most_once || !reply.status.is_server_error() {
                     return Some(Outcome::Answered(reply));
                 }
-                self.last = Some(reply);
+                self.last_failure = Some(reply);
                 None
             }
             AttemptResult::NotRun | AttemptResult::Unsent => {
-                self.left += 1;
-                self.runs -= 1;
-                if self.added.remove(&id) {
+                self.attempts_left += 1;
+                self.possible_runs -= 1;
+                if self.new_endpoints.remove(&id) {
                     self.budget.spent.borrow_mut().endpoints.remove(&id);
                 }
                 None
             }
-            AttemptResult::Lost => self.once.then_some(Outcome::Lost),
+            AttemptResult::Lost => self.at_most_once.then_some(Outcome::Lost),
             AttemptResult::Broken(address) => {
-                let content = crashes::content(self.request, self.user.workspace);
+                let content = crashes::content(self.request, self.requester.workspace);
                 self.forwarder.crashes.look(Crash { content, endpoint: id }, address);
-                self.once.then_some(Outcome::Lost)
+                self.at_most_once.then_some(Outcome::Lost)
             }
         }
     }
 
-    /// Gives up because others found meanwhile that the content crashes endpoints.
-    fn refuse(&mut self) -> Outcome {
+    /// Gives up because the content has been found to crash endpoints in the meantime.
+    fn refuse_content(&mut self) -> Outcome {
         match self.give_up(Nowhere::AllTried) {
-            Outcome::NotRun(..) => Outcome::NotRun(CRASHES, REFUSED_AFTER_MS),
+            Outcome::NotRun(..) => Outcome::NotRun(CRASHING_CONTENT, REFUSED_RETRY_AFTER_MS),
             outcome => outcome,
         }
     }
 
     fn give_up(&mut self, nowhere: Nowhere) -> Outcome {
-        match (self.last.take(), nowhere) {
+        match (self.last_failure.take(), nowhere) {
             (Some(reply), _) => Outcome::Answered(reply),
-            (None, _) if self.runs > 0 => Outcome::Lost,
-            (None, Nowhere::NoneReady) => Outcome::NotRun("no endpoint is ready", NONE_AFTER_MS),
-            (None, Nowhere::AllTried) => Outcome::NotRun("all endpoints are full", FULL_AFTER_MS),
+            (None, _) if self.possible_runs > 0 => Outcome::Lost,
+            (None, Nowhere::NoneReady) => {
+                Outcome::NotRun("no endpoint is ready", NOT_READY_RETRY_AFTER_MS)
+            }
+            (None, Nowhere::AllTried) => {
+                Outcome::NotRun("all endpoints are full", FULL_RETRY_AFTER_MS)
+            }
         }
     }
 
-    /// Writes down what became of the attempts of a request that was late or failed: with this line
-    /// alone it can be told whether an endpoint was slow, failed, or was the only one left. The
-    /// others are only counted, so that the volume stays bounded.
-    pub(super) fn explain(&self, outcome: &Outcome, target_ms: u64) {
+    /// Logs the attempts of a request that was late or failed. This line alone shows whether an
+    /// endpoint was slow, failed, or was the only one left. Other requests are only counted, which
+    /// bounds the volume of the log.
+    pub(super) fn log_attempts(&self, outcome: &Outcome, target_ms: u64) {
         let ms = clock::now().since(self.began);
         let good = matches!(outcome, Outcome::Answered(reply) if reply.status.is_success());
         if good && ms <= target_ms {
             return;
         }
         let request = plain::attempt(self.request).unwrap_or_default();
-        let tries: Vec<String> = self.tries.borrow().iter().map(AttemptRecord::to_string).collect();
+        let tries: Vec<String> =
+            self.attempt_log.borrow().iter().map(AttemptRecord::to_string).collect();
         let tries = tries.join("; ");
         let (service, waited_ms) = (self.service, self.waited_ms);
         tracing::info!(event = "request_tried", request, service, tries, waited_ms, ms, target_ms);
@@ -261,6 +276,6 @@
 
     fn hedge_ms(&self) -> u64 {
         let usual = self.forwarder.picker.borrow().usual_ms(self.route);
-        usual.map_or(HEDGE_LEAST_MS, |ms| ((ms * HEDGE) as u64).max(HEDGE_LEAST_MS))
+        usual.map_or(MIN_HEDGE_MS, |ms| ((ms * HEDGE_FACTOR) as u64).max(MIN_HEDGE_MS))
     }
 }
--- a/components/node/src/forward/mod.rs
+++ b/components/node/src/forward/mod.rs
@@ -1,4 +1,4 @@
-//! Carries a request to endpoints of a plain service until one answers or the time is up.
+//! Forwards a request to endpoints of a plain service until one answers or the time is up.
 
 mod attempt;
 mod budget;
@@ -37,35 +37,35 @@
 
 pub use budget::Budget;
 
-/// How long a connection to an endpoint may take to come about. Round trips are a few
-/// milliseconds; an opening packet that is lost is sent again only after a second.
-const CONNECT: Duration = Duration::from_millis(250);
-/// Milliseconds after which a caller may come back when endpoints are full: the usual request is
+/// Timeout for connecting to an endpoint. Round trips take a few milliseconds; a lost SYN packet is
+/// only sent again after a second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Milliseconds after which a caller may retry when all endpoints are full: the usual request is
 /// done by then.
-const FULL_AFTER_MS: u64 = 150;
-/// Milliseconds after which a caller may come back when no endpoint is ready: endpoints announce
+const FULL_RETRY_AFTER_MS: u64 = 150;
+/// Milliseconds after which a caller may retry when no endpoint is ready: endpoints announce
 /// themselves about every second.
-const NONE_AFTER_MS: u64 = 600;
-/// Milliseconds after which a caller may come back with a content that crashes endpoints: it is refused for
+const NOT_READY_RETRY_AFTER_MS: u64 = 600;
+/// Milliseconds after which a caller may retry a content that crashes endpoints: it is refused for
 /// a day.
-const REFUSED_AFTER_MS: u64 = 24 * 60 * 60 * 1_000;
-/// Why such a content is refused.
-const CRASHES: &str = "the content crashes endpoints";
+const REFUSED_RETRY_AFTER_MS: u64 = 24 * 60 * 60 * 1_000;
+/// The reason given for refusing such a content.
+const CRASHING_CONTENT: &str = "the content crashes endpoints";
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Debug)]
 pub enum Outcome {
-    /// An endpoint's answer.
+    /// An endpoint answered.
     Answered(Reply),
-    /// It has not run and will not; the caller may come back after so many milliseconds.
+    /// It has not run and will not run; the caller may retry after so many milliseconds.
     NotRun(&'static str, u64),
-    /// It may have run, and no answer came.
+    /// It may have run, and the answer was lost.
     Lost,
     /// It may have run, and the time is up.
     Late,
 }
 
-/// How one attempt ended.
+/// The result of one attempt.
 enum AttemptResult {
     Answered(Reply),
     NotRun,
@@ -75,40 +75,40 @@
     Broken(SocketAddr),
 }
 
-/// Carries requests. One for a process, so that its attempts are all counted.
+/// Forwards requests. Each process has one, so that it counts all of its attempts.
 pub struct Forwarder {
     picker: RefCell<Picker>,
     pool: RefCell<Pool>,
-    /// Whether second attempts are made.
-    second: bool,
+    /// Whether a slow attempt is hedged by a second one.
+    hedging: bool,
     queues: WaitQueues,
     crashes: Rc<Crashes>,
 }
 
-/// For whom a request is carried.
+/// On whose behalf a request is forwarded.
 #[derive(Default)]
 pub struct Requester<'a> {
     /// The workspace, empty where there are none.
     pub workspace: &'a str,
     /// The rank of the request, zero first.
     pub rank: u32,
-    /// Notes what the workspace uses.
+    /// Records what the workspace uses.
     pub usage: Option<RequestUsage>,
 }
 
 impl Forwarder {
-    /// Makes one that knows no endpoint.
+    /// Creates a forwarder without endpoints.
     pub fn new(policy: Policy) -> Rc<Self> {
         let picker = RefCell::new(Picker::new(rand::random()).under(policy));
-        let second = policy.second_attempts;
+        let hedging = policy.second_attempts;
         let (pool, queues, crashes) = (RefCell::default(), WaitQueues::default(), Rc::default());
-        Rc::new(Self { picker, pool, second, queues, crashes })
+        Rc::new(Self { picker, pool, hedging, queues, crashes })
     }
 
-    /// Takes in news of endpoints.
-    pub fn apply(&self, news: &Update) {
+    /// Applies an update to endpoints, routes and refused contents.
+    pub fn apply(&self, update: &Update) {
         let mut picker = self.picker.borrow_mut();
-        match news {
+        match update {
             Update::Endpoint(endpoint) => picker.observe(endpoint),
             Update::Forgotten(id) => picker.forget(id),
             Update::Whole(known) => picker.retain(|id| known.contains(id)),
@@ -122,18 +122,18 @@
         }
     }
 
-    /// Tells the leader of requests that crash endpoints, for as long as the process lives.
+    /// Reports requests that crash endpoints to the leader, for as long as the process runs.
     pub async fn report_crashes(&self, link: Rc<Link>) {
         self.crashes.clone().report_periodically(link).await;
     }
 
-    /// Closes connections that were kept too long.
+    /// Closes connections that have been idle too long.
     pub fn sweep(&self) {
         let picker = self.picker.borrow();
         self.pool.borrow_mut().sweep(|incarnation| picker.is_ready(incarnation));
     }
 
-    /// Carries a request in one pass, for so many milliseconds at most. Dropping the future closes the
+    /// Forwards a request in one pass of at most `limit_ms`. Dropping the future closes the
     /// connections of its attempts.
     pub async fn forward(
         &self,
@@ -141,17 +141,17 @@
         request: &Request,
         budget: &Budget,
         limit_ms: u64,
-        user: Requester<'_>,
+        requester: Requester<'_>,
     ) -> Outcome {
         let left_ms = budget.left_ms().min(limit_ms);
         if left_ms == 0 {
-            return Outcome::NotRun("its time is up", FULL_AFTER_MS);
+            return Outcome::NotRun("its time is up", FULL_RETRY_AFTER_MS);
         }
-        if self.crashes.refuses(request, user.workspace) {
-            return Outcome::NotRun(CRASHES, REFUSED_AFTER_MS);
+        if self.crashes.refuses(request, requester.workspace) {
+            return Outcome::NotRun(CRASHING_CONTENT, REFUSED_RETRY_AFTER_MS);
         }
         let Some(service) = route.service(rand::random()) else {
-            return Outcome::NotRun("the route leads nowhere", NONE_AFTER_MS);
+            return Outcome::NotRun("the route leads nowhere", NOT_READY_RETRY_AFTER_MS);
         };
         let mut dispatch = Dispatch {
             forwarder: self,
@@ -159,18 +159,18 @@
             route: &route.name,
             request,
             budget,
-            once: route.kind != Kind::Idempotent,
-            attempts: route.attempts.max(1),
-            left: route.attempts.saturating_sub(budget.spent.borrow().failures).max(1),
+            at_most_once: route.kind != Kind::Idempotent,
+            max_endpoints: route.attempts.max(1),
+            attempts_left: route.attempts.saturating_sub(budget.spent.borrow().failures).max(1),
             tried: Vec::new(),
-            added: BTreeSet::new(),
-            place: None,
+            new_endpoints: BTreeSet::new(),
+            queue_place: None,
             waited_ms: 0,
-            runs: 0,
-            last: None,
+            possible_runs: 0,
+            last_failure: None,
             began: clock::now(),
-            tries: Rc::default(),
-            user,
+            attempt_log: Rc::default(),
+            requester,
         };
         let timer = tokio::time::sleep(Duration::from_millis(left_ms));
         let outcome = tokio::select! {
@@ -178,34 +178,35 @@
             () = timer => None,
         };
         let outcome = outcome.unwrap_or_else(|| {
-            if dispatch.runs > 0 {
+            if dispatch.possible_runs > 0 {
                 Outcome::Late
             } else {
-                Outcome::NotRun("no endpoint took it in time", FULL_AFTER_MS)
+                Outcome::NotRun("no endpoint took it in time", FULL_RETRY_AFTER_MS)
             }
         });
-        dispatch.explain(&outcome, route.target_ms);
+        dispatch.log_attempts(&outcome, route.target_ms);
         outcome
     }
 
-    /// Makes one attempt. `once` says that it must not arrive twice, so that it goes out on a new
-    /// connection: on a kept one that breaks, it would not be known whether it arrived.
+    /// Makes one attempt. `at_most_once` means that the request must not arrive twice; it is then
+    /// sent on a new connection, because a broken pooled connection would leave it unknown whether
+    /// it arrived.
     async fn attempt(
         &self,
         target: Target,
         route: &str,
         request: &Request,
         deadline: Millis,
-        once: bool,
-        note: (AttemptLog, usize),
+        at_most_once: bool,
+        record: (AttemptLog, usize),
     ) -> AttemptResult {
         let began = clock::now();
         let mut attempt =
-            Attempt { forwarder: self, id: &target.id, route, began, ended: false, note };
-        let kept = self.pool.borrow_mut().take(target.address, &target.id);
-        let connection = match kept.filter(|_| !once) {
+            Attempt { forwarder: self, id: &target.id, route, began, ended: false, record };
+        let pooled = self.pool.borrow_mut().take(target.address, &target.id);
+        let connection = match pooled.filter(|_| !at_most_once) {
             Some(connection) => connection,
-            None => match Connection::open(target.address, CONNECT).await {
+            None => match Connection::open(target.address, CONNECT_TIMEOUT).await {
                 Ok(connection) => connection,
                 Err(error) => {
                     attempt.log(request, "unsent", &error);
@@ -214,7 +215,7 @@
                 }
             },
         };
-        // To open a connection has taken some of the time.
+        // Connecting has taken some of the time.
         let left_ms = deadline.since(clock::now());
         let forwarded = plain::forward(request, &target.id, left_ms);
         attempt.send();
@@ -264,8 +265,8 @@
         }
         let (reply, connection) = incoming.whole().await?;
         if let Some(connection) = connection {
-            let stated = reply.headers.get("keep-alive");
-            self.pool.borrow_mut().keep(target.address, &target.id, connection, stated);
+            let keep_alive = reply.headers.get("keep-alive");
+            self.pool.borrow_mut().keep(target.address, &target.id, connection, keep_alive);
         }
         Ok((meaning, reply))
     }
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -1,8 +1,8 @@
-//! The processes of a fleet: entries, replicas, stores, and what they say to each other.
+//! The processes of a fleet: entries, control processes, stores, and the protocol between them.
 //!
-//! One process runs the parts that its settings name, all on one thread beside one for the disk,
-//! because a VM has a small part of one core. docs/PLATFORM.md tells which parts run where, and
-//! what each does when it is out of touch.
+//! One process runs the parts that its settings enable. All of them share one thread, next to one
+//! thread for the disk, because a VM has only a small share of one core. docs/PLATFORM.md describes
+//! which parts run where, and what each does when it is disconnected.
 
 pub mod clock;
 pub mod control;
--- a/components/node/src/runner/mod.rs
+++ b/components/node/src/runner/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts runs: takes orders, has them carried out, and tells the leader.
+//! Hosts runs: accepts orders, executes them, and reports to the leader.
 
 mod execute;
 
@@ -27,54 +27,58 @@
 use crate::message::MemberMessage;
 use crate::view::View;
 
-/// How often the leader is told of progress; what it was not told is lost with this host.
-const TELL: Duration = Duration::from_millis(250);
-/// Milliseconds after which an order to run a sample is not carried out any more. An order may lie in
-/// the leader's queue, in sockets or before a busy host for seconds while both sides hear each other,
-/// and its step may have ended meanwhile; a run begun then reaches its engine after the end was
-/// acknowledged, and the word to stop it lies behind it. Three seconds are allowed for an end to take
-/// effect, and a connection takes a quarter of one. An order that comes at once is at most about 250 ms
-/// old, the time between two beats; where VMs were slow or frozen, orders up to 4.5 s old were seen.
-const ORDER_MS: u64 = 2_000;
-/// Milliseconds for which the leader's last sign counts: it led after this host's clock read what it
-/// gives back. Scorers are called for as long and one look of [`TELL`], so their calls are over 0.75 s
-/// before an end that was acknowledged meanwhile must have taken effect, which has three seconds; the
-/// next leader is elected within one.
-const LED_MS: u64 = 2_000;
-/// Milliseconds for which a run that no leader asks about is kept.
-const KEPT_MS: u64 = 30_000;
+/// Interval of progress reports to the leader. Unreported progress is lost with this host.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum age of an order to run a sample, in milliseconds; older orders are refused. An order may
+/// wait for seconds in the leader's queue, in sockets or at a busy host while both sides keep
+/// receiving from each other, and its step may end in the meantime. Its run would then reach the
+/// engine after the end was acknowledged, with the order to stop still queued behind it. An end
+/// must take effect within three seconds, and connecting takes up to a quarter of a second. An
+/// order without delay appears at most about 250 ms old, which is the heartbeat interval; with slow
+/// or frozen VMs, orders up to 4.5 s old were observed.
+const MAX_ORDER_AGE_MS: u64 = 2_000;
+/// Maximum age of the leader's last sign, in milliseconds. A sign returns a reading of this host's
+/// clock, and the leader was in office after that reading. Scorers are called for this long plus
+/// one [`REPORT_INTERVAL`], so their calls stop 0.75 s before an end that was acknowledged in the
+/// meantime must have taken effect: three seconds are allowed for that, and the next leader is
+/// elected within one.
+const MAX_LEADER_SIGN_AGE_MS: u64 = 2_000;
+/// Milliseconds after its last event for which a run that has left its engine is kept if no leader
+/// asks for it.
+const FINISHED_RUN_TTL_MS: u64 = 30_000;
 
-/// A run that this process hosts.
-struct Hosted {
+/// A run hosted by this process.
+struct HostedRun {
     job: Rc<Job>,
     handle: JoinHandle<()>,
-    state: Rc<State>,
+    state: Rc<RunState>,
 }
 
-/// What a run's task and the telling of it share.
-struct State {
+/// State shared by the task of a run and its reports.
+struct RunState {
     made: RefCell<Made>,
     standing: RefCell<Standing>,
-    /// Events that the leader was told of.
-    told: Cell<usize>,
-    /// When the last event came.
-    heard: Cell<Millis>,
-    /// When that of the last telling came.
-    told_at: Cell<Millis>,
-    /// Whether the last telling found no room on the way to the leader.
-    owed: Cell<bool>,
-    /// Until when its order holds; no request is sent after that.
-    until: Millis,
-    /// What endpoints may spend on the sample, and what its scorer's call has.
+    /// Number of events that were reported to the leader.
+    reported_events: Cell<usize>,
+    /// When the last event arrived.
+    last_event: Cell<Millis>,
+    /// When the last reported event arrived.
+    last_reported_event: Cell<Millis>,
+    /// Whether the last report was dropped because the queue to the leader was full or no leader
+    /// was connected.
+    report_dropped: Cell<bool>,
+    /// Until when the order is valid; no request is sent after that.
+    order_expires: Millis,
+    /// Time limit of the sample, and the cost of its scorer's call.
     budget: Budget,
-    /// What the leader was told of that.
-    told_spent: RefCell<Spent>,
+    /// The part of that cost that was reported to the leader.
+    reported_spent: RefCell<Spent>,
 }
 
-impl State {
-    /// Tells whether the scorer's call has cost what the leader does not know.
-    fn has_spent(&self) -> bool {
-        self.budget.spent() != *self.told_spent.borrow()
+impl RunState {
+    /// Returns whether the scorer's call has costs that were not reported to the leader.
+    fn has_unreported_cost(&self) -> bool {
+        self.budget.spent() != *self.reported_spent.borrow()
     }
 }
 
@@ -83,106 +87,108 @@
     view: Rc<View>,
     forwarder: Rc<Forwarder>,
     pool: RefCell<Pool>,
-    hosted: RefCell<BTreeMap<(String, u32), Rc<Hosted>>>,
+    runs: RefCell<BTreeMap<(String, u32), Rc<HostedRun>>>,
     sink: RefCell<Option<Sink>>,
-    /// Whether the leader is still to be told that all runs have been told.
-    owes_word: Cell<bool>,
-    /// This host's own clock in the newest of its words that a leader is known to have read.
-    led: Cell<Millis>,
-    /// When it last began to tell a leader of its runs.
-    attached: Cell<Millis>,
+    /// Whether the message that all runs have been reported is still to be sent.
+    reported_due: Cell<bool>,
+    /// The newest reading of this host's clock that a leader is known to have received.
+    leader_sign: Cell<Millis>,
+    /// When it last started to report to a leader.
+    attached_at: Cell<Millis>,
 }
 
-/// Where reports go: to the leader's connection, or within the leader's own process.
+/// Where reports go: to the connection of a remote leader, or to the leader in this process.
 #[derive(Clone)]
 enum Sink {
     Link(mpsc::Sender<MemberMessage>),
-    Own(Rc<dyn Fn(&Report)>),
+    Local(Rc<dyn Fn(&Report)>),
 }
 
 impl Runner {
-    /// Makes one without runs.
+    /// Creates a runner without runs.
     pub fn new(view: Rc<View>, forwarder: Rc<Forwarder>) -> Rc<Self> {
         Rc::new(Self {
             view,
             forwarder,
             pool: RefCell::default(),
-            hosted: RefCell::default(),
+            runs: RefCell::default(),
             sink: RefCell::default(),
-            owes_word: Cell::default(),
-            led: Cell::default(),
-            attached: Cell::default(),
+            reported_due: Cell::default(),
+            leader_sign: Cell::default(),
+            attached_at: Cell::default(),
         })
     }
 
-    /// Tells a leader that was just found of all runs, and of what happens to them from now on.
-    pub fn attach(&self, up: mpsc::Sender<MemberMessage>) {
-        *self.sink.borrow_mut() = Some(Sink::Link(up));
-        self.attached.set(clock::now());
-        self.tell_all();
-        self.beat();
+    /// Reports all runs to a new leader, and their changes from now on.
+    pub fn attach(&self, sender: mpsc::Sender<MemberMessage>) {
+        *self.sink.borrow_mut() = Some(Sink::Link(sender));
+        self.attached_at.set(clock::now());
+        self.report_all();
+        self.send_heartbeat();
     }
 
-    /// Says that this process lives, and what its clock reads.
-    fn beat(&self) {
-        if let Some(Sink::Link(up)) = &*self.sink.borrow() {
-            // A full queue says that this process lives, too.
-            let _ = up.try_send(MemberMessage::Beat { clock: clock::now(), wall: clock::wall() });
+    /// Sends a heartbeat with the time of this process's clocks.
+    fn send_heartbeat(&self) {
+        if let Some(Sink::Link(sender)) = &*self.sink.borrow() {
+            // A full queue also shows the leader that this process is alive.
+            let _ =
+                sender.try_send(MemberMessage::Beat { clock: clock::now(), wall: clock::wall() });
         }
     }
 
-    /// Notes a sign of the leader: it led after this host's clock read `heard`.
+    /// Records a sign of the leader, which was in office after this host's clock read `heard`.
     pub fn record_leader_sign(&self, heard: Millis) {
-        self.led.set(self.led.get().max(heard));
+        self.leader_sign.set(self.leader_sign.get().max(heard));
     }
 
-    /// Tells whether a leader wants this host's runs as far as it is known: it led lately, and since it
-    /// was told of them. Its words to stop those that nobody wants came before that sign, on the same
-    /// connection. Without a leader, or on a connection that lags, a step may have ended long ago.
-    fn is_led(&self) -> bool {
+    /// Returns whether a leader is known to want this host's runs: its last sign is recent, and
+    /// newer than the start of the reports to it. Its orders to stop unwanted runs were sent before
+    /// that sign on the same connection. Without a leader, or on a delayed connection, a step may
+    /// have ended long ago.
+    fn has_fresh_leader(&self) -> bool {
         match &*self.sink.borrow() {
-            Some(Sink::Own(_)) => true,
+            Some(Sink::Local(_)) => true,
             _ => {
-                let led = self.led.get();
-                led >= self.attached.get() && clock::now().since(led) <= LED_MS
+                let sign = self.leader_sign.get();
+                sign >= self.attached_at.get() && clock::now().since(sign) <= MAX_LEADER_SIGN_AGE_MS
             }
         }
     }
 
     /// Waits until no leader is known to want this host's runs.
-    async fn unled(&self) {
-        while self.is_led() {
-            tokio::time::sleep(TELL).await;
+    async fn leader_sign_expired(&self) {
+        while self.has_fresh_leader() {
+            tokio::time::sleep(REPORT_INTERVAL).await;
         }
     }
 
-    /// Tells the leader's duties in this process.
-    pub fn attach_local(&self, tell: impl Fn(&Report) + 'static) {
-        *self.sink.borrow_mut() = Some(Sink::Own(Rc::new(tell)));
+    /// Sends reports to the leader in this process.
+    pub fn attach_local(&self, handler: impl Fn(&Report) + 'static) {
+        *self.sink.borrow_mut() = Some(Sink::Local(Rc::new(handler)));
     }
 
-    /// Tells nobody until the next leader is found. Runs go on.
+    /// Stops reporting until the next leader is found. Runs continue.
     pub fn detach(&self) {
-        self.owes_word.set(false);
+        self.reported_due.set(false);
         *self.sink.borrow_mut() = None;
     }
 
     /// Stops all runs.
     pub fn clear(&self) {
-        for (_, hosted) in std::mem::take(&mut *self.hosted.borrow_mut()) {
+        for (_, hosted) in std::mem::take(&mut *self.runs.borrow_mut()) {
             hosted.handle.abort();
         }
     }
 
-    /// Takes work of this process's own duties.
+    /// Handles work from the leader in this process.
     pub fn handle_local(self: &Rc<Self>, work: Work) {
         self.handle_order(work, 0);
     }
 
-    /// Takes work that the leader gave, `age_ms` ago at most.
+    /// Handles work that a remote leader sent at most `age_ms` ago.
     pub fn handle_order(self: &Rc<Self>, work: Work, age_ms: u64) {
         match work {
-            Work::Run(job) if age_ms > ORDER_MS => self.refuse(&job, age_ms),
+            Work::Run(job) if age_ms > MAX_ORDER_AGE_MS => self.refuse_order(&job, age_ms),
             Work::Run(job) => {
                 tracing::info!(
                     event = "run_taken",
@@ -195,51 +201,53 @@
                 );
                 self.start(*job, age_ms);
             }
-            Work::Tell => self.tell_all(),
+            Work::Tell => self.report_all(),
             Work::Stop { step, index, run } => {
                 let key = (step, index);
-                let has = self.hosted.borrow().get(&key).map(|hosted| hosted.job.run);
-                let (step, has_run) = (&key.0, has.unwrap_or_default());
+                let current = self.runs.borrow().get(&key).map(|hosted| hosted.job.run);
+                let (step, has_run) = (&key.0, current.unwrap_or_default());
                 tracing::info!(event = "run_stopped", step, index, run, has_run, age_ms);
-                if has == Some(run) {
+                if current == Some(run) {
                     self.stop(&key);
                 }
             }
         }
     }
 
-    fn tell_all(&self) {
-        for hosted in self.all() {
-            hosted.state.told.set(0);
-            self.tell(&hosted);
+    fn report_all(&self) {
+        for hosted in self.all_runs() {
+            hosted.state.reported_events.set(0);
+            self.report(&hosted);
         }
-        self.tell_whole();
+        self.report_completion();
     }
 
-    /// Says that all runs have been told; later, if one of them found no room. The leader would take
-    /// that run away otherwise, and give this host nothing without the word.
-    fn tell_whole(&self) {
+    /// Sends the message that all runs have been reported, unless a report was dropped; then it is
+    /// sent later. Otherwise the leader would take the unreported run away. The leader assigns
+    /// nothing to this host before this message.
+    fn report_completion(&self) {
         let sink = self.sink.borrow();
-        let Some(Sink::Link(up)) = &*sink else { return };
-        let owed = self.all().iter().any(|hosted| hosted.state.owed.get());
-        self.owes_word.set(owed || up.try_send(MemberMessage::Reported).is_err());
+        let Some(Sink::Link(sender)) = &*sink else { return };
+        let report_dropped = self.all_runs().iter().any(|hosted| hosted.state.report_dropped.get());
+        self.reported_due.set(report_dropped || sender.try_send(MemberMessage::Reported).is_err());
     }
 
-    /// Gives all runs. Telling of one may stop another within the leader's own process, so they
-    /// must not be borrowed meanwhile.
-    fn all(&self) -> Vec<Rc<Hosted>> {
-        self.hosted.borrow().values().cloned().collect()
+    /// Returns all runs. In the leader's own process, reporting one run may stop another, so the
+    /// map must not stay borrowed.
+    fn all_runs(&self) -> Vec<Rc<HostedRun>> {
+        self.runs.borrow().values().cloned().collect()
     }
 
     fn stop(&self, key: &(String, u32)) {
-        if let Some(hosted) = self.hosted.borrow_mut().remove(key) {
+        if let Some(hosted) = self.runs.borrow_mut().remove(key) {
             hosted.handle.abort();
         }
     }
 
-    /// Tells the leader that an order came too late, so that it gives another. A run of the sample
-    /// that this host has goes on: the leader ended it before, or does not know of it.
-    fn refuse(&self, job: &Job, age_ms: u64) {
+    /// Reports that an order arrived too late, so that the leader issues another. An existing run
+    /// of the same sample on this host continues: the leader has ended it before, or does not know
+    /// about it.
+    fn refuse_order(&self, job: &Job, age_ms: u64) {
         let (step, index, sample, run) = (&job.step, job.index, &job.sample.id, job.run);
         tracing::warn!(event = "order_late", step, index, sample, run, age_ms);
         let report = Report {
@@ -254,9 +262,10 @@
             cost: job.cost.clone(),
             left_ms: job.left_ms.saturating_sub(age_ms),
         };
-        if let Some(Sink::Link(up)) = &*self.sink.borrow() {
-            // Without this word the leader begins the sample anew when nothing is heard of it.
-            let _ = up.try_send(MemberMessage::Report(report));
+        if let Some(Sink::Link(sender)) = &*self.sink.borrow() {
+            // Without this report, the leader restarts the sample when it receives nothing about
+            // it.
+            let _ = sender.try_send(MemberMessage::Report(report));
         }
     }
 
@@ -264,52 +273,56 @@
         let key = (job.step.clone(), job.index);
         self.stop(&key);
         let now = clock::now();
-        let state = Rc::new(State {
-            told: Cell::new(job.made.events.len()),
+        let state = Rc::new(RunState {
+            reported_events: Cell::new(job.made.events.len()),
             made: RefCell::new(job.made.clone()),
             standing: RefCell::new(Standing::Running),
-            heard: Cell::new(now),
-            told_at: Cell::new(now),
-            owed: Cell::default(),
-            until: now + (ORDER_MS - age_ms),
+            last_event: Cell::new(now),
+            last_reported_event: Cell::new(now),
+            report_dropped: Cell::default(),
+            order_expires: now + (MAX_ORDER_AGE_MS - age_ms),
             budget: Budget::shared(
                 job.sample.scorer.as_ref().map_or(&job.sample.id, |scorer| &scorer.id),
                 now + job.left_ms.saturating_sub(age_ms),
                 job.cost.scorer.clone(),
             ),
-            told_spent: RefCell::new(job.cost.scorer.clone()),
+            reported_spent: RefCell::new(job.cost.scorer.clone()),
         });
         let job = Rc::new(job);
         let handle = actix_rt::spawn(execute::execute(self.clone(), job.clone(), state.clone()));
-        let hosted = Rc::new(Hosted { job, handle, state });
-        self.hosted.borrow_mut().insert(key, hosted);
+        let hosted = Rc::new(HostedRun { job, handle, state });
+        self.runs.borrow_mut().insert(key, hosted);
     }
 
-    /// Tells of progress for as long as the process lives.
+    /// Reports progress for as long as the process runs.
     pub async fn run(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(TELL).await;
-            let all = if self.sink.borrow().is_some() { self.all() } else { Vec::new() };
+            tokio::time::sleep(REPORT_INTERVAL).await;
+            let all = if self.sink.borrow().is_some() { self.all_runs() } else { Vec::new() };
             for hosted in all {
                 let running = *hosted.state.standing.borrow() == Standing::Running;
-                let news = hosted.state.made.borrow().events.len() > hosted.state.told.get();
-                if running && news || hosted.state.owed.get() || hosted.state.has_spent() {
-                    self.tell(&hosted);
+                let has_new_events =
+                    hosted.state.made.borrow().events.len() > hosted.state.reported_events.get();
+                if running && has_new_events
+                    || hosted.state.report_dropped.get()
+                    || hosted.state.has_unreported_cost()
+                {
+                    self.report(&hosted);
                 }
             }
-            if self.owes_word.get() {
-                self.tell_whole();
+            if self.reported_due.get() {
+                self.report_completion();
             }
-            self.beat();
-            self.forget_old();
+            self.send_heartbeat();
+            self.remove_old_runs();
         }
     }
 
-    fn forget_old(&self) {
+    fn remove_old_runs(&self) {
         let now = clock::now();
-        self.hosted.borrow_mut().retain(|_, hosted| {
+        self.runs.borrow_mut().retain(|_, hosted| {
             let ended = *hosted.state.standing.borrow() != Standing::Running;
-            let old = ended && now.since(hosted.state.heard.get()) >= KEPT_MS;
+            let old = ended && now.since(hosted.state.last_event.get()) >= FINISHED_RUN_TTL_MS;
             if old {
                 hosted.handle.abort();
             }
@@ -317,15 +330,15 @@
         });
     }
 
-    /// Tells of a run as it stands: the events that the leader was not told yet. A leader that was
-    /// just found has been told nothing.
-    fn tell(&self, hosted: &Hosted) {
+    /// Reports the state of a run with the events that were not reported yet, which are all events
+    /// after a change of leader.
+    fn report(&self, hosted: &HostedRun) {
         let state = &hosted.state;
         let made = state.made.borrow();
         let standing = state.standing.borrow().clone();
-        let from = state.told.get().min(made.events.len());
+        let from = state.reported_events.get().min(made.events.len());
         let events = made.events.len() - from;
-        let ms = state.heard.get().since(state.told_at.get());
+        let ms = state.last_event.get().since(state.last_reported_event.get());
         let gap_ms = if from > 0 && events > 0 { ms / events as u64 } else { 0 };
         let report = Report {
             run: hosted.job.run,
@@ -346,28 +359,29 @@
         let spent = report.cost.scorer.clone();
         let sink = self.sink.borrow().clone();
         let sent = match sink {
-            Some(Sink::Link(up)) => up.try_send(MemberMessage::Report(report)).is_ok(),
-            Some(Sink::Own(tell)) => {
+            Some(Sink::Link(sender)) => sender.try_send(MemberMessage::Report(report)).is_ok(),
+            Some(Sink::Local(handler)) => {
                 drop(made);
-                tell(&report);
+                handler(&report);
                 true
             }
             None => false,
         };
-        // A run that has ended tells nothing more by itself, and would never be known to have.
-        state.owed.set(!sent);
+        // A run that has ended triggers no further report by itself, so a dropped one must be
+        // repeated.
+        state.report_dropped.set(!sent);
         if sent {
-            state.told.set(from + events);
-            state.told_at.set(state.heard.get());
-            *state.told_spent.borrow_mut() = spent;
+            state.reported_events.set(from + events);
+            state.last_reported_event.set(state.last_event.get());
+            *state.reported_spent.borrow_mut() = spent;
         }
     }
 
-    fn stands(&self, job: &Job, state: &Rc<State>, standing: Standing) {
+    fn set_standing(&self, job: &Job, state: &Rc<RunState>, standing: Standing) {
         *state.standing.borrow_mut() = standing;
-        let found = self.hosted.borrow().get(&(job.step.clone(), job.index)).cloned();
+        let found = self.runs.borrow().get(&(job.step.clone(), job.index)).cloned();
         if let Some(hosted) = found.filter(|hosted| Rc::ptr_eq(&hosted.state, state)) {
-            self.tell(&hosted);
+            self.report(&hosted);
         }
     }
 }
