--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -1,4 +1,4 @@
-//! Serves endpoints, operators and trainers that name versions.
+//! Serves announcements of endpoints, calls of operators, and trainers that publish versions.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use chicoryford_http::message::StatusCode;
 use chicoryford_platform::config;
 use chicoryford_platform::control;
-use chicoryford_platform::control::Call as Asked;
+use chicoryford_platform::control::Call as ControlCall;
 
 use crate::clock;
 use crate::link::CallError;
@@ -23,94 +23,101 @@
 use crate::metrics;
 use crate::view::View;
 
-/// How long an announcement may take; its sender asks another process after a second.
-const ANNOUNCE: Duration = Duration::from_millis(700);
-/// How long an operator's call is tried; an operator asks another process after a second.
-const OPERATE: Duration = Duration::from_millis(850);
+/// Timeout of an announcement. Its sender tries another process after a second.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(700);
+/// Timeout of an operator's call. An operator tries another process after a second.
+const OPERATOR_TIMEOUT: Duration = Duration::from_millis(850);
 
-/// Milliseconds of the leader's silence for which announcements that change nothing are answered. An
-/// endpoint that is heard here is heard by nobody else, and is taken for silent six seconds after the
-/// leader last heard of it; it needs up to two to turn to another process.
-const UNLED_MS: u64 = 3_000;
-/// How often the leader is told who was heard. An endpoint is taken for silent after six seconds, so
-/// one word may be lost with its connection; endpoints announce themselves about as often.
-const SIGNS: Duration = Duration::from_secs(1);
+/// Milliseconds of the leader's silence during which announcements that change nothing are still
+/// acknowledged. An endpoint that announces itself here does so nowhere else, and is considered
+/// silent six seconds after the leader last received a sign of it; it needs up to two seconds to
+/// switch to another process.
+const MAX_LEADER_SILENCE_MS: u64 = 3_000;
+/// Interval of reports to the leader about received announcements. An endpoint is considered silent
+/// after six seconds, so one report may be lost with its connection; endpoints announce themselves
+/// about as often.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Serves control calls: announcements that change nothing by itself, all else through the leader.
+/// Serves control calls. Handles announcements that change nothing by itself, and passes everything
+/// else to the leader.
 pub struct Control {
-    /// The way to the leader, which may be this process.
+    /// The connection to the leader, which may be this process.
     pub link: Rc<Link>,
-    /// What the leader told.
+    /// The state that the leader has sent to this process.
     pub view: Rc<View>,
-    /// Where this process takes announcements. Endpoints that it has answered go on with it, so they
-    /// spread over the control processes as they first came, and keep their connections.
+    /// Where this process receives announcements. Endpoints keep using the process that has
+    /// answered them, so they stay distributed over the control processes and keep their
+    /// connections.
     pub own: SocketAddr,
-    /// What was heard and not told the leader yet.
+    /// Received announcements that were not reported to the leader yet.
     pub hearing: RefCell<Hearing>,
 }
 
 impl Control {
-    /// Answers a request.
+    /// Handles a request.
     pub async fn answer(self: Rc<Self>, request: Request) -> Reply {
-        let asked = match control::read(&request) {
-            Ok(asked) => asked,
+        let call = match control::read(&request) {
+            Ok(call) => call,
             Err(error) => {
                 let path = request.path();
                 tracing::info!(event = "control_unreadable", path, %error);
                 return control::refused(StatusCode::BAD_REQUEST, &error.to_string());
             }
         };
-        self.handle(asked).await
+        self.handle(call).await
     }
 
-    /// Answers a call that was read.
-    pub async fn handle(&self, asked: Asked) -> Reply {
-        match asked {
-            Asked::Announce(said) if self.record_unchanged(&said) => {
+    /// Handles a decoded call.
+    pub async fn handle(&self, call: ControlCall) -> Reply {
+        match call {
+            ControlCall::Announce(announcement) if self.record_unchanged(&announcement) => {
                 metrics::ANNOUNCEMENTS.with_label_values(&["here"]).inc();
-                self.heard()
+                self.acknowledge()
             }
-            Asked::Announce(said) => {
+            ControlCall::Announce(announcement) => {
                 metrics::ANNOUNCEMENTS.with_label_values(&["leader"]).inc();
-                self.announce(Call::Announce(said)).await
+                self.announce(Call::Announce(announcement)).await
             }
-            Asked::Leave(id) => self.announce(Call::Leave(id)).await,
-            Asked::Configure(source) => match config::read(&source) {
+            ControlCall::Leave(id) => self.announce(Call::Leave(id)).await,
+            ControlCall::Configure(source) => match config::read(&source) {
                 Ok(config) => self.configure(config).await,
                 Err(fault) => refuse_config(None, &fault),
             },
-            Asked::ReadConfig => self.operate(Call::ReadConfig).await,
-            Asked::Publish { model, version } => {
-                self.operate(Call::Publish { model, version }).await
+            ControlCall::ReadConfig => self.call_leader(Call::ReadConfig).await,
+            ControlCall::Publish { model, version } => {
+                self.call_leader(Call::Publish { model, version }).await
             }
-            Asked::Retire(node) => self.operate(Call::Retire(node)).await,
-            Asked::Retired(node) => self.operate(Call::Retired(node)).await,
+            ControlCall::Retire(node) => self.call_leader(Call::Retire(node)).await,
+            ControlCall::Retired(node) => self.call_leader(Call::Retired(node)).await,
         }
     }
 
-    /// Tells whether an announcement changes nothing, and notes that its endpoint was heard.
+    /// Records an announcement that changes nothing. Returns whether it was recorded.
     ///
-    /// While a leader is elected this goes on by what the leader before told. Were they all refused,
-    /// each of thousands of endpoints would turn to one process after the other, each time on a new
-    /// connection, and that load would hold up the election and whatever ends it: a fleet that has
-    /// fallen into this state stays in it (docs/SCALE.md). What is acknowledged so is only that an
-    /// endpoint lives; one that leaves or changes anything is the leader's in any case. The next leader
-    /// is told who was heard, and when.
-    fn record_unchanged(&self, said: &Announcement) -> bool {
-        let known = self.view.endpoint(&said.id);
-        let led = self.link.is_connected() || self.link.silent_ms() < UNLED_MS;
-        led && self.hearing.borrow_mut().hear(known.as_deref(), said, clock::now())
+    /// During an election this continues with the state received from the previous leader. If all
+    /// announcements were refused then, each of thousands of endpoints would try one process after
+    /// the other, each time on a new connection, and this load would delay the election and thus
+    /// the recovery: a fleet in this state does not recover by itself (docs/SCALE.md). Such an
+    /// acknowledgement only means that the endpoint is alive; an announcement that it leaves or
+    /// changes always goes to the leader. The next leader receives the recorded announcements with
+    /// their times.
+    fn record_unchanged(&self, announcement: &Announcement) -> bool {
+        let known = self.view.endpoint(&announcement.id);
+        let has_recent_leader =
+            self.link.is_connected() || self.link.silent_ms() < MAX_LEADER_SILENCE_MS;
+        has_recent_leader
+            && self.hearing.borrow_mut().hear(known.as_deref(), announcement, clock::now())
     }
 
-    fn heard(&self) -> Reply {
+    fn acknowledge(&self) -> Reply {
         control::heard(Some(&self.own.to_string()))
     }
 
-    /// Tells the leader who was heard, for as long as the process lives. What does not leave for want
-    /// of a leader is told the next one, with its age.
+    /// Reports received announcements to the leader for as long as the process runs. What cannot be
+    /// sent because no leader is connected is sent to the next one, with its age.
     pub async fn report_periodically(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(SIGNS).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
             let signs = self.hearing.borrow().signs(clock::now());
             if !signs.is_empty() && self.link.report_signs(signs) {
                 self.hearing.borrow_mut().clear();
@@ -119,8 +126,8 @@
     }
 
     async fn announce(&self, call: Call) -> Reply {
-        match self.link.call(call, ANNOUNCE).await {
-            Ok(Answer::Heard) => self.heard(),
+        match self.link.call(call, ANNOUNCE_TIMEOUT).await {
+            Ok(Answer::Heard) => self.acknowledge(),
             Ok(Answer::Done) => control::done(),
             Ok(Answer::Unknown) => control::refused(StatusCode::BAD_REQUEST, "unknown service"),
             Ok(_) | Err(_) => control::refused(StatusCode::SERVICE_UNAVAILABLE, "no leader"),
@@ -132,13 +139,13 @@
             return refuse_config(Some(config.version), &fault);
         }
         let (version, routes) = (config.version, config.routes.len());
-        let reply = self.operate(Call::Configure(Arc::new(config))).await;
+        let reply = self.call_leader(Call::Configure(Arc::new(config))).await;
         tracing::info!(event = "config_submitted", version, routes, status = reply.status.as_u16());
         reply
     }
 
-    async fn operate(&self, call: Call) -> Reply {
-        let answer = self.link.call_until_answered(call, OPERATE).await;
+    async fn call_leader(&self, call: Call) -> Reply {
+        let answer = self.link.call_until_answered(call, OPERATOR_TIMEOUT).await;
         match answer {
             Ok(Answer::Done) => control::done(),
             Ok(Answer::Config(Some(config))) => control::config(config.source.clone()),
--- a/components/node/src/crashes.rs
+++ b/components/node/src/crashes.rs
@@ -1,4 +1,4 @@
-//! Watches for requests that crash the endpoints that run them, and tells the leader.
+//! Detects requests that crash the endpoints that run them, and reports them to the leader.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -17,49 +17,49 @@
 use crate::link::Link;
 use crate::metrics;
 
-/// How long after a connection broke it is looked whether its endpoint still takes others. A process that
-/// dies closes its sockets one after the other.
-const LOOK_AFTER: Duration = Duration::from_millis(20);
-/// How long a connection may take to come about.
-const CONNECT: Duration = Duration::from_millis(250);
-/// How often the leader is told. Nearly every request that was in progress at a crash runs to its end
-/// elsewhere before that, and is not told of at all.
-const TELL: Duration = Duration::from_millis(250);
-/// Crashes that wait to be told at most.
-const UNTOLD: usize = 1_024;
+/// Delay after a broken connection until its endpoint is probed for accepting others. A crashing
+/// process closes its sockets one after the other.
+const PROBE_DELAY: Duration = Duration::from_millis(20);
+/// Timeout for connecting to an endpoint.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Interval of reports to the leader. Nearly every request that was in progress during a crash
+/// completes elsewhere within this time, and is not reported at all.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of unreported crashes.
+const MAX_UNREPORTED: usize = 1_024;
 
-/// What this process knows of such requests.
+/// The crash records of this process.
 #[derive(Default)]
 pub struct Crashes {
     watch: RefCell<Watch>,
-    untold: RefCell<BTreeSet<Crash>>,
-    told: RefCell<BTreeSet<Fingerprint>>,
+    unreported: RefCell<BTreeSet<Crash>>,
+    reported: RefCell<BTreeSet<Fingerprint>>,
     cleared: RefCell<BTreeSet<Fingerprint>>,
 }
 
 impl Crashes {
-    /// Takes in the contents that the fleet refuses.
+    /// Replaces the contents that the fleet refuses.
     pub fn refuse(&self, refused: &BTreeSet<Fingerprint>) {
         self.watch.borrow_mut().refuse(refused.clone());
     }
 
-    /// Tells whether a request is to be refused.
+    /// Returns whether a request must be refused.
     pub fn refuses(&self, request: &Request, workspace: &str) -> bool {
         let watch = self.watch.borrow();
-        !watch.is_empty() && watch.refuses(content(request, workspace))
+        !watch.is_empty() && watch.refuses(content_fingerprint(request, workspace))
     }
 
-    /// Finds out whether an endpoint that broke off a request has crashed.
-    pub fn look(self: &Rc<Self>, crash: Crash, address: SocketAddr) {
+    /// Checks whether an endpoint whose connection broke during a request has crashed.
+    pub fn probe(self: &Rc<Self>, crash: Crash, address: SocketAddr) {
         let this = self.clone();
         actix_rt::spawn(async move {
             if has_crashed(address).await {
-                this.crashed(crash);
+                this.record_crash(crash);
             }
         });
     }
 
-    fn crashed(&self, crash: Crash) {
+    fn record_crash(&self, crash: Crash) {
         tracing::info!(
             event = "endpoint_crashed",
             endpoint = crash.endpoint,
@@ -67,57 +67,58 @@
         );
         metrics::CRASHES.inc();
         self.watch.borrow_mut().crashed(&crash);
-        let mut untold = self.untold.borrow_mut();
-        if untold.len() < UNTOLD {
-            untold.insert(crash);
+        let mut unreported = self.unreported.borrow_mut();
+        if unreported.len() < MAX_UNREPORTED {
+            unreported.insert(crash);
         }
     }
 
-    /// Takes in that a request ran to its end.
-    pub fn ran(&self, request: &Request, workspace: &str) {
+    /// Records that a request completed.
+    pub fn record_completion(&self, request: &Request, workspace: &str) {
         if self.watch.borrow().is_empty() {
             return;
         }
-        let content = content(request, workspace);
+        let content = content_fingerprint(request, workspace);
         if self.watch.borrow_mut().cleared(content) {
-            self.untold.borrow_mut().retain(|crash| crash.content != content);
-            if self.told.borrow_mut().remove(&content) {
+            self.unreported.borrow_mut().retain(|crash| crash.content != content);
+            if self.reported.borrow_mut().remove(&content) {
                 self.cleared.borrow_mut().insert(content);
             }
         }
     }
 
-    /// Tells the leader for as long as the process lives.
+    /// Reports to the leader for as long as the process runs.
     pub async fn report_periodically(self: Rc<Self>, link: Rc<Link>) {
         loop {
-            tokio::time::sleep(TELL).await;
-            self.untold.borrow_mut().retain(|crash| {
-                let told = link.report_crash(crash.clone());
-                if told {
-                    self.told.borrow_mut().insert(crash.content);
+            tokio::time::sleep(REPORT_INTERVAL).await;
+            self.unreported.borrow_mut().retain(|crash| {
+                let reported = link.report_crash(crash.clone());
+                if reported {
+                    self.reported.borrow_mut().insert(crash.content);
                 }
-                !told
+                !reported
             });
             self.cleared.borrow_mut().retain(|content| !link.report_cleared(*content));
-            let mut told = self.told.borrow_mut();
-            while told.len() > UNTOLD {
-                told.pop_first();
+            let mut reported = self.reported.borrow_mut();
+            while reported.len() > MAX_UNREPORTED {
+                reported.pop_first();
             }
         }
     }
 }
 
-/// Tells whether an endpoint whose connection just broke takes no others.
+/// Returns whether an endpoint whose connection has just broken refuses new connections.
 pub async fn has_crashed(address: SocketAddr) -> bool {
-    tokio::time::sleep(LOOK_AFTER).await;
-    match Connection::open(address, CONNECT).await {
+    tokio::time::sleep(PROBE_DELAY).await;
+    match Connection::open(address, CONNECT_TIMEOUT).await {
         Err(Broken::NotSent(error)) => error.kind() == ErrorKind::ConnectionRefused,
         _ => false,
     }
 }
 
-/// Gives the fingerprint of what a request asks for, without what differs each time that it comes.
-pub fn content(request: &Request, workspace: &str) -> Fingerprint {
+/// Returns the fingerprint of a request's content, without the parts that differ each time it is
+/// sent.
+pub fn content_fingerprint(request: &Request, workspace: &str) -> Fingerprint {
     let host = request.host();
     let head = format!("{} {host} {} {workspace}\n", request.method, request.target);
     let mut bytes = head.into_bytes();
--- a/components/node/src/entry.rs
+++ b/components/node/src/entry.rs
@@ -36,7 +36,7 @@
 use crate::message::Call;
 use crate::message::Update;
 use crate::metrics;
-use crate::parts::Reader;
+use crate::parts::PartReader;
 use crate::stall::Stall;
 use crate::usage::Usage;
 use crate::view::View;
@@ -86,7 +86,7 @@
     /// This data centre, if texts are read from its stores where possible; otherwise empty.
     pub near_data_centre: String,
     /// Reads texts from these stores.
-    pub reader: Rc<Reader>,
+    pub reader: Rc<PartReader>,
 }
 
 impl Entry {
@@ -213,7 +213,7 @@
         let requester = Requester {
             workspace: name.unwrap_or_default(),
             rank: workspace.and_then(|one| one.urgency).unwrap_or(route.priority),
-            usage: self.usage.as_ref().zip(name).map(|(usage, name)| usage.came(name)),
+            usage: self.usage.as_ref().zip(name).map(|(usage, name)| usage.start_request(name)),
         };
         let budget = Budget::new(began + self.remaining_ms(route, began, limit_ms));
         let outcome = self.forwarder.forward(route, request, &budget, limit_ms, requester).await;
--- a/components/node/src/forward/attempt.rs
+++ b/components/node/src/forward/attempt.rs
@@ -80,7 +80,7 @@
         self.ended = true;
         let (log, index) = &self.record;
         log.borrow_mut()[*index].end = Some((ending, clock::now().since(self.began)));
-        metrics::TRIES.with_label_values(&[outcome_label(ending)]).inc();
+        metrics::ATTEMPT_ENDINGS.with_label_values(&[outcome_label(ending)]).inc();
         self.forwarder.picker.borrow_mut().ended(self.id, self.route, ending, clock::now());
     }
 
--- a/components/node/src/forward/dispatch.rs
+++ b/components/node/src/forward/dispatch.rs
@@ -76,7 +76,7 @@
         let Some(usage) = &mut self.requester.usage else { return };
         let tries = self.attempt_log.borrow();
         if let Some(began) = tries.iter().filter_map(AttemptRecord::began).min() {
-            usage.began(began);
+            usage.record_start(began);
         }
     }
 }
@@ -86,7 +86,7 @@
     pub(super) async fn run(&mut self) -> Outcome {
         let mut running = FuturesUnordered::new();
         let mut hedged = self.at_most_once || !self.forwarder.hedging;
-        if self.forwarder.queues.is_closed(self.service) && !self.wait_for_turn().await {
+        if self.forwarder.queues.must_wait(self.service) && !self.wait_for_turn().await {
             return self.give_up(Nowhere::AllTried);
         }
         loop {
@@ -100,7 +100,7 @@
                         if self.attempts_left > 0 && !self.is_budget_limited() =>
                     {
                         self.tried.clear();
-                        self.forwarder.queues.found_full(self.service);
+                        self.forwarder.queues.record_full(self.service);
                         if !self.wait_for_turn().await {
                             return self.give_up(Nowhere::AllTried);
                         }
@@ -132,7 +132,8 @@
         let until = began + MAX_FULL_WAIT_MS.saturating_sub(self.waited_ms);
         let queued_as = (self.requester.workspace, self.requester.rank);
         let place = self.queue_place.take();
-        self.queue_place = self.forwarder.queues.turn(self.service, queued_as, place, until).await;
+        self.queue_place =
+            self.forwarder.queues.wait_for_turn(self.service, queued_as, place, until).await;
         self.waited_ms += clock::now().since(began);
         self.queue_place.is_some()
     }
@@ -211,7 +212,7 @@
                 // Only this status means that the endpoint failed to process the request; samples
                 // are given up because of it.
                 let failed = reply.status == StatusCode::INTERNAL_SERVER_ERROR;
-                self.forwarder.crashes.ran(self.request, self.requester.workspace);
+                self.forwarder.crashes.record_completion(self.request, self.requester.workspace);
                 self.budget.spent.borrow_mut().failures += u32::from(failed);
                 if self.at_most_once || !reply.status.is_server_error() {
                     return Some(Outcome::Answered(reply));
@@ -229,8 +230,8 @@
             }
             AttemptResult::Lost => self.at_most_once.then_some(Outcome::Lost),
             AttemptResult::Broken(address) => {
-                let content = crashes::content(self.request, self.requester.workspace);
-                self.forwarder.crashes.look(Crash { content, endpoint: id }, address);
+                let content = crashes::content_fingerprint(self.request, self.requester.workspace);
+                self.forwarder.crashes.probe(Crash { content, endpoint: id }, address);
                 self.at_most_once.then_some(Outcome::Lost)
             }
         }
--- a/components/node/src/leader/mod.rs
+++ b/components/node/src/leader/mod.rs
@@ -135,7 +135,7 @@
             began: now,
             lease_ms: context.settings.lease_ms,
             fenced: context.settings.fenced,
-            ordered: view.ordered(),
+            ordered: view.order_times(),
         };
         let fleet_clock = context.replica.fleet_clock();
         // The view of this process is newer than the log.
@@ -192,7 +192,7 @@
             actix_rt::spawn(copies::run_repairs(Rc::downgrade(&leader))),
             actix_rt::spawn(run_persistence(Rc::downgrade(&leader))),
             actix_rt::spawn(crate::listing::run(Rc::downgrade(&leader))),
-            actix_rt::spawn(members::keep(
+            actix_rt::spawn(members::run_removals(
                 Rc::downgrade(&leader),
                 Duration::from_millis(CHECK_MEMBERS_INTERVAL_MS),
             )),
--- a/components/node/src/listing.rs
+++ b/components/node/src/listing.rs
@@ -1,4 +1,4 @@
-//! Verdicts of samples on their way to the stores and into the log.
+//! Listing of verdicts: writes them to the stores and commits them to the log.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -19,13 +19,13 @@
 use crate::leader::Leader;
 use crate::message::Answer;
 
-/// Pause after the log did not take them.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failed commit.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// A verdict on a sample.
 #[derive(Clone, Debug)]
 pub struct SampleVerdict {
-    /// The place of the sample in its step.
+    /// The index of the sample in its step.
     pub index: u32,
     /// The sample.
     pub sample: String,
@@ -33,41 +33,42 @@
     pub verdict: Verdict,
 }
 
-/// The verdicts of one step that wait to be listed, and since when the first does.
-struct Waiting {
+/// The verdicts of one step that wait to be listed, and since when the first one waits.
+struct StepVerdicts {
     since: Millis,
-    settled: Vec<SampleVerdict>,
+    verdicts: Vec<SampleVerdict>,
 }
 
-/// Verdicts that wait to be listed.
+/// The queue of verdicts that wait to be listed.
 #[derive(Default)]
 pub struct Outbox {
-    waiting: RefCell<BTreeMap<String, Waiting>>,
-    filled: Notify,
+    waiting: RefCell<BTreeMap<String, StepVerdicts>>,
+    changed: Notify,
 }
 
 impl Outbox {
     /// Adds a verdict.
-    pub fn put(&self, step: &str, settled: SampleVerdict) {
-        self.add(step, vec![settled]);
-        self.filled.notify_one();
+    pub fn put(&self, step: &str, verdict: SampleVerdict) {
+        self.add(step, vec![verdict]);
+        self.changed.notify_one();
     }
 
-    fn add(&self, step: &str, settled: Vec<SampleVerdict>) {
+    fn add(&self, step: &str, verdicts: Vec<SampleVerdict>) {
         let mut waiting = self.waiting.borrow_mut();
         let since = clock::now();
-        let begun = || Waiting { since, settled: Vec::new() };
-        waiting.entry(step.to_owned()).or_insert_with(begun).settled.extend(settled);
+        let empty = || StepVerdicts { since, verdicts: Vec::new() };
+        waiting.entry(step.to_owned()).or_insert_with(empty).verdicts.extend(verdicts);
     }
 
-    /// Has it looked again when verdicts are to be listed.
+    /// Makes the listing task check again which verdicts are due.
     pub fn recheck(&self) {
-        self.filled.notify_one();
+        self.changed.notify_one();
     }
 
-    /// Takes the verdicts of the steps that are due, and tells when the next are; none if there are no
-    /// others. `list_at` tells that from the step and since when the first of its verdicts waits.
-    fn take(
+    /// Removes and returns the verdicts of the steps that are due, and the time at which the next
+    /// ones are due, if there are others. `list_at` returns the due time from the step and the time
+    /// since when its first verdict waits.
+    fn take_due(
         &self,
         now: Millis,
         list_at: impl Fn(&str, Millis) -> Millis,
@@ -77,7 +78,7 @@
         self.waiting.borrow_mut().retain(|step, waiting| {
             let at = list_at(step, waiting.since);
             if at <= now {
-                due.push((step.clone(), std::mem::take(&mut waiting.settled)));
+                due.push((step.clone(), std::mem::take(&mut waiting.verdicts)));
             } else {
                 next = Some(next.map_or(at, |next| next.min(at)));
             }
@@ -95,48 +96,48 @@
         let list_at = |step: &str, since| {
             leader.plan.borrow().list_at(step, since, leader.readers.earliest_deadline(step))
         };
-        let (due, next) = outbox.take(clock::now(), list_at);
+        let (due, next) = outbox.take_due(clock::now(), list_at);
         if due.is_empty() {
-            // A verdict that comes meanwhile may be the last that others wait for.
-            let filled = outbox.filled.notified();
+            // Wakes up for a new verdict, which may be the last that the others wait for.
+            let changed = outbox.changed.notified();
             match next {
                 Some(next) => {
                     let left = Duration::from_millis(next.since(clock::now()));
-                    drop(tokio::time::timeout(left, filled).await);
+                    drop(tokio::time::timeout(left, changed).await);
                 }
-                None => filled.await,
+                None => changed.await,
             }
             continue;
         }
-        let listings = due.into_iter().map(|(step, settled)| {
+        let listings = due.into_iter().map(|(step, verdicts)| {
             let leader = leader.clone();
             async move {
-                let answer = list(&leader, &step, &settled).await;
-                (step, settled, answer)
+                let answer = list(&leader, &step, &verdicts).await;
+                (step, verdicts, answer)
             }
         });
         let done = futures_util::future::join_all(listings).await;
-        let mut held_up = false;
-        for (step, settled, answer) in done {
+        let mut must_retry = false;
+        for (step, verdicts, answer) in done {
             if matches!(answer, Answer::NotNow | Answer::Unclear) {
-                // Listed twice, a sample keeps its first result.
-                outbox.add(&step, settled);
-                held_up = true;
+                // Listing a sample twice is safe: it keeps its first result.
+                outbox.add(&step, verdicts);
+                must_retry = true;
             }
         }
-        if held_up {
-            tokio::time::sleep(PAUSE).await;
+        if must_retry {
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 }
 
-/// Writes the texts to stores, then lists the results. In the other order a result could be read
-/// whose text is on no disk yet.
-async fn list(leader: &Leader, step: &str, settled: &[SampleVerdict]) -> Answer {
+/// Writes the texts to stores, then commits the results. In the opposite order, a result could be
+/// read before its text is on any disk.
+async fn list(leader: &Leader, step: &str, verdicts: &[SampleVerdict]) -> Answer {
     let part = PartId(rand::random());
     let mut texts: Vec<&str> = Vec::new();
     let mut results = Vec::new();
-    for one in settled {
+    for one in verdicts {
         let result = match &one.verdict {
             Verdict::GivenUp => Result::GivenUp,
             Verdict::Completed { text, versions, score } => {
--- a/components/node/src/members.rs
+++ b/components/node/src/members.rs
@@ -1,5 +1,5 @@
-//! Who the replicas are: a replica that lost its disk or is new asks to join, and the leader
-//! removes those that are lost for good. No operator is needed for either.
+//! Membership of the replicas: a new replica, or one that lost its disk, asks to join, and the
+//! leader removes replicas that are permanently lost. Neither needs an operator.
 
 use std::rc::Rc;
 use std::rc::Weak;
@@ -16,26 +16,26 @@
 use crate::message::Call;
 use crate::replica::LocalReplica;
 
-/// Milliseconds of silence after which a voter may be replaced by one that asks to join. A
-/// replica that is only slow or cut off asks to join again when it is back.
-const LOST_MS: u64 = 900;
-/// Milliseconds of silence after which a voter too many is removed. With an even number of
-/// voters, one of them adds nothing to what may be lost.
-const EXTRA_MS: u64 = 1_500;
-/// Milliseconds of silence after which a replica that does not vote is removed.
-const FORGOTTEN_MS: u64 = 10_000;
-/// Time between two requests to join.
-const ASK: Duration = Duration::from_millis(400);
-/// How long a request to join may take.
-const ANSWER: Duration = Duration::from_secs(1);
+/// Milliseconds of silence after which a voter may be replaced by a replica that asks to join. If
+/// it was only slow or disconnected, it asks to join again when it is back.
+const REPLACEABLE_AFTER_MS: u64 = 900;
+/// Milliseconds of silence after which a surplus voter is removed. An even number of voters
+/// tolerates no more failures than one voter less.
+const REMOVE_SURPLUS_VOTER_MS: u64 = 1_500;
+/// Milliseconds of silence after which a non-voting replica is removed.
+const REMOVE_NON_VOTER_MS: u64 = 10_000;
+/// Interval of requests to join.
+const JOIN_INTERVAL: Duration = Duration::from_millis(400);
+/// Timeout of a request to join.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Lets a replica join.
+/// Adds a replica to the members.
 pub async fn join(leader: &Rc<Leader>, id: ReplicaId) -> Answer {
     let status = leader.context.replica.status();
     if status.members.has(&id) {
         return Answer::Done;
     }
-    let replaces = replaced(&status, &id);
+    let replaces = member_to_replace(&status, &id);
     let address = id.node.to_string();
     let named = replaces.as_ref().map(ToString::to_string).unwrap_or_default();
     let change = Change::Add { id: id.clone(), address, replaces };
@@ -50,29 +50,31 @@
     }
 }
 
-/// Finds the member whose place a new replica takes: the one that its VM held before, or a voter
-/// that is lost and that nobody replaces yet.
-fn replaced(status: &Status, id: &ReplicaId) -> Option<ReplicaId> {
+/// Returns the member that a new replica replaces: the previous replica on its VM, or a lost voter
+/// that no other replica replaces yet.
+fn member_to_replace(status: &Status, id: &ReplicaId) -> Option<ReplicaId> {
     let seats = &status.members.seats;
     let before = seats.keys().find(|other| other.node == id.node && *other != id);
-    let taken = |other: &ReplicaId| {
+    let is_replaced = |other: &ReplicaId| {
         seats.values().any(|seat| !seat.voter && seat.replaces.as_ref() == Some(other))
     };
     before.cloned().or_else(|| {
         let lost = status.peers.iter().filter(|peer| {
-            peer.silent_ms >= LOST_MS && status.members.is_voter(&peer.id) && !taken(&peer.id)
+            peer.silent_ms >= REPLACEABLE_AFTER_MS
+                && status.members.is_voter(&peer.id)
+                && !is_replaced(&peer.id)
         });
         lost.max_by_key(|peer| peer.silent_ms).map(|peer| peer.id.clone())
     })
 }
 
-/// Removes replicas that are lost, for as long as this process leads.
-pub async fn keep(leader: Weak<Leader>, every: Duration) {
+/// Removes lost replicas for as long as this process leads.
+pub async fn run_removals(leader: Weak<Leader>, every: Duration) {
     loop {
         tokio::time::sleep(every).await;
         let Some(leader) = leader.upgrade() else { return };
         let status = leader.context.replica.status();
-        let Some(id) = needless(&status) else { continue };
+        let Some(id) = member_to_remove(&status) else { continue };
         let done = leader.context.replica.change(Change::Remove(id.clone())).await;
         let outcome = done.map_or_else(|why| why.to_string(), |_| "removed".to_owned());
         tracing::info!(event = "replica_removed", replica = %id, outcome);
@@ -80,25 +82,25 @@
     }
 }
 
-fn needless(status: &Status) -> Option<ReplicaId> {
+fn member_to_remove(status: &Status) -> Option<ReplicaId> {
     let even = status.members.voters().count().is_multiple_of(2);
     let lost = status.peers.iter().filter(|peer| {
         let voter = status.members.is_voter(&peer.id);
-        let limit = if voter { EXTRA_MS } else { FORGOTTEN_MS };
+        let limit = if voter { REMOVE_SURPLUS_VOTER_MS } else { REMOVE_NON_VOTER_MS };
         peer.silent_ms >= limit && (even || !voter)
     });
     lost.max_by_key(|peer| peer.silent_ms).map(|peer| peer.id.clone())
 }
 
-/// Asks to join for as long as the leader writes nothing to this replica.
-pub async fn ask(replica: Rc<LocalReplica>, link: Rc<Link>) {
+/// Asks to join while this replica receives nothing from a leader.
+pub async fn run_joins(replica: Rc<LocalReplica>, link: Rc<Link>) {
     loop {
-        tokio::time::sleep(ASK).await;
-        let heard = replica.leader().is_some();
-        if heard || !link.is_connected() {
+        tokio::time::sleep(JOIN_INTERVAL).await;
+        let has_leader = replica.leader().is_some();
+        if has_leader || !link.is_connected() {
             continue;
         }
-        let answer = link.call(Call::Join(replica.id().clone()), ANSWER).await;
+        let answer = link.call(Call::Join(replica.id().clone()), JOIN_TIMEOUT).await;
         tracing::info!(event = "join_asked", replica = %replica.id(), answer = ?answer);
     }
 }
--- a/components/node/src/metrics.rs
+++ b/components/node/src/metrics.rs
@@ -24,17 +24,17 @@
 use crate::link::Link;
 use crate::replica::LocalReplica;
 
-/// The first bound of the histograms in seconds, and how many there are, each twice the one
-/// before: from a round trip to more than a step's time.
-const FIRST: f64 = 0.002;
-const BOUNDS: usize = 14;
+/// The first bound of the histograms in seconds, and the number of bounds. Each bound is twice the
+/// one before, from a round trip to more than the duration of a step.
+const FIRST_BOUND_S: f64 = 0.002;
+const BOUND_COUNT: usize = 14;
 
 fn counter(name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
     register_int_counter_vec!(name, help, labels).expect("names are unique and fit")
 }
 
 fn histogram(name: &str, help: &str, labels: &[&str]) -> HistogramVec {
-    let bounds = exponential_buckets(FIRST, 2.0, BOUNDS).expect("the bounds grow");
+    let bounds = exponential_buckets(FIRST_BOUND_S, 2.0, BOUND_COUNT).expect("the bounds grow");
     register_histogram_vec!(name, help, labels, bounds).expect("names are unique and fit")
 }
 
@@ -44,15 +44,16 @@
 /// Seconds from a request's first byte to its answer.
 pub static REQUEST_SECONDS: LazyLock<HistogramVec> =
     LazyLock::new(|| histogram("request_seconds", "Time to the answer.", &["route"]));
-/// Announcements of endpoints at this control process, by whether it answered itself or the leader did.
+/// Announcements of endpoints at this control process, by whether this process or the leader
+/// answered.
 pub static ANNOUNCEMENTS: LazyLock<IntCounterVec> =
     LazyLock::new(|| counter("announcements_total", "Announcements by who answered.", &["by"]));
-/// Attempts at endpoints of plain services by why they were made: the first of a request, one beside a
-/// silent one, or one after others that came to nothing.
+/// Attempts at endpoints of plain services by reason: the first of a request, a hedge of a silent
+/// one, or a retry after failed ones.
 pub static ATTEMPTS: LazyLock<IntCounterVec> =
     LazyLock::new(|| counter("attempts_total", "Attempts at endpoints by reason.", &["why"]));
-/// Attempts at endpoints of plain services by ending.
-pub static TRIES: LazyLock<IntCounterVec> =
+/// Attempts at endpoints of plain services by outcome.
+pub static ATTEMPT_ENDINGS: LazyLock<IntCounterVec> =
     LazyLock::new(|| counter("tries_total", "Attempts at endpoints by ending.", &["ending"]));
 /// Endpoints of plain services that crashed while they ran a request of this process.
 pub static CRASHES: LazyLock<IntCounter> = LazyLock::new(|| {
@@ -62,7 +63,7 @@
     )
     .expect("names are unique")
 });
-/// Runs of samples by ending.
+/// Runs of samples by outcome.
 pub static RUNS: LazyLock<IntCounterVec> =
     LazyLock::new(|| counter("runs_total", "Runs of samples by ending.", &["ending"]));
 /// Commands that this process proposed, by outcome.
@@ -74,18 +75,18 @@
 /// Seconds until a part was on enough stores.
 pub static PART_SECONDS: LazyLock<HistogramVec> =
     LazyLock::new(|| histogram("part_seconds", "Time to write a part.", &["place"]));
-/// Orders to engines by how they were taken.
+/// Orders to engines by the engine's answer.
 pub static ORDERS: LazyLock<IntCounterVec> =
     LazyLock::new(|| counter("orders_total", "Orders to engines by answer.", &["taken"]));
-/// Calls to the platform on the fleet's behalf, by duty and how they were taken.
+/// Calls to the platform on behalf of the fleet, by duty and answer.
 pub static DUTY_CALLS: LazyLock<IntCounterVec> =
     LazyLock::new(|| counter("duty_calls_total", "Calls by answer.", &["duty", "taken"]));
-/// Milliseconds within which half of the members' times of day agree, at the leader.
+/// Milliseconds within which half of the members' wall clocks agree, at the leader.
 pub static WALL_ERROR: LazyLock<IntGauge> = LazyLock::new(|| {
     register_int_gauge!("wall_error_ms", "Milliseconds by which times of day differ.")
         .expect("names are unique")
 });
-/// Bytes that the links of this process carried, by kind of message and data centres.
+/// Bytes on the links of this process, by kind of message and data centres.
 pub static LINK_BYTES: LazyLock<IntCounterVec> = LazyLock::new(|| {
     counter("link_bytes_total", "Bytes on links by kind and data centres.", &["kind", "from", "to"])
 });
@@ -105,13 +106,13 @@
         .expect("names are unique")
 });
 
-/// What gauges are read from.
+/// The sources of the gauges.
 pub struct Sources {
-    /// The way to the leader.
+    /// The connection to the leader.
     pub link: Rc<Link>,
     /// The replica, in a control process.
     pub replica: Option<Rc<LocalReplica>>,
-    /// The leader's duties, while this process leads.
+    /// The leader, while this process leads.
     pub leader: Rc<std::cell::RefCell<Option<Rc<Leader>>>>,
 }
 
--- a/components/node/src/parts.rs
+++ b/components/node/src/parts.rs
@@ -1,8 +1,9 @@
-//! Parts straight from a store nearby: entries read texts of results there, not through the leader.
+//! Direct reads of parts from nearby stores: entries read the texts of results there instead of
+//! through the leader.
 //!
-//! The leader would fetch each text and send it on to every entry that asks, most of them in other
-//! data centres. Where as many copies lie as there are data centres, none need cross for a read. A
-//! part never changes, so any copy is as good; whoever gets none asks the leader.
+//! Otherwise the leader would fetch each text and send it to every entry that asks, most of them in
+//! other data centres. If there are as many copies as data centres, no read has to cross between
+//! them. Parts are immutable, so any copy will do; a reader that gets none asks the leader.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -31,118 +32,127 @@
 use crate::frame::encode;
 use crate::frame::frames;
 
-/// How long a connection to a store of the same data centre may take to come about, and a part to
-/// come. Both take a millisecond or two; whoever waits longer asks the leader, which has more than
-/// one store to ask.
-const CONNECT: Duration = Duration::from_millis(50);
-const READ: Duration = Duration::from_millis(80);
-/// Parts that may be asked for at a time on one connection, and be on their way back.
-const ASKED: usize = 256;
-/// Silence after which a store closes a connection. An entry opens another when it reads again.
-const IDLE: Duration = Duration::from_secs(20);
+/// Timeouts for connecting to a store in the same data centre, and for reading a part. Both take a
+/// millisecond or two; after the timeout the reader asks the leader, which can ask more than one
+/// store.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
+const READ_TIMEOUT: Duration = Duration::from_millis(80);
+/// Maximum number of requests queued on one connection.
+const QUEUE_LENGTH: usize = 256;
+/// Silence after which a store closes a connection. An entry opens a new one for its next read.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 type Socket = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// An entry asks for a part.
+/// An entry's request for a part.
 #[derive(Debug, Deserialize, Serialize)]
-struct Wanted {
+struct PartRequest {
     number: u64,
     part: PartId,
 }
 
-/// A store's answer; none if it has no such part.
+/// A store's reply; `None` if it does not have the part.
 #[derive(Debug, Deserialize, Serialize)]
-struct Given {
+struct PartReply {
     number: u64,
     bytes: Option<Bytes>,
 }
 
-/// Gives parts of this VM's depot to entries for as long as the process lives.
+/// Serves parts of this VM's depot to entries for as long as the process runs.
 pub async fn serve(listener: TcpListener, depot: Rc<Worker>) {
     loop {
         let stream = socket::accept(&listener).await;
-        actix_rt::spawn(give(stream, depot.clone()));
+        actix_rt::spawn(serve_connection(stream, depot.clone()));
     }
 }
 
-async fn give(stream: TcpStream, depot: Rc<Worker>) {
-    let (mut sink, mut asked) = Framed::new(stream, frames()).split();
-    while let Ok(Some(Ok(frame))) = tokio::time::timeout(IDLE, asked.next()).await {
-        let wanted: Wanted = match decode(&frame) {
-            Ok(wanted) => wanted,
+async fn serve_connection(stream: TcpStream, depot: Rc<Worker>) {
+    let (mut sink, mut requests) = Framed::new(stream, frames()).split();
+    while let Ok(Some(Ok(frame))) = tokio::time::timeout(IDLE_TIMEOUT, requests.next()).await {
+        let request: PartRequest = match decode(&frame) {
+            Ok(request) => request,
             Err(error) => {
                 tracing::warn!(event = "link_unreadable", %error);
                 return;
             }
         };
-        let given = Given { number: wanted.number, bytes: depot.get(wanted.part).await };
-        if sink.send(encode(&given)).await.is_err() {
+        let reply = PartReply { number: request.number, bytes: depot.get(request.part).await };
+        if sink.send(encode(&reply)).await.is_err() {
             return;
         }
     }
 }
 
-/// Reads parts from stores nearby.
+/// Reads parts from nearby stores.
 #[derive(Default)]
-pub struct Reader {
-    lanes: RefCell<BTreeMap<SocketAddr, Rc<Lane>>>,
+pub struct PartReader {
+    connections: RefCell<BTreeMap<SocketAddr, Rc<StoreConnection>>>,
 }
 
 /// A connection to one store.
-struct Lane {
-    wanted: mpsc::Sender<Bytes>,
-    waiting: RefCell<BTreeMap<u64, oneshot::Sender<Option<Bytes>>>>,
-    next: Cell<u64>,
+struct StoreConnection {
+    requests: mpsc::Sender<Bytes>,
+    pending: RefCell<BTreeMap<u64, oneshot::Sender<Option<Bytes>>>>,
+    next_number: Cell<u64>,
 }
 
-impl Reader {
-    /// Reads a part from the store at an address; none if it has none or does not answer in time.
-    /// A connection on which an answer stayed out may have gone silent for good, and is not used
-    /// again.
+impl PartReader {
+    /// Reads a part from the store at an address. Returns `None` if the store does not have it or
+    /// does not answer in time. After a timeout, the connection is not used again, because it may
+    /// be permanently broken without being closed.
     pub async fn read(self: &Rc<Self>, address: SocketAddr, part: PartId) -> Option<Bytes> {
         let reading = async {
-            let lane = self.lane(address).await?;
-            let (given, got) = oneshot::channel();
-            let number = lane.next.get();
-            lane.next.set(number + 1);
-            lane.waiting.borrow_mut().insert(number, given);
-            let _asked = Asked { lane: &lane, number };
-            lane.wanted.try_send(encode(&Wanted { number, part })).ok()?;
-            got.await.ok()?
+            let connection = self.connect(address).await?;
+            let (requester, reply) = oneshot::channel();
+            let number = connection.next_number.get();
+            connection.next_number.set(number + 1);
+            connection.pending.borrow_mut().insert(number, requester);
+            let _pending = PendingRequest { connection: &connection, number };
+            connection.requests.try_send(encode(&PartRequest { number, part })).ok()?;
+            reply.await.ok()?
         };
-        let read = tokio::time::timeout(READ, reading).await;
+        let read = tokio::time::timeout(READ_TIMEOUT, reading).await;
         read.unwrap_or_else(|_| {
-            self.lanes.borrow_mut().remove(&address);
+            self.connections.borrow_mut().remove(&address);
             None
         })
     }
 
-    async fn lane(self: &Rc<Self>, address: SocketAddr) -> Option<Rc<Lane>> {
-        if let Some(lane) = self.lanes.borrow().get(&address) {
-            return Some(lane.clone());
+    async fn connect(self: &Rc<Self>, address: SocketAddr) -> Option<Rc<StoreConnection>> {
+        if let Some(connection) = self.connections.borrow().get(&address) {
+            return Some(connection.clone());
         }
-        let stream = socket::connect(address, CONNECT).await.ok()?;
-        let (wanted, queue) = mpsc::channel(ASKED);
-        let lane = Rc::new(Lane { wanted, waiting: RefCell::default(), next: Cell::default() });
-        // Two may have opened one at the same time; the later one serves from here on.
-        self.lanes.borrow_mut().insert(address, lane.clone());
-        let (reader, carried) = (self.clone(), lane.clone());
+        let stream = socket::connect(address, CONNECT_TIMEOUT).await.ok()?;
+        let (requests, queue) = mpsc::channel(QUEUE_LENGTH);
+        let connection = Rc::new(StoreConnection {
+            requests,
+            pending: RefCell::default(),
+            next_number: Cell::default(),
+        });
+        // Two reads may have opened a connection concurrently; the later one is used from now on.
+        self.connections.borrow_mut().insert(address, connection.clone());
+        let (reader, opened) = (self.clone(), connection.clone());
         actix_rt::spawn(async move {
-            carry(Framed::new(stream, frames()), queue, &carried).await;
-            // Whoever waits on it asks the leader.
-            carried.waiting.borrow_mut().clear();
-            let mut lanes = reader.lanes.borrow_mut();
-            if lanes.get(&address).is_some_and(|lane| Rc::ptr_eq(lane, &carried)) {
-                lanes.remove(&address);
+            run_connection(Framed::new(stream, frames()), queue, &opened).await;
+            // Reads that still wait on it ask the leader.
+            opened.pending.borrow_mut().clear();
+            let mut connections = reader.connections.borrow_mut();
+            if connections.get(&address).is_some_and(|connection| Rc::ptr_eq(connection, &opened)) {
+                connections.remove(&address);
             }
         });
-        Some(lane)
+        Some(connection)
     }
 }
 
-/// Carries questions and answers until the connection ends. A store closes one that is idle.
-async fn carry(socket: Socket, mut queue: mpsc::Receiver<Bytes>, lane: &Lane) {
-    let (mut sink, given) = socket.split();
+/// Sends requests and delivers replies until the connection ends. A store closes an idle
+/// connection.
+async fn run_connection(
+    socket: Socket,
+    mut queue: mpsc::Receiver<Bytes>,
+    connection: &StoreConnection,
+) {
+    let (mut sink, replies) = socket.split();
     let asking = async {
         while let Some(frame) = queue.recv().await {
             if sink.send(frame).await.is_err() {
@@ -152,34 +162,34 @@
     };
     tokio::select! {
         () = asking => {}
-        () = take(given, lane) => {}
+        () = read_replies(replies, connection) => {}
     }
 }
 
-async fn take(mut given: SplitStream<Socket>, lane: &Lane) {
-    while let Some(Ok(frame)) = given.next().await {
-        let Given { number, bytes } = match decode(&frame) {
-            Ok(given) => given,
+async fn read_replies(mut replies: SplitStream<Socket>, connection: &StoreConnection) {
+    while let Some(Ok(frame)) = replies.next().await {
+        let PartReply { number, bytes } = match decode(&frame) {
+            Ok(reply) => reply,
             Err(error) => {
                 tracing::warn!(event = "link_unreadable", %error);
                 return;
             }
         };
-        if let Some(waiting) = lane.waiting.borrow_mut().remove(&number) {
-            // Whoever asked may have left.
-            let _ = waiting.send(bytes);
+        if let Some(requester) = connection.pending.borrow_mut().remove(&number) {
+            // The requester may have stopped waiting.
+            let _ = requester.send(bytes);
         }
     }
 }
 
-/// Forgets a question when nobody waits for its answer any more.
-struct Asked<'a> {
-    lane: &'a Lane,
+/// Removes a request when its requester no longer waits for the reply.
+struct PendingRequest<'a> {
+    connection: &'a StoreConnection,
     number: u64,
 }
 
-impl Drop for Asked<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        self.lane.waiting.borrow_mut().remove(&self.number);
+        self.connection.pending.borrow_mut().remove(&self.number);
     }
 }
--- a/components/node/src/ready.rs
+++ b/components/node/src/ready.rs
@@ -1,4 +1,4 @@
-//! Says whether this process takes callers.
+//! Readiness: whether this process accepts callers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,26 +10,26 @@
 use crate::link::Link;
 use crate::view::View;
 
-/// Silence of the leader, in milliseconds, after which new callers are better off elsewhere. An
-/// election and a failover are over by then, so this process itself is cut off.
-const CUT_OFF_MS: u64 = 4_000;
+/// Silence of the leader, in milliseconds, after which new callers should use another process. An
+/// election and a failover take less time, so this process itself is disconnected.
+const DISCONNECTED_MS: u64 = 4_000;
 
 /// What readiness depends on.
 pub struct Readiness {
-    /// What the leader told.
+    /// The state that the leader has sent to this process.
     pub view: Rc<View>,
-    /// The way to the leader.
+    /// The connection to the leader.
     pub link: Rc<Link>,
     /// Whether the process was asked to stop.
     pub stopping: Rc<Cell<bool>>,
 }
 
 impl Readiness {
-    /// Answers the balancer's question.
+    /// Answers the balancer's readiness check.
     pub fn answer(&self, _: &Request) -> Reply {
         let ready = !self.stopping.get()
             && self.view.config().is_some()
-            && self.link.silent_ms() < CUT_OFF_MS;
+            && self.link.silent_ms() < DISCONNECTED_MS;
         if ready {
             Reply::new(StatusCode::OK, "ready")
         } else {
--- a/components/node/src/settings.rs
+++ b/components/node/src/settings.rs
@@ -11,13 +11,13 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// A call that the platform wants of one VM at a time.
+/// A call to the platform that must be made by one VM at a time.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum Duty {
     /// Reports of what workspaces used.
     Usage,
-    /// Orders for numbers of endpoints.
+    /// Orders that scale the number of endpoints.
     Scaling,
 }
 
@@ -29,60 +29,61 @@
     pub node: String,
     /// The VM's address.
     pub ip: IpAddr,
-    /// The address on which this process listens, where others reach it at `ip` through something
-    /// in between; `ip` itself by default.
+    /// The address on which this process listens, if others reach it at `ip` through a proxy or
+    /// translation; `ip` by default.
     pub listen_ip: Option<IpAddr>,
     /// Its data centre.
     pub data_centre: String,
-    /// The port on which processes of the system speak to each other; the same on all VMs.
+    /// The port for links between processes of the fleet; the same on all VMs.
     pub link_port: u16,
     /// Addresses of control processes that were known when the file was written.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time, with empty disks.
+    /// Whether the whole fleet starts for the first time, with empty disks.
     #[serde(default)]
     pub first_start: bool,
-    /// The data folder; a process that has one and serves `control` is a replica.
+    /// The data folder. A process that has one and serves `control` is a replica.
     pub data: Option<PathBuf>,
     /// Where callers and trainers are served.
     pub entry: Option<SocketAddr>,
-    /// Where readiness is asked for.
+    /// Where readiness checks are served.
     pub ready: Option<SocketAddr>,
     /// Where endpoints and operators are served.
     pub control: Option<SocketAddr>,
     /// Where metrics are served.
     pub metrics: Option<SocketAddr>,
-    /// Counted VMs that may be lost at once.
+    /// Number of VMs with data that may be lost at once.
     #[serde(default = "one")]
     pub tolerated: u32,
     /// Milliseconds between the stop signal and the kill.
     #[serde(default = "eight_seconds")]
     pub grace_ms: u64,
-    /// Milliseconds in which two leaders must not both give orders to an engine.
+    /// Milliseconds within which two leaders must not both send orders to the same engine.
     #[serde(default = "three_seconds")]
     pub lease_ms: u64,
-    /// Whether engines refuse orders of an epoch before one that they have seen.
+    /// Whether engines reject orders with an older epoch than the newest that they have seen.
     #[serde(default)]
     pub fenced: bool,
-    /// Whether an entry that hears no leader refuses callers with keys, after
+    /// Whether an entry without a leader refuses callers with keys, after
     /// [`Settings::revocation_ms`].
     #[serde(default)]
     pub strict_keys: bool,
-    /// Milliseconds of the leader's silence after which keys may have been taken away unheard.
+    /// Milliseconds of the leader's silence after which keys may have been revoked without this
+    /// entry receiving it.
     #[serde(default = "five_seconds")]
     pub revocation_ms: u64,
-    /// Where the platform takes calls on the fleet's behalf.
+    /// Where the platform receives calls made on behalf of the fleet.
     pub platform: Option<SocketAddr>,
-    /// Which calls it wants.
+    /// Which of these calls the platform expects.
     #[serde(default)]
     pub duties: Vec<Duty>,
-    /// Seconds of a window of usage.
+    /// Length of a usage window in seconds.
     #[serde(default = "five")]
     pub usage_window_s: u64,
     /// Seconds after its submission for which a step's results are kept.
     #[serde(default = "two_minutes")]
     pub keep_s: u64,
-    /// Mechanisms that are switched off, to measure what they are worth.
+    /// Mechanisms that are switched off in order to measure their effect.
     #[serde(default)]
     pub policy: Policy,
     /// What is logged.
@@ -124,7 +125,7 @@
     /// The file cannot be read.
     #[error("cannot read {0}")]
     Read(PathBuf, #[source] std::io::Error),
-    /// The file is not what it should be.
+    /// The file is not a valid settings file.
     #[error("{0} is no settings file")]
     Parse(PathBuf, #[source] serde_yaml_ng::Error),
 }
@@ -133,7 +134,7 @@
 ///
 /// # Errors
 ///
-/// [`SettingsError`], which names the file, and the field where one is wrong.
+/// [`SettingsError`], which names the file, and the field if one is invalid.
 pub fn load(path: &Path) -> Result<Settings, SettingsError> {
     let text =
         std::fs::read_to_string(path).map_err(|e| SettingsError::Read(path.to_owned(), e))?;
@@ -141,37 +142,37 @@
 }
 
 impl Settings {
-    /// Gives the address at which a control process with this control address takes links.
+    /// Returns the link address of a control process with this control address.
     pub fn link_address(&self, control: SocketAddr) -> SocketAddr {
         SocketAddr::new(control.ip(), self.link_port)
     }
 
-    /// Gives the addresses at which the seeds take links.
+    /// Returns the link addresses of the seeds.
     pub fn seed_link_addresses(&self) -> Vec<SocketAddr> {
         self.seeds.iter().map(|seed| self.link_address(*seed)).collect()
     }
 
-    /// Gives how long keys are believed without a leader.
+    /// Returns how long keys are accepted without a leader.
     pub fn trust(&self) -> Trust {
         Trust { strict: self.strict_keys, limit_ms: self.revocation_ms }
     }
 
-    /// Gives where usage is reported, if it is.
+    /// Returns the address to which usage is reported, if it is.
     pub fn usage_address(&self) -> Option<SocketAddr> {
         self.platform.filter(|_| self.duties.contains(&Duty::Usage))
     }
 
-    /// Gives the windows of usage.
+    /// Returns the usage windows.
     pub fn windows(&self) -> Windows {
         Windows { length_ms: self.usage_window_s.max(1) * 1_000 }
     }
 
-    /// Gives the address to listen on for an address at which others reach this process.
+    /// Returns the address to listen on for an address at which others reach this process.
     pub fn listen_address(&self, reached: SocketAddr) -> SocketAddr {
         SocketAddr::new(self.listen_ip.unwrap_or(reached.ip()), reached.port())
     }
 
-    /// Gives the address at which this process takes links.
+    /// Returns the link address of this process.
     pub fn own_link_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.link_port)
     }
--- a/components/node/src/stall.rs
+++ b/components/node/src/stall.rs
@@ -1,7 +1,9 @@
-//! Notices when this process stood still: a request that is read then may have waited unread all that time.
+//! Detects stalls of this process. A request that is read after a stall may have waited unread for
+//! its whole duration.
 //!
-//! A frozen VM, or one whose processor others use, reads late what lies in its sockets. Nothing in a
-//! request tells when it came, so the longest time that it can have waited is taken off.
+//! A VM that was frozen, or whose processor was used by others, reads late what is in its sockets.
+//! Nothing in a request shows when it arrived, so the longest time that it may have waited is
+//! subtracted from its time limit.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -10,55 +12,56 @@
 
 use crate::clock;
 
-/// How often the process notes that it runs.
-const TICK: Duration = Duration::from_millis(50);
-/// Milliseconds without such a note that count as a standstill.
-const LEAST_MS: u64 = 200;
-/// Milliseconds after a standstill in which requests are read that came during it.
+/// Interval of ticks, which show that the process runs.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Milliseconds without a tick that count as a stall.
+const MIN_STALL_MS: u64 = 200;
+/// Milliseconds after a stall during which requests are read that arrived during it.
 const BACKLOG_MS: u64 = 50;
 
-/// Notes when the process runs.
+/// Records when the process runs.
 #[derive(Debug)]
 pub struct Stall {
-    ran: Cell<Millis>,
-    /// When the last standstill ended, and how long it was.
-    last: Cell<(Millis, u64)>,
+    last_tick: Cell<Millis>,
+    /// When the last stall ended, and how long it was.
+    last_stall: Cell<(Millis, u64)>,
 }
 
 impl Stall {
-    /// Begins to note at this time.
+    /// Starts recording at this time.
     pub fn new(now: Millis) -> Self {
-        Self { ran: Cell::new(now), last: Cell::default() }
+        Self { last_tick: Cell::new(now), last_stall: Cell::default() }
     }
 
-    /// Notes that the process runs.
-    pub fn note(&self, now: Millis) {
-        let ms = self.standing_ms(now);
+    /// Records that the process runs.
+    pub fn record_tick(&self, now: Millis) {
+        let ms = self.stalled_ms(now);
         if ms > 0 {
-            self.last.set((now, ms));
+            self.last_stall.set((now, ms));
             tracing::warn!(event = "stood_still", ms);
         }
-        self.ran.set(now);
+        self.last_tick.set(now);
     }
 
-    /// Gives the milliseconds for which a request that is read now may have waited unread.
+    /// Returns the milliseconds for which a request that is read now may have waited unread.
     pub fn waited_ms(&self, now: Millis) -> u64 {
-        let (ended, ms) = self.last.get();
+        let (ended, ms) = self.last_stall.get();
         let before = if now.since(ended) <= BACKLOG_MS { ms } else { 0 };
-        self.standing_ms(now).max(before)
+        self.stalled_ms(now).max(before)
     }
 
-    /// Gives the milliseconds for which the process has not run, if they count as a standstill.
-    fn standing_ms(&self, now: Millis) -> u64 {
-        let ms = now.since(self.ran.get());
-        if ms >= LEAST_MS { ms } else { 0 }
+    /// Returns the milliseconds for which the process has not run, if they count as a stall,
+    /// otherwise zero.
+    fn stalled_ms(&self, now: Millis) -> u64 {
+        let ms = now.since(self.last_tick.get());
+        if ms >= MIN_STALL_MS { ms } else { 0 }
     }
 
-    /// Notes that the process runs, for as long as it does.
-    pub async fn watch(&self) {
+    /// Records a tick at each interval, for as long as the process runs.
+    pub async fn run_ticks(&self) {
         loop {
-            tokio::time::sleep(TICK).await;
-            self.note(clock::now());
+            tokio::time::sleep(TICK_INTERVAL).await;
+            self.record_tick(clock::now());
         }
     }
 }
--- a/components/node/src/start.rs
+++ b/components/node/src/start.rs
@@ -273,9 +273,9 @@
             followers: followers.clone(),
             traffic: traffic.clone(),
         };
-        actix_rt::spawn(traffic::report_on(traffic));
+        actix_rt::spawn(traffic::report_periodically(traffic));
         actix_rt::spawn(Rc::new(link_server).run(listener));
-        actix_rt::spawn(members::ask(replica.clone(), self.link.clone()));
+        actix_rt::spawn(members::run_joins(replica.clone(), self.link.clone()));
         actix_rt::spawn(run_leadership(
             replica.clone(),
             leader,
@@ -317,7 +317,7 @@
         }
         let stall = Rc::new(Stall::new(clock::now()));
         let watched = stall.clone();
-        actix_rt::spawn(async move { watched.watch().await });
+        actix_rt::spawn(async move { watched.run_ticks().await });
         let entry = Rc::new(Entry {
             link: self.link.clone(),
             view: self.view.clone(),
--- a/components/node/src/traffic.rs
+++ b/components/node/src/traffic.rs
@@ -1,8 +1,9 @@
-//! Counts what the links of the fleet carry, by kind of message and by data centres.
+//! Counts the bytes on the fleet's links, by kind of message and by data centre.
 //!
-//! Bytes between data centres are what a fleet pays for beside its VMs, and no log line of a single
-//! decision shows them. The process that takes a link counts both directions, since it knows where
-//! both ends are; so the sum over all control processes is what all links carry.
+//! Besides the VMs, traffic between data centres is what a fleet costs, and no log line about a
+//! single decision shows it. The process that accepts a link counts both directions, since it knows
+//! the location of both ends. The sum over all control processes is therefore the traffic of all
+//! links.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,16 +12,16 @@
 
 use crate::metrics;
 
-/// Bytes of a frame's length.
+/// Bytes of a frame's length prefix.
 const FRAME_BYTES: usize = 4;
-/// Time between two lines about what was counted. One line says enough about bytes that are paid for
-/// by the day.
-const REPORT: Duration = Duration::from_secs(10);
+/// Interval of log lines about the traffic. A long interval is enough, because traffic is billed by
+/// the day.
+const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Which way a message went.
+/// The direction of a message.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Direction {
-    /// From the process that took the link.
+    /// From the process that accepted the link.
     Out,
     /// To it.
     In,
@@ -33,22 +34,22 @@
 }
 
 impl Traffic {
-    /// Starts to count for a process in a data centre.
+    /// Creates the counters of a process in a data centre.
     pub fn new(data_centre: &str) -> Rc<Self> {
         Rc::new(Self { data_centre: data_centre.to_owned(), sums: RefCell::default() })
     }
 
-    /// Counts a message.
-    pub fn count(&self, kind: &'static str, way: Direction, there: &str, bytes: usize) {
-        let here = self.data_centre.as_str();
-        let (from, to) = if way == Direction::Out { (here, there) } else { (there, here) };
+    /// Counts a message to or from a peer in the data centre `peer`.
+    pub fn count(&self, kind: &'static str, direction: Direction, peer: &str, bytes: usize) {
+        let own = self.data_centre.as_str();
+        let (from, to) = if direction == Direction::Out { (own, peer) } else { (peer, own) };
         let bytes = (bytes + FRAME_BYTES) as u64;
         metrics::LINK_BYTES.with_label_values(&[kind, from, to]).inc_by(bytes);
-        *self.sums.borrow_mut().entry((kind, here != there)).or_default() += bytes;
+        *self.sums.borrow_mut().entry((kind, own != peer)).or_default() += bytes;
     }
 
-    /// Gives what was counted since the last time: bytes between data centres by kind of message,
-    /// and bytes within this one.
+    /// Returns and resets the counts: bytes between data centres by kind of message, and bytes
+    /// within this one.
     pub fn take(&self) -> (BTreeMap<&'static str, u64>, u64) {
         let sums = std::mem::take(&mut *self.sums.borrow_mut());
         let near = sums.iter().filter(|((_, far), _)| !far).map(|(_, bytes)| bytes).sum();
@@ -65,10 +66,10 @@
     }
 }
 
-/// Writes down what was counted for as long as the process lives.
-pub async fn report_on(traffic: Rc<Traffic>) {
+/// Logs the traffic for as long as the process runs.
+pub async fn report_periodically(traffic: Rc<Traffic>) {
     loop {
-        tokio::time::sleep(REPORT).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
         traffic.report();
     }
 }
--- a/components/node/src/usage.rs
+++ b/components/node/src/usage.rs
@@ -1,4 +1,4 @@
-//! Counts at an entry what workspaces use, and tells the leader.
+//! Counts the usage of workspaces at an entry, and reports it to the leader.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -12,10 +12,10 @@
 use crate::link::Link;
 use crate::view::View;
 
-/// How often the leader is told; what it was not told is lost with this process.
-const TELL: Duration = Duration::from_millis(200);
+/// Interval of reports to the leader. Unreported usage is lost with this process.
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Counts what workspaces use.
+/// Counts the usage of workspaces.
 pub struct Usage {
     view: Rc<View>,
     windows: Windows,
@@ -23,60 +23,69 @@
 }
 
 impl Usage {
-    /// Starts to count in a new life of this process.
+    /// Starts counting in a new incarnation of this process.
     pub fn new(node: &str, windows: Windows, view: Rc<View>) -> Rc<Self> {
         let life = Life { node: node.to_owned(), number: rand::random() };
         Rc::new(Self { view, windows, meter: RefCell::new(Meter::new(life)) })
     }
 
-    /// Notes that a request of a workspace came.
-    pub fn came(self: &Rc<Self>, workspace: &str) -> RequestUsage {
-        let came = self.windows.at(self.view.wall());
-        self.meter.borrow_mut().came(came);
-        RequestUsage { usage: self.clone(), workspace: workspace.to_owned(), came, began: None }
+    /// Records that a request of a workspace has arrived.
+    pub fn start_request(self: &Rc<Self>, workspace: &str) -> RequestUsage {
+        let window = self.windows.at(self.view.wall());
+        self.meter.borrow_mut().came(window);
+        RequestUsage {
+            usage: self.clone(),
+            workspace: workspace.to_owned(),
+            arrival_window: window,
+            start_window: None,
+        }
     }
 
-    /// Tells the leader for as long as the process lives.
+    /// Reports to the leader for as long as the process runs.
     pub async fn report_periodically(self: Rc<Self>, link: Rc<Link>) {
-        let mut told_on = 0;
+        let mut reported_connection = 0;
         loop {
-            tokio::time::sleep(TELL).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
             let connection = link.connection();
             if !link.is_connected() {
                 continue;
             }
-            if connection != told_on {
+            if connection != reported_connection {
                 self.meter.borrow_mut().start_over();
-                told_on = connection;
+                reported_connection = connection;
             }
-            let told = self.meter.borrow_mut().tell(self.windows.at(self.view.wall()));
-            if let Some(told) = told
-                && !link.report_usage(told)
+            let report = self.meter.borrow_mut().tell(self.windows.at(self.view.wall()));
+            if let Some(report) = report
+                && !link.report_usage(report)
             {
-                // It is told as on a new connection.
-                told_on = 0;
+                // Everything is reported again, as on a new connection.
+                reported_connection = 0;
             }
         }
     }
 }
 
-/// A request of a workspace that is under way. Dropped, it is counted if it began to run.
+/// A request of a workspace in progress. When dropped, it is counted if it began to run.
 pub struct RequestUsage {
     usage: Rc<Usage>,
     workspace: String,
-    came: u64,
-    began: Option<u64>,
+    arrival_window: u64,
+    start_window: Option<u64>,
 }
 
 impl RequestUsage {
-    /// Notes that the request began to run when the steady clock read `at`.
-    pub fn began(&mut self, at: Millis) {
-        self.began = Some(self.usage.windows.at(self.usage.view.wall_at(at)));
+    /// Records that the request began to run when the monotonic clock read `at`.
+    pub fn record_start(&mut self, at: Millis) {
+        self.start_window = Some(self.usage.windows.at(self.usage.view.wall_at(at)));
     }
 }
 
 impl Drop for RequestUsage {
     fn drop(&mut self) {
-        self.usage.meter.borrow_mut().ended(self.came, &self.workspace, self.began);
+        self.usage.meter.borrow_mut().ended(
+            self.arrival_window,
+            &self.workspace,
+            self.start_window,
+        );
     }
 }
--- a/components/node/src/view.rs
+++ b/components/node/src/view.rs
@@ -1,4 +1,4 @@
-//! What a member believes, as the leader last told it.
+//! A member's copy of the fleet's state, as last received from the leader.
 
 use std::cell::Ref;
 use std::cell::RefCell;
@@ -18,14 +18,14 @@
 
 type Listener = Box<dyn Fn(&Update)>;
 
-/// What a member believes.
+/// A member's copy of the fleet's state.
 pub struct View {
     config: RefCell<Option<Arc<Config>>>,
     endpoints: RefCell<BTreeMap<String, Endpoint>>,
     controls: RefCell<BTreeSet<SocketAddr>>,
-    ordered: RefCell<BTreeMap<String, Millis>>,
+    order_times: RefCell<BTreeMap<String, Millis>>,
     listeners: RefCell<Vec<Listener>>,
-    time: RefCell<WallTime>,
+    wall_clock: RefCell<WallTime>,
 }
 
 impl Default for View {
@@ -34,24 +34,24 @@
             config: RefCell::default(),
             endpoints: RefCell::default(),
             controls: RefCell::default(),
-            ordered: RefCell::default(),
+            order_times: RefCell::default(),
             listeners: RefCell::default(),
-            time: RefCell::new(WallTime::new(clock::wall(), clock::now())),
+            wall_clock: RefCell::new(WallTime::new(clock::wall(), clock::now())),
         }
     }
 }
 
 impl View {
-    /// Calls `listener` after each piece of news.
+    /// Calls `listener` after each update.
     pub fn subscribe(&self, listener: impl Fn(&Update) + 'static) {
         self.listeners.borrow_mut().push(Box::new(listener));
     }
 
-    /// Takes in a piece of news.
-    pub fn apply(&self, news: Update) {
-        match &news {
+    /// Applies an update.
+    pub fn apply(&self, update: Update) {
+        match &update {
             Update::Config(config) => {
-                if !self.take_config(config) {
+                if !self.apply_config(config) {
                     return;
                 }
             }
@@ -61,74 +61,75 @@
             }
             Update::Forgotten(id) => {
                 self.endpoints.borrow_mut().remove(id);
-                self.ordered.borrow_mut().remove(id);
+                self.order_times.borrow_mut().remove(id);
             }
             Update::Whole(known) => {
                 self.endpoints.borrow_mut().retain(|id, _| known.contains(id));
-                self.ordered.borrow_mut().retain(|id, _| known.contains(id));
+                self.order_times.borrow_mut().retain(|id, _| known.contains(id));
             }
             Update::Ordered(id) => {
-                self.ordered.borrow_mut().insert(id.clone(), clock::now());
+                self.order_times.borrow_mut().insert(id.clone(), clock::now());
             }
-            // Whoever forwards requests listens.
+            // The forwarder handles this update as a listener.
             Update::Refused(_) => {}
             Update::Controls(controls) => *self.controls.borrow_mut() = controls.clone(),
         }
         for listener in self.listeners.borrow().iter() {
-            listener(&news);
+            listener(&update);
         }
     }
 
-    /// Takes a configuration unless it is older than the one held: within a process's life it
-    /// never goes back, even if a leader that was replaced still sends.
-    fn take_config(&self, config: &Arc<Config>) -> bool {
-        let mut held = self.config.borrow_mut();
-        let newer = held.as_ref().is_none_or(|held| held.version < config.version);
+    /// Applies a configuration unless it is older than the current one: the version never decreases
+    /// while the process runs, even if a replaced leader still sends updates. Returns whether it
+    /// was applied.
+    fn apply_config(&self, config: &Arc<Config>) -> bool {
+        let mut current = self.config.borrow_mut();
+        let newer = current.as_ref().is_none_or(|current| current.version < config.version);
         if newer {
-            let before = held.as_ref().map_or(0, |held| held.version);
+            let before = current.as_ref().map_or(0, |current| current.version);
             let routes = config.routes.len();
             tracing::info!(event = "config_in_force", version = config.version, before, routes);
-            *held = Some(config.clone());
+            *current = Some(config.clone());
         }
         newer
     }
 
-    /// Takes in the time of day as the leader told it.
+    /// Records the wall clock time that the leader sent.
     pub fn set_wall_clock(&self, wall: Unix) {
-        self.time.borrow_mut().tell(wall, clock::now());
+        self.wall_clock.borrow_mut().tell(wall, clock::now());
     }
 
-    /// Gives the fleet's time of day.
+    /// Returns the fleet's wall clock time.
     pub fn wall(&self) -> Unix {
         self.wall_at(clock::now())
     }
 
-    /// Gives the fleet's time of day when this VM's steady clock reads `at`.
+    /// Returns the fleet's wall clock time at the moment when this VM's monotonic clock reads `at`.
     pub fn wall_at(&self, at: Millis) -> Unix {
-        self.time.borrow().at(at)
+        self.wall_clock.borrow().at(at)
     }
 
-    /// Gives the configuration in force here.
+    /// Returns the configuration in force in this process.
     pub fn config(&self) -> Option<Arc<Config>> {
         self.config.borrow().clone()
     }
 
-    /// Gives an endpoint; it must not be held across a wait.
+    /// Returns an endpoint. The borrow must not be held across an `await`.
     pub fn endpoint(&self, id: &str) -> Option<Ref<'_, Endpoint>> {
         Ref::filter_map(self.endpoints.borrow(), |all| all.get(id)).ok()
     }
 
-    /// Gives the endpoints.
+    /// Returns all endpoints.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         self.endpoints.borrow().values().cloned().collect()
     }
 
-    /// Gives when leaders told of orders, by the engine.
-    pub fn ordered(&self) -> BTreeMap<String, Millis> {
-        self.ordered.borrow().clone()
+    /// Returns when the leader last announced an order, by engine.
+    pub fn order_times(&self) -> BTreeMap<String, Millis> {
+        self.order_times.borrow().clone()
     }
 
-    /// Gives the addresses at which control processes take links.
+    /// Returns the link addresses of the control processes.
     pub fn controls(&self) -> BTreeSet<SocketAddr> {
         self.controls.borrow().clone()
     }
--- a/components/node/src/wait_queues.rs
+++ b/components/node/src/wait_queues.rs
@@ -1,4 +1,4 @@
-//! Requests of this process that wait because all endpoints of their service are full.
+//! Queues of requests that wait because all endpoints of their service are full.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,27 +11,28 @@
 
 use crate::clock;
 
-/// The lines of all services.
+/// The queues of all services.
 #[derive(Default)]
 pub struct WaitQueues {
-    all: RefCell<BTreeMap<String, Line>>,
-    moved: Notify,
+    queues: RefCell<BTreeMap<String, Line>>,
+    changed: Notify,
 }
 
 impl WaitQueues {
-    /// Tells whether a request that comes now waits.
-    pub fn is_closed(&self, service: &str) -> bool {
-        self.all.borrow().get(service).is_some_and(|line| line.is_closed(clock::now()))
+    /// Returns whether a request that arrives now has to wait.
+    pub fn must_wait(&self, service: &str) -> bool {
+        self.queues.borrow().get(service).is_some_and(|queue| queue.is_closed(clock::now()))
     }
 
-    /// Takes in that a request found all endpoints of a service full.
-    pub fn found_full(&self, service: &str) {
-        self.all.borrow_mut().entry(service.to_owned()).or_default().found_full(clock::now());
+    /// Records that a request found all endpoints of a service full.
+    pub fn record_full(&self, service: &str) {
+        self.queues.borrow_mut().entry(service.to_owned()).or_default().found_full(clock::now());
     }
 
-    /// Waits for the turn of a request, or until a time; then there is no place. `before` is the place
-    /// that it had, if it was first and found all endpoints full again.
-    pub async fn turn(
+    /// Waits for the turn of a request. Returns its place in the queue, or `None` if `until` passes
+    /// first. `before` is its previous place if it was at the head and found all endpoints full
+    /// again.
+    pub async fn wait_for_turn(
         &self,
         service: &str,
         (workspace, rank): (&str, u32),
@@ -39,23 +40,23 @@
         until: Millis,
     ) -> Option<Place> {
         let place = {
-            let mut all = self.all.borrow_mut();
-            let line = all.entry(service.to_owned()).or_default();
+            let mut queues = self.queues.borrow_mut();
+            let queue = queues.entry(service.to_owned()).or_default();
             match before {
                 Some(place) => {
-                    line.rejoin(place);
+                    queue.rejoin(place);
                     place
                 }
-                None => line.join(workspace, rank),
+                None => queue.join(workspace, rank),
             }
         };
-        let stay = Stay { lines: self, service, place };
+        let entry = QueueEntry { owner: self, service, place };
         loop {
             let now = clock::now();
             let left = until.since(now);
-            let turn = self.all.borrow()[service].turn_ms(place, now);
+            let turn = self.queues.borrow()[service].turn_ms(place, now);
             if turn == Some(0) {
-                stay.go();
+                entry.admit();
                 return Some(place);
             }
             if left == 0 {
@@ -64,32 +65,32 @@
             let pause = Duration::from_millis(turn.unwrap_or(left).min(left));
             tokio::select! {
                 () = tokio::time::sleep(pause) => {}
-                () = self.moved.notified() => {}
+                () = self.changed.notified() => {}
             }
         }
     }
 }
 
-/// A request in its line; dropped, it leaves.
-struct Stay<'a> {
-    lines: &'a WaitQueues,
+/// A request in its queue; dropping it removes it from the queue.
+struct QueueEntry<'a> {
+    owner: &'a WaitQueues,
     service: &'a str,
     place: Place,
 }
 
-impl Stay<'_> {
-    fn go(&self) {
-        if let Some(line) = self.lines.all.borrow_mut().get_mut(self.service) {
-            line.go(self.place);
+impl QueueEntry<'_> {
+    fn admit(&self) {
+        if let Some(queue) = self.owner.queues.borrow_mut().get_mut(self.service) {
+            queue.go(self.place);
         }
     }
 }
 
-impl Drop for Stay<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
-        if let Some(line) = self.lines.all.borrow_mut().get_mut(self.service) {
-            line.leave(self.place);
+        if let Some(queue) = self.owner.queues.borrow_mut().get_mut(self.service) {
+            queue.leave(self.place);
         }
-        self.lines.moved.notify_waiters();
+        self.owner.changed.notify_waiters();
     }
 }
--- a/components/node/tests/crashes.rs
+++ b/components/node/tests/crashes.rs
@@ -119,7 +119,7 @@
 #[actix_rt::test]
 async fn a_content_that_the_fleet_refuses_is_sent_to_no_endpoint() {
     let (forwarder, asked) = forwarder(2, Does::Close).await;
-    let content = crashes::content(&request("bad"), "");
+    let content = crashes::content_fingerprint(&request("bad"), "");
     forwarder.apply(&Update::Refused(BTreeSet::from([content])));
     assert!(matches!(send(&forwarder, "bad").await, Outcome::NotRun(..)));
     assert!(asked.borrow().is_empty());
--- a/components/node/tests/entry.rs
+++ b/components/node/tests/entry.rs
@@ -125,7 +125,7 @@
     entry.view.apply(Update::Config(Arc::new(config())));
     entry.view.apply(Update::Endpoint(endpoint));
     let (watched, stall) = (entry.stall.clone(), Duration::from_millis(900));
-    actix_rt::spawn(async move { watched.watch().await });
+    actix_rt::spawn(async move { watched.run_ticks().await });
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     actix_rt::spawn(async move {
@@ -157,11 +157,11 @@
 #[test]
 fn a_request_that_comes_while_the_process_runs_has_not_waited() {
     let stall = Stall::new(Millis(0));
-    (1..20).for_each(|tick| stall.note(Millis(tick * 25)));
+    (1..20).for_each(|tick| stall.record_tick(Millis(tick * 25)));
     assert_eq!(stall.waited_ms(Millis(480)), 0);
     assert_eq!(stall.waited_ms(Millis(1_475)), 1_000, "the process comes back");
-    stall.note(Millis(1_475));
+    stall.record_tick(Millis(1_475));
     assert_eq!(stall.waited_ms(Millis(1_500)), 1_000, "it reads what came meanwhile");
-    stall.note(Millis(1_530));
+    stall.record_tick(Millis(1_530));
     assert_eq!(stall.waited_ms(Millis(1_560)), 0);
 }
--- a/components/node/tests/parts.rs
+++ b/components/node/tests/parts.rs
@@ -10,7 +10,7 @@
 use chicoryford_depot::Worker;
 use chicoryford_fleet::copies::PartId;
 use chicoryford_node::parts;
-use chicoryford_node::parts::Reader;
+use chicoryford_node::parts::PartReader;
 use chicoryford_storage::Disk;
 use tempfile::TempDir;
 use tokio::net::TcpListener;
@@ -43,7 +43,7 @@
     let folder = tempfile::tempdir().unwrap();
     let (listener, address) = listen().await;
     store(&folder, listener).await;
-    let reader: Rc<Reader> = Rc::default();
+    let reader: Rc<PartReader> = Rc::default();
 
     let reads = (1..=4).map(|number| reader.read(address, PartId(number)));
     let read = futures_util::future::join_all(reads).await;
@@ -58,7 +58,7 @@
 async fn a_store_that_stays_silent_is_given_up_in_time_and_asked_on_a_new_connection() {
     let folder = tempfile::tempdir().unwrap();
     let (listener, address) = listen().await;
-    let reader: Rc<Reader> = Rc::default();
+    let reader: Rc<PartReader> = Rc::default();
     let began = Instant::now();
 
     // The connection is made, and nobody reads from it.
@@ -75,7 +75,7 @@
 async fn a_store_that_is_gone_gives_nothing_at_once() {
     let (listener, address) = listen().await;
     drop(listener);
-    let reader: Rc<Reader> = Rc::default();
+    let reader: Rc<PartReader> = Rc::default();
     let began = Instant::now();
 
     assert_eq!(reader.read(address, PartId(1)).await, None);
