--- a/components/node/tests/crashes.rs
+++ b/components/node/tests/crashes.rs
@@ -29,19 +29,19 @@
 use support::endpoint::endpoint;
 use support::route::route;
 
-/// What an endpoint does with a request whose body is "bad"; it answers others.
+/// What an endpoint does with a request whose body is "bad"; it answers all others.
 #[derive(Clone, Copy, Eq, PartialEq)]
-enum Does {
-    /// It crashes: its connections break, and it takes no others.
+enum Behavior {
+    /// It crashes: its connections break, and it accepts no others.
     Crash,
-    /// It closes the connection and goes on.
+    /// It closes the connection and continues.
     Close,
 }
 
-/// The endpoints that were asked for "bad", in order.
-type Asked = Rc<RefCell<Vec<String>>>;
+/// The endpoints that received "bad", in order.
+type Received = Rc<RefCell<Vec<String>>>;
 
-async fn crashing(number: usize, does: Does, asked: Asked) -> Endpoint {
+async fn crashing(number: usize, behavior: Behavior, received: Received) -> Endpoint {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let id = format!("i{number}");
@@ -52,8 +52,8 @@
             let mut bytes = vec![0; 4_096];
             while stream.read(&mut bytes).await.is_ok_and(|read| read > 0) {
                 if bytes.windows(3).any(|three| three == b"bad") {
-                    asked.borrow_mut().push(id.clone());
-                    if does == Does::Crash {
+                    received.borrow_mut().push(id.clone());
+                    if behavior == Behavior::Crash {
                         return;
                     }
                     break;
@@ -67,12 +67,12 @@
     endpoint
 }
 
-async fn forwarder(endpoints: usize, does: Does) -> (Rc<Forwarder>, Asked) {
-    let (forwarder, asked) = (Forwarder::new(Policy::default()), Asked::default());
+async fn forwarder(endpoints: usize, behavior: Behavior) -> (Rc<Forwarder>, Received) {
+    let (forwarder, received) = (Forwarder::new(Policy::default()), Received::default());
     for number in 0..endpoints {
-        forwarder.apply(&Update::Endpoint(crashing(number, does, asked.clone()).await));
+        forwarder.apply(&Update::Endpoint(crashing(number, behavior, received.clone()).await));
     }
-    (forwarder, asked)
+    (forwarder, received)
 }
 
 fn request(body: &'static str) -> Request {
@@ -87,40 +87,40 @@
     let budget = Budget::new(clock::now() + 1_000);
     let outcome =
         forwarder.forward(&route, &request(body), &budget, 1_000, Requester::default()).await;
-    // Until it is known whether endpoints have crashed.
+    // Waits until it has been determined whether endpoints have crashed.
     tokio::time::sleep(Duration::from_millis(200)).await;
     outcome
 }
 
-/// Guards against a content that takes down one endpoint after the other, each time that it comes again.
+/// Guards against a content that crashes one endpoint after the other when it is sent repeatedly.
 #[actix_rt::test]
-async fn a_content_that_has_crashed_three_endpoints_reaches_no_other() {
-    let (forwarder, asked) = forwarder(8, Does::Crash).await;
+async fn a_content_that_has_crashed_three_endpoints_is_sent_to_no_other() {
+    let (forwarder, received) = forwarder(8, Behavior::Crash).await;
     for _ in 0..4 {
         send(&forwarder, "bad").await;
     }
-    assert!(asked.borrow().len() <= 4, "{asked:?}");
+    assert!(received.borrow().len() <= 4, "{received:?}");
     let refused = send(&forwarder, "bad").await;
     assert!(matches!(refused, Outcome::NotRun("the content crashes endpoints", _)), "{refused:?}");
     let other = send(&forwarder, "good").await;
     assert!(matches!(&other, Outcome::Answered(reply) if reply.status.is_success()), "{other:?}");
 }
 
-/// Guards against a content that is refused although no endpoint has crashed.
+/// Guards against refusing a content although no endpoint has crashed.
 #[actix_rt::test]
-async fn an_endpoint_that_closes_connections_and_lives_convicts_nobody() {
-    let (forwarder, asked) = forwarder(4, Does::Close).await;
+async fn a_closed_connection_without_a_crash_refuses_no_content() {
+    let (forwarder, received) = forwarder(4, Behavior::Close).await;
     for _ in 0..4 {
         assert!(matches!(send(&forwarder, "bad").await, Outcome::Lost));
     }
-    assert_eq!(asked.borrow().len(), 8, "each time at as many as the route allows");
+    assert_eq!(received.borrow().len(), 8, "each time as many endpoints as the route allows");
 }
 
 #[actix_rt::test]
 async fn a_content_that_the_fleet_refuses_is_sent_to_no_endpoint() {
-    let (forwarder, asked) = forwarder(2, Does::Close).await;
+    let (forwarder, received) = forwarder(2, Behavior::Close).await;
     let content = crashes::content_fingerprint(&request("bad"), "");
     forwarder.apply(&Update::Refused(BTreeSet::from([content])));
     assert!(matches!(send(&forwarder, "bad").await, Outcome::NotRun(..)));
-    assert!(asked.borrow().is_empty());
+    assert!(received.borrow().is_empty());
 }
--- a/components/node/tests/entry.rs
+++ b/components/node/tests/entry.rs
@@ -1,4 +1,4 @@
-//! What an entry hands on of a caller's time, on real sockets.
+//! The time limit that an entry passes on to endpoints, on real sockets.
 
 mod support {
     pub mod endpoint;
@@ -40,17 +40,17 @@
 use support::route::route;
 
 /// How long the caller waits.
-const WAITS: Duration = Duration::from_millis(1_500);
+const CALLER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Starts an endpoint that notes until when it may work.
-async fn noting(ends: Rc<RefCell<Vec<Instant>>>) -> Endpoint {
+/// Starts an endpoint that records until when it may work on each request.
+async fn recording_endpoint(deadlines: Rc<RefCell<Vec<Instant>>>) -> Endpoint {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = Rc::new(Server::default());
     actix_rt::spawn(async move {
         let answer = move |request: Request| {
             let left = Duration::from_millis(request.headers.number("x-deadline-ms").unwrap());
-            ends.borrow_mut().push(Instant::now() + left);
+            deadlines.borrow_mut().push(Instant::now() + left);
             let reply = Reply::new(StatusCode::OK, "ok").with("x-attempt-id", "id");
             std::future::ready(reply.with("x-response-stamp", "s"))
         };
@@ -64,11 +64,11 @@
     Config { version: 1, routes: vec![route], source: Bytes::new(), ..Config::default() }
 }
 
-/// Makes an entry that has just started and is not connected.
+/// Creates an entry that has just started and is not connected.
 fn entry() -> Rc<Entry> {
     let (view, forwarder) = (Rc::new(View::default()), Forwarder::new(Policy::default()));
-    let learns = forwarder.clone();
-    view.subscribe(move |news| learns.apply(news));
+    let applies = forwarder.clone();
+    view.subscribe(move |update| applies.apply(update));
     let member = Member {
         node: "f".to_owned(),
         data_centre: "z".to_owned(),
@@ -91,12 +91,12 @@
     })
 }
 
-/// Guards against endpoints that work on after the caller has left, because time in which its request
-/// waited at the entry is handed on.
+/// Guards against endpoints that continue after the caller has left, because the entry passes on
+/// time for which the request waited there.
 #[actix_rt::test]
-async fn time_in_which_a_request_waited_is_not_handed_on() {
-    let (entry, ends) = (entry(), Rc::default());
-    let endpoint = noting(Rc::clone(&ends)).await;
+async fn time_spent_waiting_for_the_configuration_is_not_passed_on() {
+    let (entry, deadlines) = (entry(), Rc::default());
+    let endpoint = recording_endpoint(Rc::clone(&deadlines)).await;
     let view = entry.view.clone();
     actix_rt::spawn(async move {
         tokio::time::sleep(Duration::from_millis(300)).await;
@@ -106,22 +106,22 @@
     let mut request = Request::new(Method::POST, "/desk/1", "");
     request.headers.set("host", "h");
     request.headers.set("x-attempt-id", "id");
-    request.headers.set("x-deadline-ms", &WAITS.as_millis().to_string());
-    let came = Instant::now();
+    request.headers.set("x-deadline-ms", &CALLER_TIMEOUT.as_millis().to_string());
+    let sent = Instant::now();
 
     let reply = entry.answer(request).await;
 
     assert_eq!(reply.status, StatusCode::OK);
-    let over = ends.borrow()[0].saturating_duration_since(came + WAITS);
+    let over = deadlines.borrow()[0].saturating_duration_since(sent + CALLER_TIMEOUT);
     assert!(over < Duration::from_millis(100), "{over:?} after the caller has left");
 }
 
-/// Guards against endpoints that work on after the caller has left, because its request lay unread before a
-/// process that stood still.
+/// Guards against endpoints that continue after the caller has left, because its request stayed
+/// unread while the entry's process was stalled.
 #[actix_rt::test]
-async fn time_in_which_a_request_lay_unread_is_not_handed_on() {
-    let (entry, ends) = (entry(), Rc::default());
-    let endpoint = noting(Rc::clone(&ends)).await;
+async fn time_spent_unread_during_a_stall_is_not_passed_on() {
+    let (entry, deadlines) = (entry(), Rc::default());
+    let endpoint = recording_endpoint(Rc::clone(&deadlines)).await;
     entry.view.apply(Update::Config(Arc::new(config())));
     entry.view.apply(Update::Endpoint(endpoint));
     let (watched, stall) = (entry.stall.clone(), Duration::from_millis(900));
@@ -136,32 +136,32 @@
     let caller = std::thread::spawn(move || {
         let mut stream = std::net::TcpStream::connect(address).unwrap();
         let head = "POST /desk/1 HTTP/1.1\r\nhost: h\r\nx-attempt-id: id\r\ncontent-length: 0\r\n";
-        let text = format!("{head}x-deadline-ms: {}\r\n\r\n", WAITS.as_millis());
+        let text = format!("{head}x-deadline-ms: {}\r\n\r\n", CALLER_TIMEOUT.as_millis());
         stream.write_all(text.as_bytes()).unwrap();
-        let came = Instant::now();
+        let sent = Instant::now();
         let mut answer = [0; 12];
         stream.read_exact(&mut answer).unwrap();
-        (came, answer)
+        (sent, answer)
     });
-    // The process stands still.
+    // The process stalls.
     std::thread::sleep(stall);
     tokio::time::sleep(Duration::from_millis(300)).await;
 
-    let (came, answer) = caller.join().unwrap();
+    let (sent, answer) = caller.join().unwrap();
 
     assert_eq!(&answer, b"HTTP/1.1 200");
-    let over = ends.borrow()[0].saturating_duration_since(came + WAITS);
+    let over = deadlines.borrow()[0].saturating_duration_since(sent + CALLER_TIMEOUT);
     assert!(over < Duration::from_millis(100), "{over:?} after the caller has left");
 }
 
 #[test]
-fn a_request_that_comes_while_the_process_runs_has_not_waited() {
+fn a_request_that_arrives_while_the_process_runs_has_not_waited() {
     let stall = Stall::new(Millis(0));
     (1..20).for_each(|tick| stall.record_tick(Millis(tick * 25)));
     assert_eq!(stall.waited_ms(Millis(480)), 0);
-    assert_eq!(stall.waited_ms(Millis(1_475)), 1_000, "the process comes back");
+    assert_eq!(stall.waited_ms(Millis(1_475)), 1_000, "the process resumes");
     stall.record_tick(Millis(1_475));
-    assert_eq!(stall.waited_ms(Millis(1_500)), 1_000, "it reads what came meanwhile");
+    assert_eq!(stall.waited_ms(Millis(1_500)), 1_000, "it reads what arrived during the stall");
     stall.record_tick(Millis(1_530));
     assert_eq!(stall.waited_ms(Millis(1_560)), 0);
 }
--- a/components/node/tests/forward.rs
+++ b/components/node/tests/forward.rs
@@ -1,4 +1,4 @@
-//! What follows when an attempt at an endpoint fails, on real sockets.
+//! Retries and hedging after failed attempts at endpoints, on real sockets.
 
 mod support {
     pub mod endpoint;
@@ -31,9 +31,9 @@
 use support::endpoint::endpoint;
 use support::route::route;
 
-/// What an endpoint does with each request.
+/// What a stub endpoint does with each request.
 #[derive(Clone, Copy)]
-enum Does {
+enum Behavior {
     Answer,
     Refuse,
     Fail,
@@ -45,47 +45,47 @@
 
 struct Stub {
     address: SocketAddr,
-    asked: Rc<Cell<u32>>,
+    requests: Rc<Cell<u32>>,
 }
 
-async fn stub(does: Does) -> Stub {
+async fn stub(behavior: Behavior) -> Stub {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let asked = Rc::new(Cell::new(0));
-    let count = asked.clone();
+    let requests = Rc::new(Cell::new(0));
+    let count = requests.clone();
     actix_rt::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
-            actix_rt::spawn(play(stream, does, count.clone()));
+            actix_rt::spawn(serve(stream, behavior, count.clone()));
         }
     });
-    Stub { address, asked }
+    Stub { address, requests }
 }
 
-async fn play(mut stream: TcpStream, does: Does, asked: Rc<Cell<u32>>) {
+async fn serve(mut stream: TcpStream, behavior: Behavior, requests: Rc<Cell<u32>>) {
     let mut bytes = vec![0; 4_096];
     while stream.read(&mut bytes).await.is_ok_and(|read| read > 0) {
-        asked.set(asked.get() + 1);
+        requests.set(requests.get() + 1);
         let own = "x-attempt-id: id\r\nx-response-stamp: s\r\n";
-        let text = match does {
-            Does::Answer => format!("HTTP/1.1 200 OK\r\n{own}content-length: 2\r\n\r\nok"),
-            Does::Refuse => {
+        let text = match behavior {
+            Behavior::Answer => format!("HTTP/1.1 200 OK\r\n{own}content-length: 2\r\n\r\nok"),
+            Behavior::Refuse => {
                 "HTTP/1.1 503 x\r\nx-not-executed: 1\r\ncontent-length: 0\r\n\r\n".to_owned()
             }
-            Does::Fail => format!("HTTP/1.1 500 x\r\n{own}content-length: 0\r\n\r\n"),
-            Does::AnswerSlowly => {
+            Behavior::Fail => format!("HTTP/1.1 500 x\r\n{own}content-length: 0\r\n\r\n"),
+            Behavior::AnswerSlowly => {
                 tokio::time::sleep(Duration::from_millis(200)).await;
                 format!("HTTP/1.1 200 OK\r\n{own}content-length: 2\r\n\r\nok")
             }
-            Does::FailSlowly => {
+            Behavior::FailSlowly => {
                 tokio::time::sleep(Duration::from_millis(200)).await;
                 format!("HTTP/1.1 500 x\r\n{own}content-length: 0\r\n\r\n")
             }
-            Does::Reset => {
+            Behavior::Reset => {
                 stream.set_zero_linger().unwrap();
                 return;
             }
-            Does::Hang => {
+            Behavior::Hang => {
                 tokio::time::sleep(Duration::from_secs(60)).await;
                 return;
             }
@@ -94,7 +94,7 @@
     }
 }
 
-/// Makes a forwarder that knows these endpoints; it asks the first one first.
+/// Creates a forwarder with these endpoints, which tries the first one first.
 fn forwarder(stubs: &[&Stub]) -> Rc<Forwarder> {
     let forwarder = Forwarder::new(Policy::default());
     for (number, stub) in stubs.iter().enumerate() {
@@ -112,7 +112,7 @@
     request
 }
 
-/// Sends a request; gives what became of it, and how many answers had status 500.
+/// Sends a request. Returns its outcome, and the number of replies with status 500.
 async fn send_counting(
     stubs: &[&Stub],
     kind: Kind,
@@ -136,35 +136,34 @@
 }
 
 #[actix_rt::test]
-async fn a_request_that_may_be_repeated_goes_on_after_any_failure() {
-    for does in [Does::Refuse, Does::Fail, Does::Reset] {
-        let (bad, good) = (stub(does).await, stub(Does::Answer).await);
+async fn an_idempotent_request_is_retried_after_any_failure() {
+    for behavior in [Behavior::Refuse, Behavior::Fail, Behavior::Reset] {
+        let (bad, good) = (stub(behavior).await, stub(Behavior::Answer).await);
         let outcome = send(&[&bad, &good], Kind::Idempotent, 3, 1_500).await;
         assert!(is_success(&outcome), "{outcome:?}");
     }
 }
 
-/// Symptom: a label is printed twice.
-/// Sequence: the endpoint resets the connection after it has read the request.
-/// Cause: the request was sent to another endpoint though it may have run.
+/// Guards against sending a request with side effects again after its connection was reset, because
+/// the first endpoint may have run it: a label was printed twice.
 #[actix_rt::test]
-async fn a_request_that_may_have_run_is_not_repeated() {
-    let (bad, good) = (stub(Does::Reset).await, stub(Does::Reset).await);
+async fn a_request_that_may_have_run_is_not_retried() {
+    let (bad, good) = (stub(Behavior::Reset).await, stub(Behavior::Reset).await);
     let (outcome, failures) = send_counting(&[&bad, &good], Kind::Once, 3, 1_500).await;
     assert!(matches!((&outcome, failures), (Outcome::Lost, 0)), "{outcome:?} {failures}");
-    assert_eq!(bad.asked.get() + good.asked.get(), 1);
+    assert_eq!(bad.requests.get() + good.requests.get(), 1);
 }
 
 #[actix_rt::test]
-async fn a_request_that_did_not_run_goes_on_elsewhere_even_if_it_must_not_be_repeated() {
-    let (bad, good) = (stub(Does::Refuse).await, stub(Does::Answer).await);
+async fn a_request_that_did_not_run_is_retried_elsewhere_even_if_not_idempotent() {
+    let (bad, good) = (stub(Behavior::Refuse).await, stub(Behavior::Answer).await);
     let outcome = send(&[&bad, &good], Kind::Once, 1, 1_500).await;
     assert!(is_success(&outcome), "{outcome:?}");
 }
 
 #[actix_rt::test]
-async fn endpoints_that_are_all_full_are_a_refusal_at_once() {
-    let full = stub(Does::Refuse).await;
+async fn a_request_is_refused_soon_if_all_endpoints_are_full() {
+    let full = stub(Behavior::Refuse).await;
     let began = Instant::now();
     let outcome = send(&[&full], Kind::Once, 1, 5_000).await;
     assert!(matches!(outcome, Outcome::NotRun(_, after) if after > 0), "{outcome:?}");
@@ -172,18 +171,18 @@
 }
 
 #[actix_rt::test]
-async fn no_endpoint_is_a_refusal_and_no_answer_in_time_is_not() {
+async fn a_request_without_endpoints_is_refused_and_an_unanswered_one_times_out() {
     let outcome = send(&[], Kind::Idempotent, 2, 1_000).await;
     assert!(matches!(outcome, Outcome::NotRun(..)), "{outcome:?}");
-    let hanging = stub(Does::Hang).await;
+    let hanging = stub(Behavior::Hang).await;
     let (outcome, failures) = send_counting(&[&hanging], Kind::Idempotent, 2, 300).await;
     assert!(matches!((&outcome, failures), (Outcome::Late, 0)), "it may have run: {outcome:?}");
 }
 
-/// The load: one endpoint of some goes silent; callers wait a fraction of a second.
+/// One of several endpoints becomes silent, while callers wait only for a fraction of a second.
 #[actix_rt::test]
-async fn a_silent_endpoint_gets_company_from_another() {
-    let (silent, good) = (stub(Does::Hang).await, stub(Does::Answer).await);
+async fn a_request_to_a_silent_endpoint_is_hedged() {
+    let (silent, good) = (stub(Behavior::Hang).await, stub(Behavior::Answer).await);
     let began = Instant::now();
     let outcome = send(&[&silent, &good], Kind::Idempotent, 2, 3_000).await;
     assert!(is_success(&outcome), "{outcome:?}");
@@ -192,21 +191,21 @@
 
 #[actix_rt::test]
 async fn no_more_endpoints_run_it_than_the_route_allows() {
-    let stubs = [stub(Does::Fail).await, stub(Does::Fail).await, stub(Does::Fail).await];
+    let stubs =
+        [stub(Behavior::Fail).await, stub(Behavior::Fail).await, stub(Behavior::Fail).await];
     let all = [&stubs[0], &stubs[1], &stubs[2]];
     let (outcome, failures) = send_counting(&all, Kind::Idempotent, 2, 1_500).await;
     let Outcome::Answered(reply) = outcome else { panic!("{outcome:?}") };
     assert_eq!((reply.status.as_u16(), failures), (500, 2), "the endpoint's own answer");
-    assert_eq!(stubs.iter().map(|stub| stub.asked.get()).sum::<u32>(), 2);
+    assert_eq!(stubs.iter().map(|stub| stub.requests.get()).sum::<u32>(), 2);
 }
 
-/// Symptom: a sample is never given up, and its step waits for it until its trainer gives up.
-/// Sequence: the sample's scorer fails at it each time, and so slowly that the time of a call is up
-/// before all attempts have failed; the next call begins to count anew.
-/// Cause: a call that ran out of time did not tell how often the scorer had failed.
+/// A scorer may fail so slowly that a call times out before all attempts have failed. Guards
+/// against losing the count of failures then: the next call started at zero, so the sample was
+/// never given up, and its step waited until its trainer gave up.
 #[actix_rt::test]
 async fn failures_count_also_when_the_time_is_up() {
-    let stubs = [stub(Does::FailSlowly).await, stub(Does::FailSlowly).await];
+    let stubs = [stub(Behavior::FailSlowly).await, stub(Behavior::FailSlowly).await];
     let (outcome, failures) =
         send_counting(&[&stubs[0], &stubs[1]], Kind::Idempotent, 9, 700).await;
     assert!(matches!((&outcome, failures), (Outcome::Late, 2..)), "{outcome:?} {failures}");
@@ -214,9 +213,9 @@
 
 /// Collects log lines.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<u8>>>);
+struct LogLines(Arc<Mutex<Vec<u8>>>);
 
-impl std::io::Write for Lines {
+impl std::io::Write for LogLines {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -227,16 +226,16 @@
     }
 }
 
-/// Symptom: a request was late, and its only log line says just that.
-/// Sequence: one endpoint hangs; the second attempt, elsewhere, is answered.
-/// Cause: attempts that ended well, or were given up for a faster one, were not written down.
+/// A first endpoint hangs, and the second attempt is answered late. Guards against a log line
+/// without the attempts that succeeded or were abandoned for a faster one, which would not explain
+/// the delay.
 #[actix_rt::test]
-async fn a_late_requests_attempts_are_written_down() {
-    let lines = Lines::default();
+async fn the_attempts_of_a_late_request_are_logged() {
+    let lines = LogLines::default();
     let copy = lines.clone();
     let log = tracing_subscriber::fmt().with_ansi(false).with_writer(move || copy.clone()).finish();
     let _guard = tracing::subscriber::set_default(log);
-    let (bad, good) = (stub(Does::Hang).await, stub(Does::AnswerSlowly).await);
+    let (bad, good) = (stub(Behavior::Hang).await, stub(Behavior::AnswerSlowly).await);
     let outcome = send(&[&bad, &good], Kind::Idempotent, 3, 1_500).await;
     assert!(is_success(&outcome), "{outcome:?}");
     let text = String::from_utf8(lines.0.lock().unwrap().clone()).unwrap();
--- a/components/node/tests/leader/fleet.rs
+++ b/components/node/tests/leader/fleet.rs
@@ -1,4 +1,4 @@
-//! One control process that leads, and the steps that it is given.
+//! One control process that leads, and the steps submitted to it.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -52,19 +52,19 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::member::ALIVE;
-use crate::member::Kept;
+use crate::member::HEARTBEAT_INTERVAL;
 use crate::member::Member;
-use crate::member::STORE;
+use crate::member::STORE_IDENTITY;
 use crate::member::Socket;
-use crate::member::greet;
+use crate::member::StoredParts;
+use crate::member::connect_store;
 
-/// One control process, whose replica is alone and so leads.
+/// One control process, whose replica is the only one and therefore leads.
 pub struct Fleet {
     settings: Rc<Settings>,
     pub replica: Rc<LocalReplica>,
     pub followers: Rc<Followers>,
-    pub slot: Rc<RefCell<Option<Rc<Leader>>>>,
+    pub current_leader: Rc<RefCell<Option<Rc<Leader>>>>,
     epoch: Cell<Epoch>,
     pub links: SocketAddr,
     _folder: TempDir,
@@ -75,7 +75,7 @@
         Self::start_with(|settings| settings).await
     }
 
-    /// Starts one whose settings are otherwise than usual.
+    /// Starts a fleet with changed settings.
     pub async fn start_with(change: impl Fn(Settings) -> Settings) -> Self {
         let folder = TempDir::new().unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -87,38 +87,40 @@
         actix_rt::spawn(async move { running.run(reports).await });
         let traffic = Traffic::new("here");
         let followers = Rc::new(Followers::new(traffic.clone()));
-        let slot: Rc<RefCell<Option<Rc<Leader>>>> = Rc::default();
+        let current_leader: Rc<RefCell<Option<Rc<Leader>>>> = Rc::default();
         let link_server = LinkServer {
             replica: replica.clone(),
-            leader: slot.clone(),
+            leader: current_leader.clone(),
             followers: followers.clone(),
             traffic: traffic.clone(),
         };
         actix_rt::spawn(Rc::new(link_server).run(listener));
-        until("the replica leads", || replica.leads()).await;
+        wait_until("the replica leads", || replica.leads()).await;
         let epoch = Cell::new(replica.leading().borrow().unwrap());
-        let fleet = Self { settings, replica, followers, slot, epoch, links, _folder: folder };
+        let fleet =
+            Self { settings, replica, followers, current_leader, epoch, links, _folder: folder };
         fleet.next_leader();
         let configured = fleet.leader().commit(Command::Configure(Arc::new(config()))).await;
         assert!(matches!(configured, Answer::Done), "{configured:?}");
         fleet
     }
 
-    /// Starts one whose step "a" was accepted by the leader before, and has been read by this one.
-    pub async fn taken_over() -> (Self, Rc<Leader>, Member) {
-        let (fleet, kept) = (Self::start().await, Kept::default());
-        let store = fleet.store(&kept).await;
+    /// Starts a fleet whose step "a" was accepted by the previous leader and has been read by the
+    /// current one.
+    pub async fn with_adopted_step() -> (Self, Rc<Leader>, Member) {
+        let (fleet, parts) = (Self::start().await, StoredParts::default());
+        let store = fleet.store(&parts).await;
         fleet.submit("a").await;
         drop(store);
         let leader = fleet.next_leader();
-        let store = fleet.store(&kept).await;
-        until("the step is read", || leader.plan.borrow().has("a")).await;
+        let store = fleet.store(&parts).await;
+        wait_until("the step is read", || leader.plan.borrow().has("a")).await;
         (fleet, leader, store)
     }
 
-    /// Has another leader follow, which knows what the log holds and nothing else.
+    /// Replaces the leader by one that has only the state in the log.
     pub fn next_leader(&self) -> Rc<Leader> {
-        if let Some(before) = self.slot.borrow_mut().take() {
+        if let Some(before) = self.current_leader.borrow_mut().take() {
             before.stop();
         }
         let view = Rc::new(View::default());
@@ -132,15 +134,15 @@
         };
         let leader = Leader::start(context, self.epoch.get(), &view);
         self.epoch.set(self.epoch.get().next());
-        *self.slot.borrow_mut() = Some(leader.clone());
+        *self.current_leader.borrow_mut() = Some(leader.clone());
         leader
     }
 
     pub fn leader(&self) -> Rc<Leader> {
-        self.slot.borrow().clone().unwrap()
+        self.current_leader.borrow().clone().unwrap()
     }
 
-    /// Has a step accepted, whose part lies on a store.
+    /// Submits a step whose part is written to a store.
     pub async fn submit(&self, id: &str) {
         let answer = self.leader().answer(Call::Submit(step(id))).await;
         assert!(matches!(answer, Answer::Done), "{answer:?}");
@@ -149,9 +151,9 @@
         assert!(matches!(part.place, Place::Stores(_)), "{part:?}");
     }
 
-    /// Has six parts noted of a step's samples, which the store is said to have and does not give.
+    /// Commits six notes about a step's samples, on a store that does not return them.
     pub async fn note(&self, id: &str) {
-        let stores = BTreeSet::from([StoreId { node: "s".to_owned(), identity: STORE }]);
+        let stores = BTreeSet::from([StoreId { node: "s".to_owned(), identity: STORE_IDENTITY }]);
         for number in 0..6 {
             let place = Place::Stores(stores.clone());
             let note = Command::Note { step: id.to_owned(), part: PartId(number), place };
@@ -165,48 +167,48 @@
         assert!(matches!(answer, Answer::Done), "{answer:?}");
     }
 
-    pub async fn store(&self, kept: &Kept) -> Member {
-        let store = Member::connect(self.links, "s", kept.clone(), Vec::new()).await;
+    pub async fn store(&self, parts: &StoredParts) -> Member {
+        let store = Member::connect(self.links, "s", parts.clone(), Vec::new()).await;
         let leader = self.leader();
-        until("the store is connected", || leader.copies.count(|node| node == "s") == 1).await;
+        wait_until("the store is connected", || leader.copies.count(|node| node == "s") == 1).await;
         store
     }
 
     pub async fn host(&self, runs: Vec<Report>) -> Member {
-        Member::connect(self.links, "h", Kept::default(), runs).await
+        Member::connect(self.links, "h", StoredParts::default(), runs).await
     }
 
-    /// Connects a host that lives and reads only what the test reads.
+    /// Connects a host that sends heartbeats and reads only what the test reads.
     pub async fn slow_host(&self) -> (SplitStream<Socket>, JoinHandle<()>) {
-        let (mut sink, stream) = greet(self.links, "h").await.split();
-        let alive = actix_rt::spawn(async move {
+        let (mut sink, stream) = connect_store(self.links, "h").await.split();
+        let heartbeats = actix_rt::spawn(async move {
             while sink.send(encode(&MemberMessage::Alive(clock::wall()))).await.is_ok() {
-                tokio::time::sleep(ALIVE).await;
+                tokio::time::sleep(HEARTBEAT_INTERVAL).await;
             }
         });
         let leader = self.leader();
-        until("the host is connected", || leader.copies.count(|node| node == "h") == 1).await;
-        (stream, alive)
+        wait_until("the host is connected", || leader.copies.count(|node| node == "h") == 1).await;
+        (stream, heartbeats)
     }
 
-    /// Gives the slow host orders until there is no room for more; tells how many.
-    pub async fn fill(&self) -> u64 {
-        // Drawn at random, so that frames are not compressed.
+    /// Sends orders to the slow host until its queue is full. Returns their number.
+    pub async fn fill_queue(&self) -> u64 {
+        // Random bytes, which are not compressed.
         let body: Vec<u8> = (0..8 << 10).map(|_| rand::random()).collect();
-        let (body, mut given) = (Bytes::from(body), 0);
+        let (body, mut sent) = (Bytes::from(body), 0);
         loop {
-            while self.followers.send_work("h", Work::Run(Box::new(job(given, body.clone())))) {
-                given += 1;
-                if given.is_multiple_of(100) {
+            while self.followers.send_work("h", Work::Run(Box::new(job(sent, body.clone())))) {
+                sent += 1;
+                if sent.is_multiple_of(100) {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
-            if !self.followers.send_work("h", Work::Run(Box::new(job(given, body.clone())))) {
-                assert!(given > 4_000, "only {given} fitted");
-                return given;
+            if !self.followers.send_work("h", Work::Run(Box::new(job(sent, body.clone())))) {
+                assert!(sent > 4_000, "only {sent} orders fitted");
+                return sent;
             }
-            given += 1;
+            sent += 1;
         }
     }
 }
@@ -260,8 +262,8 @@
     Config { version: 1, routes: vec![route], ..Config::default() }
 }
 
-/// The steps' route, and one for plain requests to the desk.
-pub fn with_desk(version: u64) -> Config {
+/// Returns a configuration with the route for steps, and one for plain requests to the desk.
+pub fn config_with_desk(version: u64) -> Config {
     let steps = config();
     let route = Route {
         name: "desk".to_owned(),
@@ -291,9 +293,9 @@
     })
 }
 
-/// A run of a step's sample that is whole; its host calls the scorer until it answers, and tells
-/// nothing meanwhile.
-pub fn scoring(step: &str) -> Report {
+/// Returns the report of a completed run of a step's sample. Its host calls the scorer until it
+/// answers, and reports nothing meanwhile.
+pub fn scoring_report(step: &str) -> Report {
     Report {
         run: 1,
         step: step.to_owned(),
@@ -308,15 +310,15 @@
     }
 }
 
-/// A run of this number, with a body of its sample.
+/// Returns a run with this number, and with this body of its sample.
 pub fn job(number: u64, body: Bytes) -> Job {
     let sample = Sample { body, ..Sample::default() };
     Job { run: number, sample, ..crate::job::job("127.0.0.1:9".parse().unwrap()) }
 }
 
-pub async fn until(what: &str, is: impl Fn() -> bool) {
+pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let began = Instant::now();
-    while !is() {
+    while !condition() {
         assert!(began.elapsed() < Duration::from_secs(10), "{what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
--- a/components/node/tests/leader/keys.rs
+++ b/components/node/tests/leader/keys.rs
@@ -1,4 +1,4 @@
-//! Keys at an entry that follows a real leader, with an endpoint that the test plays.
+//! Keys at an entry that follows a real leader, with an endpoint simulated by the test.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -30,39 +30,40 @@
 use tokio::net::TcpListener;
 
 use crate::fleet::Fleet;
+use crate::fleet::config_with_desk;
 use crate::fleet::pause;
-use crate::fleet::until;
-use crate::fleet::with_desk;
-use crate::member::Kept;
+use crate::fleet::wait_until;
+use crate::member::StoredParts;
 
-/// What the endpoint saw of each request: the key and the workspace.
-type Seen = Rc<RefCell<Vec<(Option<String>, Option<String>)>>>;
+/// What the endpoint received with each request: the key and the workspace.
+type Received = Rc<RefCell<Vec<(Option<String>, Option<String>)>>>;
 
 struct Rig {
     fleet: Fleet,
     entry: Rc<Entry>,
-    seen: Seen,
+    received: Received,
 }
 
-/// A route to the desk and one for steps, and these keys of the workspaces "w" and "x".
-fn keyed(version: u64, keys: [&[&str]; 2]) -> Config {
+/// A configuration with a route to the desk and one for steps, and with these keys of the
+/// workspaces "w" and "x".
+fn config_with_keys(version: u64, keys: [&[&str]; 2]) -> Config {
     let workspaces = ["w", "x"].iter().zip(keys).map(|(name, keys)| Workspace {
         name: (*name).to_owned(),
         keys: keys.iter().map(|key| Digest::of(key.as_bytes())).collect(),
         urgency: None,
     });
     let workspaces = workspaces.collect::<Vec<_>>().into();
-    Config { workspaces, ..with_desk(version) }
+    Config { workspaces, ..config_with_desk(version) }
 }
 
-async fn endpoint(seen: Seen) -> Announcement {
+async fn endpoint(received: Received) -> Announcement {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = Rc::new(Server::default());
     actix_rt::spawn(async move {
         let answer = move |request: Request| {
             let header = |name: &str| request.headers.get(name).map(str::to_owned);
-            seen.borrow_mut().push((header("authorization"), header("x-tenant")));
+            received.borrow_mut().push((header("authorization"), header("x-tenant")));
             let id = header("x-attempt-id").unwrap_or_default();
             async move {
                 Reply::new(StatusCode::OK, "ok")
@@ -87,7 +88,7 @@
 
 impl Rig {
     async fn start(trust: Trust, keys: [&[&str]; 2]) -> Self {
-        let (fleet, seen) = (Fleet::start().await, Seen::default());
+        let (fleet, received) = (Fleet::start().await, Received::default());
         let (view, forwarder) = (Rc::new(View::default()), Forwarder::new(Policy::default()));
         let member = Member {
             node: "f".to_owned(),
@@ -98,10 +99,10 @@
             runner: None,
         };
         let link = Link::new(member, view.clone(), vec![fleet.links]);
-        let learns = forwarder.clone();
-        view.subscribe(move |news| learns.apply(news));
-        let follows = link.clone();
-        actix_rt::spawn(async move { follows.run().await });
+        let applies = forwarder.clone();
+        view.subscribe(move |update| applies.apply(update));
+        let running = link.clone();
+        actix_rt::spawn(async move { running.run().await });
         let entry = Rc::new(Entry {
             link,
             view,
@@ -114,14 +115,14 @@
             near_data_centre: String::new(),
             reader: Rc::default(),
         });
-        let rig = Self { fleet, entry, seen };
-        rig.configure(keyed(2, keys)).await;
-        rig.announce(endpoint(rig.seen.clone()).await).await;
+        let rig = Self { fleet, entry, received };
+        rig.configure(config_with_keys(2, keys)).await;
+        rig.announce(endpoint(rig.received.clone()).await).await;
         rig
     }
 
-    async fn announce(&self, said: Announcement) {
-        let answer = self.fleet.leader().answer(Call::Announce(said)).await;
+    async fn announce(&self, announcement: Announcement) {
+        let answer = self.fleet.leader().answer(Call::Announce(announcement)).await;
         assert!(matches!(answer, Answer::Heard), "{answer:?}");
         pause(50).await;
     }
@@ -131,7 +132,8 @@
         let configured = self.fleet.leader().commit(Command::Configure(Arc::new(config))).await;
         assert!(matches!(configured, Answer::Done), "{configured:?}");
         let view = &self.entry.view;
-        until("it is in force", || view.config().is_some_and(|held| held.version >= version)).await;
+        wait_until("it is in force", || view.config().is_some_and(|held| held.version >= version))
+            .await;
     }
 
     async fn ask(&self, method: Method, target: &str, key: &str, body: &str) -> (u16, Reply) {
@@ -150,50 +152,47 @@
 
     async fn lose_leader(&self) {
         self.fleet.leader().stop();
-        self.fleet.slot.borrow_mut().take();
-        until("the leader is lost", || !self.entry.link.is_connected()).await;
+        self.fleet.current_leader.borrow_mut().take();
+        wait_until("the leader is lost", || !self.entry.link.is_connected()).await;
     }
 }
 
 const LENIENT: Trust = Trust { strict: false, limit_ms: 0 };
 
 #[actix_rt::test]
-async fn an_endpoint_is_told_the_workspace_and_not_the_key() {
+async fn an_endpoint_receives_the_workspace_and_not_the_key() {
     let rig = Rig::start(LENIENT, [&["k1"], &["k2"]]).await;
     assert_eq!(rig.desk("k1").await, 200);
-    assert_eq!(rig.seen.borrow()[..], [(None, Some("w".to_owned()))]);
+    assert_eq!(rig.received.borrow()[..], [(None, Some("w".to_owned()))]);
     assert_eq!(rig.desk("k3").await, 401);
-    assert_eq!(rig.seen.borrow().len(), 1);
+    assert_eq!(rig.received.borrow().len(), 1);
 }
 
-/// Symptom: a caller whose key was taken away is still served.
-/// Sequence: an operator takes a key away and adds another; both callers keep asking.
-/// Proof: each entry that hears the leader refuses the one and serves the other from the moment at
-/// which the change is in force there.
+/// An operator revokes one key and adds another. Each entry connected to the leader refuses the one
+/// and accepts the other from the moment when the change is in force there.
 #[actix_rt::test]
-async fn keys_come_and_go_with_the_configuration() {
+async fn keys_are_added_and_revoked_with_the_configuration() {
     let rig = Rig::start(LENIENT, [&["k1"], &[]]).await;
     assert_eq!((rig.desk("k1").await, rig.desk("k2").await), (200, 401));
-    rig.configure(keyed(3, [&["k2"], &[]])).await;
+    rig.configure(config_with_keys(3, [&["k2"], &[]])).await;
     assert_eq!((rig.desk("k1").await, rig.desk("k2").await), (401, 200));
 }
 
-/// Symptom: a caller with a new key is turned away for good, though the key is good.
-/// Sequence: an entry is cut off from all control processes; a key is added meanwhile.
-/// Cause: to the entry it is unknown, and it cannot know better; so it must not say so for good.
+/// An entry is disconnected from all control processes while a key is added. Guards against
+/// rejecting such a key permanently: it is unknown to the entry, but may be valid.
 #[actix_rt::test]
-async fn an_entry_that_is_cut_off_refuses_no_key_for_good() {
+async fn a_disconnected_entry_refuses_no_key_permanently() {
     let rig = Rig::start(LENIENT, [&["k1"], &[]]).await;
     rig.lose_leader().await;
-    assert_eq!(rig.desk("k2").await, 401, "it can have missed nothing yet");
+    assert_eq!(rig.desk("k2").await, 401, "it cannot have missed a change yet");
     pause(1_600).await;
     let (status, reply) = rig.ask(Method::POST, "/d/1", "k2", "").await;
     assert_eq!((status, reply.headers.get("retry-after").is_some()), (503, true));
-    assert_eq!(rig.desk("k1").await, 200, "what was known holds");
+    assert_eq!(rig.desk("k1").await, 200, "the known key is still accepted");
 }
 
 #[actix_rt::test]
-async fn an_entry_that_is_cut_off_refuses_all_keys_where_operators_chose_so() {
+async fn a_disconnected_entry_refuses_all_keys_if_strict() {
     let strict = Trust { strict: true, limit_ms: 400 };
     let rig = Rig::start(strict, [&["k1"], &[]]).await;
     assert_eq!(rig.desk("k1").await, 200);
@@ -201,18 +200,18 @@
     pause(500).await;
     assert_eq!(rig.desk("k1").await, 503);
     rig.fleet.next_leader();
-    until("a leader is found", || rig.entry.link.is_connected()).await;
-    rig.announce(endpoint(rig.seen.clone()).await).await;
+    wait_until("a leader is found", || rig.entry.link.is_connected()).await;
+    rig.announce(endpoint(rig.received.clone()).await).await;
     assert_eq!(rig.desk("k1").await, 200);
 }
 
-/// Symptom: a caller learns of another workspace's step, or ends it.
-/// Sequence: it asks with its own good key for an identity that it has seen or guessed.
-/// Proof: it gets what a step that never was gives, and may use the identity for a step of its own.
+/// A caller uses its own valid key with the id of another workspace's step, which it has seen or
+/// guessed. Guards against reading or ending that step: the caller gets the reply for an unknown
+/// step, and may use the same id for a step of its own.
 #[actix_rt::test]
-async fn another_workspace_sees_nothing_of_a_step() {
+async fn a_step_is_hidden_from_other_workspaces() {
     let rig = Rig::start(LENIENT, [&["k1", "k3"], &["k2"]]).await;
-    let _store = rig.fleet.store(&Kept::default()).await;
+    let _store = rig.fleet.store(&StoredParts::default()).await;
     let body = r#"{"Items":[{"Id":"a","Path":"/s/1"}]}"#;
     let submit = async |key| rig.ask(Method::POST, "/s/1", key, body).await.0;
     let read = async |key| rig.ask(Method::GET, "/lots/job?After=0", key, "").await.0;
@@ -220,8 +219,8 @@
     assert_eq!(submit("k1").await, 202);
     assert_eq!((read("k1").await, read("k2").await, end("k2").await), (200, 404, 404));
     assert_eq!((submit("k2").await, end("k2").await), (202, 200));
-    // A key that is taken away ends no step; any other of the workspace goes on with it.
-    rig.configure(keyed(3, [&["k3"], &["k2"]])).await;
+    // Revoking a key ends no step; another key of the workspace can still use it.
+    rig.configure(config_with_keys(3, [&["k3"], &["k2"]])).await;
     assert_eq!((read("k1").await, read("k3").await), (401, 200));
     assert!(rig.fleet.replica.state().steps["w/job"].is_open());
     assert_eq!(end("k3").await, 200);
--- a/components/node/tests/leader/listing.rs
+++ b/components/node/tests/leader/listing.rs
@@ -1,4 +1,4 @@
-//! When results are listed and read: the last of a step together.
+//! When results are listed and read: the last results of a step together.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,13 +19,13 @@
 
 use crate::fleet::Fleet;
 use crate::fleet::pause;
-use crate::fleet::scoring;
+use crate::fleet::scoring_report;
 use crate::fleet::step;
-use crate::fleet::until;
+use crate::fleet::wait_until;
 
-/// Samples of the step, in two groups, both of which its trainer waits for.
+/// Number of samples of the step, in two groups, both of which its trainer waits for.
 const SAMPLES: u32 = 20;
-/// How long a trainer's read waits.
+/// How long a trainer's read waits, in milliseconds.
 const WAIT_MS: u64 = 1_000;
 
 fn two_groups() -> Arc<Step> {
@@ -38,27 +38,29 @@
     Arc::new(Step { samples: samples.collect(), wanted: 2, ..(*plain).clone() })
 }
 
-fn settle(leader: &Leader, index: u32) {
+fn queue_verdict(leader: &Leader, index: u32) {
     let sample = leader.plan.borrow_mut().settled("a", index).unwrap();
     leader.outbox().put("a", SampleVerdict { index, sample, verdict: Verdict::GivenUp });
 }
 
-/// Starts a fleet in which all of the step is listed but the last two samples, of which one has its
-/// verdict.
-async fn one_left() -> (Fleet, Rc<Leader>) {
+/// Starts a fleet in which all samples of the step are listed except the last two, of which one has
+/// its verdict.
+async fn with_one_unsettled() -> (Fleet, Rc<Leader>) {
     let fleet = Fleet::start().await;
     let leader = fleet.leader();
     let answer = leader.answer(Call::Submit(two_groups())).await;
     assert!(matches!(answer, Answer::Done), "{answer:?}");
     for index in 0..SAMPLES - 2 {
-        settle(&leader, index);
+        queue_verdict(&leader, index);
     }
-    until("the others are listed", || fleet.replica.state().steps["a"].results.len() == 18).await;
-    settle(&leader, SAMPLES - 2);
+    wait_until("the others are listed", || fleet.replica.state().steps["a"].results.len() == 18)
+        .await;
+    queue_verdict(&leader, SAMPLES - 2);
     (fleet, leader)
 }
 
-/// Reads on from a place as a trainer does; gives how many results came, and after how long.
+/// Reads from a position on as a trainer does. Returns the number of results, and the time until
+/// the reply.
 async fn read(leader: &Rc<Leader>, after: u64) -> (usize, Duration) {
     let began = Instant::now();
     let call = Call::Read { step: "a".to_owned(), after, wait_ms: WAIT_MS, near: String::new() };
@@ -66,32 +68,32 @@
     (listed.len(), began.elapsed())
 }
 
-/// Guards against a sample that is given up and never listed, for which its step waits for ever.
+/// Guards against a sample that is given up and never listed, so that its step waits forever.
 #[actix_rt::test]
-async fn a_sample_that_its_engine_can_never_make_is_listed_as_given_up() {
-    let (fleet, leader, _store) = Fleet::taken_over().await;
-    leader.handle_report("h", &told("a", Standing::Running));
-    leader.handle_report("h", &told("a", Standing::Ended(RunEnd::Unfit)));
-    until("the sample is listed", || fleet.replica.state().steps["a"].results.len() == 1).await;
+async fn a_sample_that_its_engine_rejects_is_listed_as_given_up() {
+    let (fleet, leader, _store) = Fleet::with_adopted_step().await;
+    leader.handle_report("h", &report("a", Standing::Running));
+    leader.handle_report("h", &report("a", Standing::Ended(RunEnd::Unfit)));
+    wait_until("the sample is listed", || fleet.replica.state().steps["a"].results.len() == 1)
+        .await;
     assert_eq!(fleet.replica.state().steps["a"].results[0].result, Result::GivenUp);
 }
 
-fn told(step: &str, standing: Standing) -> Report {
-    Report { standing, ..scoring(step) }
+fn report(step: &str, standing: Standing) -> Report {
+    Report { standing, ..scoring_report(step) }
 }
 
-/// Symptom: a trainer has its whole step half a second after its last result.
-/// Sequence: a result is listed just before the last ones; the trainer's read is answered with it at
-/// once, and its next read begins half a second later.
-/// Cause: each result was listed by itself as it came.
+/// A result is listed just before the last ones, the trainer's read is answered with it at once,
+/// and its next read starts half a second later. Guards against listing each result separately,
+/// which delayed the whole step by this half second.
 #[actix_rt::test]
 async fn the_last_results_of_a_step_come_with_one_read() {
-    let (_fleet, leader) = one_left().await;
+    let (_fleet, leader) = with_one_unsettled().await;
     let last = {
         let leader = leader.clone();
         actix_rt::spawn(async move {
             pause(300).await;
-            settle(&leader, SAMPLES - 1);
+            queue_verdict(&leader, SAMPLES - 1);
         })
     };
     let (count, waited) = read(&leader, 18).await;
@@ -100,11 +102,11 @@
     assert!(waited < Duration::from_millis(WAIT_MS / 2), "{waited:?}");
 }
 
-/// A result that nothing completes waits as long as the read does, and is answered with it: a trainer
-/// that is not answered before loses nothing, and never waits in vain.
+/// A result that does not complete the step waits until the end of the read and is returned with
+/// it. The trainer loses nothing by this, and never waits in vain.
 #[actix_rt::test]
-async fn a_read_that_is_over_takes_the_results_that_waited_with_it() {
-    let (_fleet, leader) = one_left().await;
+async fn a_read_returns_the_waiting_results_at_its_deadline() {
+    let (_fleet, leader) = with_one_unsettled().await;
     let (count, waited) = read(&leader, 18).await;
     assert_eq!(count, 1, "the read was answered after {waited:?}");
     assert!(waited >= Duration::from_millis(WAIT_MS * 4 / 5), "{waited:?}");
--- a/components/node/tests/leader/main.rs
+++ b/components/node/tests/leader/main.rs
@@ -1,4 +1,4 @@
-//! A leader with hosts, stores and other members that the test plays, on real sockets.
+//! A leader with hosts, stores and other members simulated by the test, on real sockets.
 
 mod fleet;
 #[path = "../support/job.rs"]
@@ -6,7 +6,7 @@
 mod keys;
 mod listing;
 mod member;
-mod news;
 mod scorers;
 mod steps;
+mod updates;
 mod usage;
--- a/components/node/tests/leader/member.rs
+++ b/components/node/tests/leader/member.rs
@@ -1,4 +1,4 @@
-//! Hosts and stores that the test plays, on real sockets.
+//! Hosts and stores simulated by the test, on real sockets.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -30,28 +30,27 @@
 use tokio_util::codec::Framed;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// Time after the acknowledgement of an end within which nothing of the step may go on.
-pub const BOUND: Duration = Duration::from_secs(3);
-/// Time between two words of a host or store that it lives.
-pub const ALIVE: Duration = Duration::from_millis(200);
+/// Time after the acknowledgement of an end within which all work on the step must stop.
+pub const STOP_LIMIT: Duration = Duration::from_secs(3);
+/// Interval of the heartbeats of a host or store.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// The store's identity.
-pub const STORE: u64 = 7;
+pub const STORE_IDENTITY: u64 = 7;
 
 pub type Socket = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Connects as a VM that stores and hosts.
-/// Connects a VM that stores data.
-pub async fn greet(links: SocketAddr, node: &str) -> Socket {
-    let store = Some(Depot { identity: STORE, address: "127.0.0.1:9".parse().unwrap() });
-    say_hello(links, node, store, false).await
+/// Connects a VM that stores data and hosts runs.
+pub async fn connect_store(links: SocketAddr, node: &str) -> Socket {
+    let store = Some(Depot { identity: STORE_IDENTITY, address: "127.0.0.1:9".parse().unwrap() });
+    connect(links, node, store, false).await
 }
 
-/// Connects a VM that stores nothing, as an entry or as a replica.
-pub async fn greet_as(links: SocketAddr, node: &str, replica: bool) -> Socket {
-    say_hello(links, node, None, replica).await
+/// Connects a VM that stores no data, as an entry or as a replica.
+pub async fn connect_member(links: SocketAddr, node: &str, replica: bool) -> Socket {
+    connect(links, node, None, replica).await
 }
 
-async fn say_hello(links: SocketAddr, node: &str, store: Option<Depot>, replica: bool) -> Socket {
+async fn connect(links: SocketAddr, node: &str, store: Option<Depot>, replica: bool) -> Socket {
     let mut socket = Framed::new(TcpStream::connect(links).await.unwrap(), frames());
     let (node, data_centre) = (node.to_owned(), "here".to_owned());
     let hello = Hello::Member { node, data_centre, store, replica, clock: clock::now() };
@@ -59,63 +58,76 @@
     socket
 }
 
-/// Parts that a store has.
-pub type Kept = Rc<RefCell<BTreeMap<PartId, Bytes>>>;
+/// The parts that a store has.
+pub type StoredParts = Rc<RefCell<BTreeMap<PartId, Bytes>>>;
 
-/// A VM that stores and hosts, as far as the leader sees it: like one, it keeps parts and gives those
-/// that it has, tells of its runs when it connects and when it is asked, and stops them.
+/// A VM that stores data and hosts runs, as far as the leader can see. It stores and returns parts,
+/// reports its runs when it connects and when asked, and stops them on request.
 pub struct Member {
-    pub up: mpsc::UnboundedSender<MemberMessage>,
+    pub sender: mpsc::UnboundedSender<MemberMessage>,
     pub runs: Rc<RefCell<Vec<Report>>>,
-    /// Words about runs that came.
-    pub asked: Rc<Cell<u32>>,
+    /// Number of requests to report all runs.
+    pub report_requests: Rc<Cell<u32>>,
     pub task: JoinHandle<()>,
 }
 
 impl Member {
-    /// Connects and tells of the runs; that this is all, only [`Member::reported`] tells.
-    pub async fn connect(links: SocketAddr, node: &str, kept: Kept, runs: Vec<Report>) -> Self {
-        let mut socket = greet(links, node).await;
-        let (up, mut ups) = mpsc::unbounded_channel();
-        let (runs, asked) = (Rc::new(RefCell::new(runs)), Rc::<Cell<u32>>::default());
+    /// Connects and reports the runs. Only [`Member::reported`] sends the message that all runs
+    /// have been reported.
+    pub async fn connect(
+        links: SocketAddr,
+        node: &str,
+        parts: StoredParts,
+        runs: Vec<Report>,
+    ) -> Self {
+        let mut socket = connect_store(links, node).await;
+        let (sender, mut outgoing) = mpsc::unbounded_channel();
+        let (runs, report_requests) = (Rc::new(RefCell::new(runs)), Rc::<Cell<u32>>::default());
         for run in runs.borrow().iter() {
-            up.send(MemberMessage::Report(run.clone())).unwrap();
+            sender.send(MemberMessage::Report(run.clone())).unwrap();
         }
-        let (says, has, counts) = (up.clone(), runs.clone(), asked.clone());
+        let (sender_copy, task_runs, task_requests) =
+            (sender.clone(), runs.clone(), report_requests.clone());
         let task = actix_rt::spawn(async move {
-            let mut alive = tokio::time::interval(ALIVE);
+            let mut heartbeats = tokio::time::interval(HEARTBEAT_INTERVAL);
             loop {
-                let said = tokio::select! {
+                let message = tokio::select! {
                     frame = socket.next() => {
                         let Some(Ok(frame)) = frame else { return };
-                        take(decode(&frame).unwrap(), &says, &kept, &has, &counts);
+                        handle(
+                            decode(&frame).unwrap(),
+                            &sender_copy,
+                            &parts,
+                            &task_runs,
+                            &task_requests,
+                        );
                         continue;
                     }
-                    Some(said) = ups.recv() => said,
-                    _ = alive.tick() => MemberMessage::Alive(clock::wall()),
+                    Some(message) = outgoing.recv() => message,
+                    _ = heartbeats.tick() => MemberMessage::Alive(clock::wall()),
                 };
-                if socket.send(encode(&said)).await.is_err() {
+                if socket.send(encode(&message)).await.is_err() {
                     return;
                 }
             }
         });
-        Self { up, runs, asked, task }
+        Self { sender, runs, report_requests, task }
     }
 
-    /// Tells that all runs have been told.
+    /// Sends the message that all runs have been reported.
     pub fn reported(&self) {
-        self.up.send(MemberMessage::Reported).unwrap();
+        self.sender.send(MemberMessage::Reported).unwrap();
     }
 
-    /// Tells whether the host still has a run of a step.
+    /// Returns whether the host still has a run of a step.
     pub fn runs(&self, step: &str) -> bool {
         self.runs.borrow().iter().any(|run| run.step == step)
     }
 
-    /// Waits until the host has stopped a step's runs; tells whether that was soon enough.
+    /// Waits until the host has stopped a step's runs. Returns whether that happened in time.
     pub async fn stops(&self, step: &str) -> bool {
         let began = Instant::now();
-        while self.runs(step) && began.elapsed() < BOUND {
+        while self.runs(step) && began.elapsed() < STOP_LIMIT {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         !self.runs(step)
@@ -128,31 +140,31 @@
     }
 }
 
-fn take(
-    down: LeaderMessage,
-    up: &mpsc::UnboundedSender<MemberMessage>,
-    kept: &Kept,
+fn handle(
+    message: LeaderMessage,
+    sender: &mpsc::UnboundedSender<MemberMessage>,
+    parts: &StoredParts,
     runs: &Rc<RefCell<Vec<Report>>>,
-    asked: &Rc<Cell<u32>>,
+    report_requests: &Rc<Cell<u32>>,
 ) {
-    match down {
+    match message {
         LeaderMessage::Ask { number, request: StoreRequest::Put(part, bytes) } => {
-            kept.borrow_mut().insert(part, bytes);
-            up.send(MemberMessage::Told { number, reply: StoreReply::Kept }).unwrap();
+            parts.borrow_mut().insert(part, bytes);
+            sender.send(MemberMessage::Told { number, reply: StoreReply::Kept }).unwrap();
         }
-        // A part that is not here stands for one on a disk that stalls: no answer comes.
+        // A missing part simulates a stalled disk: no reply is sent.
         LeaderMessage::Ask { number, request: StoreRequest::Get(part) } => {
-            if let Some(bytes) = kept.borrow().get(&part) {
+            if let Some(bytes) = parts.borrow().get(&part) {
                 let reply = StoreReply::Part(Some(bytes.clone()));
-                up.send(MemberMessage::Told { number, reply }).unwrap();
+                sender.send(MemberMessage::Told { number, reply }).unwrap();
             }
         }
         LeaderMessage::Work { work: Work::Tell, .. } => {
-            asked.set(asked.get() + 1);
+            report_requests.set(report_requests.get() + 1);
             for run in runs.borrow().iter() {
-                up.send(MemberMessage::Report(run.clone())).unwrap();
+                sender.send(MemberMessage::Report(run.clone())).unwrap();
             }
-            up.send(MemberMessage::Reported).unwrap();
+            sender.send(MemberMessage::Reported).unwrap();
         }
         LeaderMessage::Work { work: Work::Stop { step, index, run }, .. } => {
             let same = |one: &Report| one.step == step && one.index == index && one.run == run;
--- a/components/node/tests/leader/scorers.rs
+++ b/components/node/tests/leader/scorers.rs
@@ -1,4 +1,4 @@
-//! What becomes of scorers' calls when a step has ended.
+//! Calls to scorers after the end of a step.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chicoryford_depot::Depot as Depository;
+use chicoryford_depot::Depot as FolderDepot;
 use chicoryford_depot::Worker;
 use chicoryford_fleet::Announcement;
 use chicoryford_fleet::Command;
@@ -44,15 +44,16 @@
 use crate::fleet::config;
 use crate::fleet::job;
 use crate::fleet::pause;
-use crate::fleet::until;
-use crate::member::BOUND;
-use crate::member::Kept;
+use crate::fleet::wait_until;
+use crate::member::STOP_LIMIT;
+use crate::member::StoredParts;
 
-/// Passes bytes on between a host and the leader. Once `from` is set, the leader's take longer and longer,
-/// up to `LAG`, while they keep coming. The task ends with the connection.
-async fn slow_line(
+/// Starts a proxy between a host and the leader. Once `from` is set, it delays the leader's bytes
+/// more and more, up to `MAX_DELAY`, without interrupting them. The returned task ends with the
+/// connection.
+async fn start_delaying_proxy(
     links: SocketAddr,
-    from: Rc<Cell<Option<Instant>>>,
+    delay_from: Rc<Cell<Option<Instant>>>,
 ) -> (SocketAddr, JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -62,12 +63,14 @@
         let (mut near_read, mut near_write) = near.into_split();
         let (mut far_read, mut far_write) = far.into_split();
         actix_rt::spawn(async move { tokio::io::copy(&mut near_read, &mut far_write).await });
-        let (came, mut waiting) = mpsc::unbounded_channel();
+        let (delayed, mut waiting) = mpsc::unbounded_channel();
         actix_rt::spawn(async move {
             let mut bytes = vec![0; 64 << 10];
             while let Ok(read @ 1..) = far_read.read(&mut bytes).await {
-                let lag = from.get().map_or(Duration::ZERO, |from| (from.elapsed() / 2).min(LAG));
-                if came.send((Instant::now() + lag, bytes[..read].to_vec())).is_err() {
+                let delay = delay_from
+                    .get()
+                    .map_or(Duration::ZERO, |delay_from| (delay_from.elapsed() / 2).min(MAX_DELAY));
+                if delayed.send((Instant::now() + delay, bytes[..read].to_vec())).is_err() {
                     return;
                 }
             }
@@ -82,10 +85,10 @@
     (address, task)
 }
 
-/// How late the leader's words are at most: orders 4.5 s old were seen.
-const LAG: Duration = Duration::from_millis(4_000);
+/// Maximum delay of the leader's messages: orders 4.5 s old were observed.
+const MAX_DELAY: Duration = Duration::from_millis(4_000);
 
-/// An engine that makes events of one sample until it is told to finish.
+/// An engine that generates events of one sample until `finish` is set.
 async fn engine(id: &'static str, finish: Rc<Cell<bool>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -112,18 +115,18 @@
     address
 }
 
-/// A scorer that notes when it is called.
+/// A scorer that records when it is called.
 async fn scorer() -> (SocketAddr, Rc<RefCell<Vec<Instant>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let called: Rc<RefCell<Vec<Instant>>> = Rc::default();
-    let notes = called.clone();
+    let records = called.clone();
     actix_rt::spawn(async move {
         loop {
             let (mut stream, _) = listener.accept().await.unwrap();
             let mut bytes = vec![0; 4_096];
             if stream.read(&mut bytes).await.unwrap_or(0) > 0 {
-                notes.borrow_mut().push(Instant::now());
+                records.borrow_mut().push(Instant::now());
                 let reply = "HTTP/1.1 200 OK\r\nx-attempt-id: c\r\nx-response-stamp: p\r\n\
                              content-length: 0\r\n\r\n";
                 let _ = stream.write_all(reply.as_bytes()).await;
@@ -133,15 +136,14 @@
     (address, called)
 }
 
-/// Symptom: a scorer gets the call of a sample whose step ended more than three seconds ago.
-/// Sequence: the leader's words reach a host some seconds late, while they keep coming, so that neither side
-/// takes the other for lost; the step ends; the host's run of it, which it was ordered in time, is whole
-/// after that, and its scorer is called; then the host reads the word to stop.
-/// Cause: only orders to run have a bound in time. A host calls scorers however old the newest word is that
-/// it has from the leader.
+/// The leader's messages reach a host some seconds late but without interruption, so that neither
+/// side considers the other lost. The step ends; after that, the host's run of it, which was
+/// ordered in time, completes, its scorer is called, and only then the host reads the order to
+/// stop. Guards against limiting only the age of orders to run: the host called the scorer more
+/// than three seconds after the end, however old the leader's newest message was.
 #[actix_rt::test]
-async fn no_scorer_is_called_long_after_the_end_though_the_word_to_stop_lies_on_its_way() {
-    let (fleet, kept) = (Fleet::start().await, Kept::default());
+async fn no_scorer_is_called_long_after_the_end_while_the_stop_order_is_delayed() {
+    let (fleet, parts) = (Fleet::start().await, StoredParts::default());
     let mut config = config();
     let route = Route {
         name: "score".to_owned(),
@@ -159,12 +161,12 @@
         fleet.leader().commit(Command::Configure(Arc::new(config))).await,
         Answer::Done
     ));
-    let store = fleet.store(&kept).await;
+    let store = fleet.store(&parts).await;
     fleet.submit("a").await;
     drop(store);
     let leader = fleet.next_leader();
-    let _store = fleet.store(&kept).await;
-    until("the step is read", || leader.plan.borrow().has("a")).await;
+    let _store = fleet.store(&parts).await;
+    wait_until("the step is read", || leader.plan.borrow().has("a")).await;
 
     let (address, called) = scorer().await;
     let view = Rc::new(View::default());
@@ -184,22 +186,22 @@
     let runner = Runner::new(view.clone(), forwarder);
     actix_rt::spawn(runner.clone().run());
     let folder = TempDir::new().unwrap();
-    let depot = Depository::open(folder.path(), Disk::default()).unwrap();
+    let depot = FolderDepot::open(folder.path(), Disk::default()).unwrap();
     let worker = Worker::start(depot, |error| panic!("{error}")).unwrap();
-    let from = Rc::<Cell<Option<Instant>>>::default();
-    let (line, passing) = slow_line(fleet.links, from.clone()).await;
+    let delay_from = Rc::<Cell<Option<Instant>>>::default();
+    let (proxy_address, proxy) = start_delaying_proxy(fleet.links, delay_from.clone()).await;
     let member = link::Member {
         node: "h".to_owned(),
         data_centre: "here".to_owned(),
-        address: line,
+        address: proxy_address,
         replica: false,
         depot: Some(Rc::new(worker)),
         runner: Some(runner),
     };
-    let link = Link::new(member, view.clone(), vec![line]);
+    let link = Link::new(member, view.clone(), vec![proxy_address]);
     let linked = link.clone();
     actix_rt::spawn(async move { linked.run().await });
-    until("the host follows", || link.is_connected() && view.config().is_some()).await;
+    wait_until("the host follows", || link.is_connected() && view.config().is_some()).await;
 
     let finish = Rc::<Cell<bool>>::default();
     let scorer = Scorer {
@@ -222,17 +224,17 @@
     };
     assert!(fleet.followers.send_work("h", Work::Run(Box::new(order))));
     let hosted = || leader.plan.borrow().host("a", 0) == Some(("h".to_owned(), 1));
-    until("the run is known", hosted).await;
-    from.set(Some(Instant::now()));
-    tokio::time::sleep(LAG * 2).await;
-    assert!(hosted() && link.is_connected(), "the run goes on, and both sides hear each other");
+    wait_until("the run is known", hosted).await;
+    delay_from.set(Some(Instant::now()));
+    tokio::time::sleep(MAX_DELAY * 2).await;
+    assert!(hosted() && link.is_connected(), "the run continues, and both sides stay connected");
     fleet.end("a").await;
     let ended = Instant::now();
-    tokio::time::sleep(BOUND + Duration::from_millis(150)).await;
+    tokio::time::sleep(STOP_LIMIT + Duration::from_millis(150)).await;
     finish.set(true);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    // A host that connected anew, past the slow line, would show nothing.
-    assert!(!passing.is_finished(), "the connection lasts");
+    // A host that reconnected without the proxy would not test anything.
+    assert!(!proxy.is_finished(), "the connection lasts");
     let late: Vec<Duration> = called.borrow().iter().map(|at| *at - ended).collect();
-    assert!(late.iter().all(|late| *late <= BOUND), "after the end: {late:?}");
+    assert!(late.iter().all(|late| *late <= STOP_LIMIT), "after the end: {late:?}");
 }
--- a/components/node/tests/leader/steps.rs
+++ b/components/node/tests/leader/steps.rs
@@ -1,4 +1,4 @@
-//! What becomes of runs when a step has ended.
+//! Runs after the end of a step.
 
 use std::time::Duration;
 
@@ -17,34 +17,34 @@
 
 use crate::fleet::Fleet;
 use crate::fleet::pause;
-use crate::fleet::scoring;
+use crate::fleet::scoring_report;
 use crate::fleet::step;
-use crate::fleet::until;
-use crate::member::BOUND;
-use crate::member::Kept;
-use crate::member::greet;
+use crate::fleet::wait_until;
+use crate::member::STOP_LIMIT;
+use crate::member::StoredParts;
+use crate::member::connect_store;
 
-/// A path that is closed: a host tells the next leader of a run before its step is read, and the step
-/// ends while it is unread. It is asked again when the step has been looked at.
+/// A host reports a run to the next leader before its step is read, and the step ends while it is
+/// unread. The host must be asked again once the step has been examined.
 #[actix_rt::test]
-async fn a_run_that_was_told_before_its_step_was_read_is_stopped_when_the_step_has_ended() {
-    let (fleet, kept) = (Fleet::start().await, Kept::default());
-    let store = fleet.store(&kept).await;
+async fn a_run_reported_before_its_step_was_read_is_stopped_when_the_step_has_ended() {
+    let (fleet, parts) = (Fleet::start().await, StoredParts::default());
+    let store = fleet.store(&parts).await;
     fleet.submit("a").await;
     drop(store);
     fleet.next_leader();
-    let host = fleet.host(vec![scoring("a")]).await;
+    let host = fleet.host(vec![scoring_report("a")]).await;
     host.reported();
     pause(100).await;
     fleet.end("a").await;
     assert!(host.stops("a").await, "the step has ended, and its scorer is called");
 }
 
-/// Guards against steps that last longer by the time in which nobody led.
+/// Guards against steps whose time limits are extended by the time without a leader.
 #[actix_rt::test]
-async fn the_fleets_clock_goes_on_while_nobody_leads_and_never_runs_ahead() {
-    let (fleet, kept) = (Fleet::start().await, Kept::default());
-    let _store = fleet.store(&kept).await;
+async fn the_fleets_clock_continues_without_a_leader_and_never_runs_ahead() {
+    let (fleet, parts) = (Fleet::start().await, StoredParts::default());
+    let _store = fleet.store(&parts).await;
     fleet.submit("a").await;
     let before = fleet.leader();
     let read = before.fleet_now();
@@ -56,70 +56,66 @@
     assert!(clock <= most, "{clock} is ahead of {most}");
 }
 
-/// Symptom: hosts and the leader are behind by seconds, orders and words to stop are read late, and the
-/// leadership is lost again.
-/// Sequence: the leader changes, and the part of an open step lies on a store that is not there.
-/// Cause: with each look at the steps that are still to be read, twenty times a second, all hosts are
-/// asked to tell all that they have made of all runs.
+/// The leader changes, and the part of an open step is on a missing store. Guards against asking
+/// all hosts to report everything at each attempt to read the step, twenty times a second: hosts
+/// and leader fell behind by seconds, orders were read late, and the leadership was lost again.
 #[actix_rt::test]
 async fn hosts_are_not_asked_for_all_runs_at_each_look_at_a_step_that_cannot_be_read() {
-    let (fleet, kept) = (Fleet::start().await, Kept::default());
-    let store = fleet.store(&kept).await;
+    let (fleet, parts) = (Fleet::start().await, StoredParts::default());
+    let store = fleet.store(&parts).await;
     fleet.submit("a").await;
     drop(store);
     fleet.next_leader();
     let host = fleet.host(Vec::new()).await;
     host.reported();
     pause(100).await;
-    let before = host.asked.get();
+    let before = host.report_requests.get();
     pause(2_000).await;
-    let asked = host.asked.get() - before;
-    assert!(asked <= 4, "asked {asked} times in two seconds, and nothing had changed");
+    let asked = host.report_requests.get() - before;
+    assert!(asked <= 4, "asked {asked} times in two seconds without any change");
 }
 
-/// Symptom: a host begins a run that a leader ordered which leads no longer.
-/// Sequence: frames wait for a host that reads slowly; the leadership ends; the host reads on.
-/// Cause: what is queued is still sent.
+/// Frames are queued for a host that reads slowly when the leadership ends. Guards against still
+/// sending the queued orders: the host started runs of a leader that no longer led.
 #[actix_rt::test]
 async fn orders_that_wait_when_the_leadership_ends_are_not_sent() {
     let fleet = Fleet::start().await;
-    let (mut stream, alive) = fleet.slow_host().await;
-    // The last of them lie in the queue, and those before in the sockets.
-    let given = fleet.fill().await - 1_000;
+    let (mut stream, heartbeats) = fleet.slow_host().await;
+    // The last of them are in the queue, and those before in socket buffers.
+    let sent = fleet.fill_queue().await - 1_000;
     fleet.leader().stop();
-    let mut got = Vec::new();
+    let mut received = Vec::new();
     let limit = Duration::from_secs(2);
     while let Ok(Some(Ok(frame))) = tokio::time::timeout(limit, stream.next()).await {
         if let LeaderMessage::Work { work: Work::Run(job), .. } = decode(&frame).unwrap() {
-            got.push(job.run);
+            received.push(job.run);
         }
     }
-    alive.abort();
-    let late = got.iter().filter(|run| **run >= given).count();
-    assert_eq!(late, 0, "of the last thousand, of {} in all", got.len());
+    heartbeats.abort();
+    let late = received.iter().filter(|run| **run >= sent).count();
+    assert_eq!(late, 0, "of the last thousand orders, of {} received in total", received.len());
 }
 
-/// Symptom: a scorer is called for a step that ended more than three seconds ago.
-/// Sequence: so many frames wait for a host that there is room for no more; a step ends of which it has
-/// a run; the host reads on, and its connection stays.
-/// Cause: a word to stop that finds no room is dropped, and nobody says it again.
+/// A host's queue is full when a step ends of which it has a run; the host continues to read, and
+/// stays connected. Guards against dropping the order to stop without repeating it: the scorer was
+/// called more than three seconds after the end.
 #[actix_rt::test]
-async fn a_word_to_stop_that_finds_no_room_is_said_again() {
-    let (fleet, leader, _store) = Fleet::taken_over().await;
-    let (mut stream, alive) = fleet.slow_host().await;
-    leader.handle_report("h", &scoring("a"));
+async fn a_word_to_stop_that_finds_no_room_in_the_queue_is_repeated() {
+    let (fleet, leader, _store) = Fleet::with_adopted_step().await;
+    let (mut stream, heartbeats) = fleet.slow_host().await;
+    leader.handle_report("h", &scoring_report("a"));
     leader.host_ready("h", "here", u64::MAX);
     assert_eq!(leader.plan.borrow().host("a", 0), Some(("h".to_owned(), 1)));
-    fleet.fill().await;
+    fleet.fill_queue().await;
     fleet.end("a").await;
     let ended = Instant::now();
     let (mut stopped, mut open) = (false, true);
-    while open && !stopped && ended.elapsed() < BOUND {
-        match tokio::time::timeout(BOUND, stream.next()).await {
+    while open && !stopped && ended.elapsed() < STOP_LIMIT {
+        match tokio::time::timeout(STOP_LIMIT, stream.next()).await {
             Ok(Some(Ok(frame))) => {
-                let down: LeaderMessage = decode(&frame).unwrap();
+                let message: LeaderMessage = decode(&frame).unwrap();
                 stopped = matches!(
-                    down,
+                    message,
                     LeaderMessage::Work { work: Work::Stop { .. } | Work::Tell, .. }
                 );
             }
@@ -127,27 +123,26 @@
             Err(_) => {}
         }
     }
-    alive.abort();
-    assert!(stopped || !open, "the host is connected, and goes on with the run");
+    heartbeats.abort();
+    assert!(stopped || !open, "the host is connected, and continues the run");
 }
 
-/// Symptom: a scorer is called for a step that ended more than three seconds ago.
-/// Sequence: the leader changes. A host tells of its runs, which takes a moment; meanwhile the leader
-/// reads the step and asks all hosts again. The host then tells that these were all. The step ends.
-/// Cause: a host that has not told all of its runs yet is not asked again, though what it told so far
-/// was passed over because the step was not read.
+/// The leader changes. While a host is reporting its runs, the leader reads the step and asks all
+/// hosts again; then the host completes its reports, and the step ends. Guards against not asking a
+/// host again that is still reporting, although its earlier reports were ignored because the step
+/// was unread: the scorer was called more than three seconds after the end.
 #[actix_rt::test]
 async fn a_host_that_is_telling_when_a_step_is_read_is_asked_again() {
-    let (fleet, kept) = (Fleet::start().await, Kept::default());
-    let store = fleet.store(&kept).await;
+    let (fleet, parts) = (Fleet::start().await, StoredParts::default());
+    let store = fleet.store(&parts).await;
     fleet.submit("a").await;
     drop(store);
     let leader = fleet.next_leader();
-    let host = fleet.host(vec![scoring("a")]).await;
+    let host = fleet.host(vec![scoring_report("a")]).await;
     pause(100).await;
-    assert!(!leader.plan.borrow().has("a"), "it cannot be read yet");
-    let _store = fleet.store(&kept).await;
-    until("the step is read", || leader.plan.borrow().has("a")).await;
+    assert!(!leader.plan.borrow().has("a"), "the step cannot be read yet");
+    let _store = fleet.store(&parts).await;
+    wait_until("the step is read", || leader.plan.borrow().has("a")).await;
     pause(100).await;
     host.reported();
     pause(100).await;
@@ -155,42 +150,40 @@
     assert!(host.stops("a").await, "the step has ended, and its scorer is called");
 }
 
-/// Symptom: a scorer is called for a step that ended more than three seconds ago.
-/// Sequence: the leader changes. A host tells of a run whose scorer it calls; the step is not read yet.
-/// What was noted of another step lies on a store that does not answer. The first step ends.
-/// Cause: open steps and their notes are read one after the other, and the runs of a step that is
-/// still to be read are stopped only once its turn has come, also if it has ended meanwhile.
+/// The leader changes. A host reports a run whose scorer it calls, before the step is read; the
+/// notes of another step are on a store that does not answer; the first step ends. Guards against
+/// reading steps and their notes one after the other: the runs of an unread step were stopped only
+/// after its turn, more than three seconds after the end.
 #[actix_rt::test]
 async fn the_runs_of_an_ended_step_are_stopped_though_another_step_is_slow_to_read() {
-    let (fleet, kept) = (Fleet::start().await, Kept::default());
-    let store = fleet.store(&kept).await;
+    let (fleet, parts) = (Fleet::start().await, StoredParts::default());
+    let store = fleet.store(&parts).await;
     fleet.submit("a").await;
     fleet.submit("b").await;
     fleet.note("a").await;
     drop(store);
     fleet.next_leader();
-    let _store = fleet.store(&kept).await;
-    let host = fleet.host(vec![scoring("b")]).await;
+    let _store = fleet.store(&parts).await;
+    let host = fleet.host(vec![scoring_report("b")]).await;
     host.reported();
     pause(300).await;
     fleet.end("b").await;
     assert!(host.stops("b").await, "the step has ended, and its scorer is called");
 }
 
-/// Symptom: a scorer is called for a step that ended more than three seconds ago.
-/// Sequence: a host's connection breaks; it connects again and tells of its runs, which takes a moment,
-/// during which the time is up that it has to come back. It tells that these were all. The step ends.
-/// Cause: the host's runs were taken away although it had told of them, and a run whose scorer is being
-/// called is not told again.
+/// A host's connection breaks, and the time to reconnect expires while the host is reporting its
+/// runs on a new connection; then the reports are complete, and the step ends. Guards against
+/// taking the reported runs away: a run whose scorer is being called is not reported again, so the
+/// scorer was called more than three seconds after the end.
 #[actix_rt::test]
 async fn a_host_that_is_telling_when_its_time_is_up_keeps_its_runs() {
-    let (fleet, leader, _store) = Fleet::taken_over().await;
-    let first = fleet.host(vec![scoring("a")]).await;
+    let (fleet, leader, _store) = Fleet::with_adopted_step().await;
+    let first = fleet.host(vec![scoring_report("a")]).await;
     first.reported();
-    until("the run is known", || leader.plan.borrow().host("a", 0).is_some()).await;
+    wait_until("the run is known", || leader.plan.borrow().host("a", 0).is_some()).await;
     drop(first);
     pause(100).await;
-    let host = fleet.host(vec![scoring("a")]).await;
+    let host = fleet.host(vec![scoring_report("a")]).await;
     pause(500).await;
     host.reported();
     pause(100).await;
@@ -198,17 +191,17 @@
     assert!(host.stops("a").await, "the step has ended, and its scorer is called");
 }
 
-/// Symptom: samples of a step run whose end was answered with "no such step", and nobody ends it again.
-/// Sequence: a step is on its way to the stores, one of which does not answer; its trainer has lost the
-/// connection and ends the step; then the stores' time is up, and the step is committed.
-/// Cause: an end looks only at the steps that the log holds.
+/// A step is on its way to the stores, one of which does not answer; its trainer has lost the
+/// connection and ends the step; then the write times out, and the step is committed. Guards
+/// against looking only at the steps in the log: the end was answered with "no such step", and the
+/// samples ran without anyone to end them.
 #[actix_rt::test]
 async fn an_end_that_comes_while_its_step_is_being_submitted_is_not_answered_as_unknown() {
     let fleet = Fleet::start().await;
     let leader = fleet.leader();
     // It answers nothing.
-    let _store = greet(fleet.links, "s").await;
-    until("the store is connected", || leader.copies.count(|node| node == "s") == 1).await;
+    let _store = connect_store(fleet.links, "s").await;
+    wait_until("the store is connected", || leader.copies.count(|node| node == "s") == 1).await;
     let submitting = leader.clone();
     let submitted =
         actix_rt::spawn(async move { submitting.answer(Call::Submit(step("a"))).await });
@@ -222,91 +215,86 @@
     );
 }
 
-/// Symptom: a host goes on with a run, or calls its scorer, though its step has ended.
-/// Sequence: the leader has a word to stop in a host's queue; its lease runs out for a moment, since
-/// heartbeats or its own loop are late, and then holds on in the same leadership. The host stays
-/// connected.
-/// Cause: what is work is skipped while the lease does not hold, as if the leadership had ended; words
-/// to stop are skipped too, and nobody says them again.
+/// An order to stop is queued for a host when the leader's lease expires for a moment, because
+/// heartbeats or its own event loop are delayed; then the lease is renewed in the same leadership,
+/// and the host stays connected. Guards against skipping queued work while the lease is expired, as
+/// if the leadership had ended: the order to stop was never repeated, and the host continued the
+/// run.
 #[actix_rt::test]
 async fn a_word_to_stop_is_not_lost_when_the_lease_runs_out_for_a_moment() {
     let fleet = Fleet::start().await;
     let leader = fleet.leader();
-    // Nobody knows its step any more. What it tells by itself was answered when it connected, so it
+    // The step is unknown. What the host reports by itself was answered when it connected, so it
     // gets the run only after that.
     let host = fleet.host(Vec::new()).await;
     host.reported();
-    until("the host is connected", || leader.copies.count(|node| node == "h") == 1).await;
+    wait_until("the host is connected", || leader.copies.count(|node| node == "h") == 1).await;
     pause(300).await;
-    host.runs.borrow_mut().push(scoring("a"));
-    leader.handle_report("h", &scoring("a"));
-    // The leader's loop is held up for longer than its lease.
+    host.runs.borrow_mut().push(scoring_report("a"));
+    leader.handle_report("h", &scoring_report("a"));
+    // The leader's event loop is blocked for longer than its lease.
     std::thread::sleep(Duration::from_millis(460));
     assert!(!leader.leads(), "the lease holds");
-    until("the lease holds again", || leader.leads()).await;
+    wait_until("the lease holds again", || leader.leads()).await;
     let stopped = host.stops("a").await;
     let same = leader.leads() && !host.task.is_finished();
-    assert!(stopped || !same, "the same leadership and connection, and the run goes on");
+    assert!(stopped || !same, "same leadership and connection, and the run continues");
 }
 
-/// Symptom: a host whose queue was full is not told to stop runs of steps that end, for as long as it
-/// takes to read all that was queued.
-/// Sequence: there is no room for more; the host lives and reads slowly; a step ends.
-/// Cause: the follower is forgotten, but its connection is not ended: all that is queued is still sent
-/// first, and the sender waits in a full socket without noticing.
+/// A host reads slowly, its queue is full, and a step ends. Guards against removing the follower
+/// without ending its connection: all queued frames were still sent first, the sender was blocked
+/// by a full socket without noticing, and the host did not get the orders to stop.
 #[actix_rt::test]
 async fn the_connection_of_a_host_with_a_full_queue_ends() {
     let fleet = Fleet::start().await;
     let leader = fleet.leader();
-    let (mut stream, alive) = fleet.slow_host().await;
-    fleet.fill().await;
+    let (mut stream, heartbeats) = fleet.slow_host().await;
+    fleet.fill_queue().await;
     let began = Instant::now();
     let connected = || leader.copies.count(|node| node == "h") == 1;
-    // Two hundred frames a second.
-    while connected() && began.elapsed() < BOUND {
+    // Reads two hundred frames a second.
+    while connected() && began.elapsed() < STOP_LIMIT {
         for _ in 0..10 {
             let _ = tokio::time::timeout(Duration::from_millis(5), stream.next()).await;
         }
         pause(50).await;
     }
-    alive.abort();
+    heartbeats.abort();
     assert!(!connected(), "three seconds after its queue was full");
 }
 
-/// Symptom: a scorer is called for a step that ended more than three seconds ago.
-/// Sequence: the leader changes. A host tells of a run whose scorer it calls; the step's part is being read
-/// still, or its notes are, from a store that does not answer. The step ends.
-/// Cause: the run was passed over since its step was still to be read; the host is asked again only when
-/// the reading has come to its end, which takes 0.8 s for each note, and an end meanwhile asks nobody.
+/// The leader changes. A host reports a run whose scorer it calls while the step's part or notes
+/// are still being read from a store that does not answer; the step ends. Guards against asking the
+/// host again only when reading has finished, which takes 0.8 s for each note: the report had been
+/// ignored, and the scorer was called more than three seconds after the end.
 #[actix_rt::test]
 async fn the_runs_of_an_ended_step_are_stopped_though_it_is_slow_to_read_itself() {
-    let (fleet, kept) = (Fleet::start().await, Kept::default());
-    let store = fleet.store(&kept).await;
+    let (fleet, parts) = (Fleet::start().await, StoredParts::default());
+    let store = fleet.store(&parts).await;
     fleet.submit("a").await;
     fleet.note("a").await;
     drop(store);
     fleet.next_leader();
-    let _store = fleet.store(&kept).await;
-    let host = fleet.host(vec![scoring("a")]).await;
+    let _store = fleet.store(&parts).await;
+    let host = fleet.host(vec![scoring_report("a")]).await;
     host.reported();
     pause(300).await;
     fleet.end("a").await;
     assert!(host.stops("a").await, "the step has ended, and its scorer is called");
 }
 
-/// Symptom: a scorer is called for a step that ended more than three seconds ago.
-/// Sequence: a host has connected anew and tells of its runs; the leader then reads the last word that came
-/// on the connection before, that all runs were told, and that this connection has ended. The time is up
-/// that the host has to come back. It tells that these were all. The step ends.
-/// Cause: a word of an older connection undoes what was noted of the newer one, on which the host is
-/// telling.
+/// A host is reporting its runs on a new connection when the leader reads the last message on the
+/// old connection, which says that all runs were reported, and then its end. The time to reconnect
+/// expires, the reports on the new connection are complete, and the step ends. Guards against a
+/// late message of the old connection that undoes the state of the new one: the runs were taken
+/// away, and the scorer was called more than three seconds after the end.
 #[actix_rt::test]
-async fn a_late_word_of_the_connection_before_does_not_take_a_hosts_runs_away() {
-    let (fleet, leader, _store) = Fleet::taken_over().await;
-    let first = fleet.host(vec![scoring("a")]).await;
+async fn a_late_message_on_the_old_connection_does_not_take_a_hosts_runs_away() {
+    let (fleet, leader, _store) = Fleet::with_adopted_step().await;
+    let first = fleet.host(vec![scoring_report("a")]).await;
     first.reported();
-    until("the run is known", || leader.plan.borrow().host("a", 0).is_some()).await;
-    let host = fleet.host(vec![scoring("a")]).await;
+    wait_until("the run is known", || leader.plan.borrow().host("a", 0).is_some()).await;
+    let host = fleet.host(vec![scoring_report("a")]).await;
     pause(100).await;
     first.reported();
     pause(100).await;
@@ -318,14 +306,14 @@
     assert!(host.stops("a").await, "the step has ended, and its scorer is called");
 }
 
-/// A host judges an order's age by its own clock, which the leader gives back. Were it the clock of the
-/// greeting for ever, each order would be refused as too old two seconds after it.
+/// A host measures an order's age by its own clock, which the leader returns. If the leader kept
+/// returning the clock of the hello, each order would be refused as too old two seconds later.
 #[actix_rt::test]
-async fn the_leader_gives_the_hosts_newest_clock_back_with_orders_and_signs() {
+async fn the_leader_returns_the_hosts_newest_clock_with_orders_and_heartbeats() {
     let fleet = Fleet::start().await;
     let leader = fleet.leader();
-    let (mut sink, mut stream) = greet(fleet.links, "h").await.split();
-    until("the host is connected", || leader.copies.count(|node| node == "h") == 1).await;
+    let (mut sink, mut stream) = connect_store(fleet.links, "h").await.split();
+    wait_until("the host is connected", || leader.copies.count(|node| node == "h") == 1).await;
     let clock = clock::now() + 60_000;
     sink.send(encode(&MemberMessage::Beat { clock, wall: Unix::default() })).await.unwrap();
     pause(300).await;
--- a/components/node/tests/leader/usage.rs
+++ b/components/node/tests/leader/usage.rs
@@ -1,4 +1,4 @@
-//! Reports of usage to a platform that the test plays, on real sockets.
+//! Reports of usage to a platform simulated by the test, on real sockets.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -28,11 +28,11 @@
 use crate::fleet::Fleet;
 use crate::fleet::config;
 use crate::fleet::pause;
-use crate::fleet::until;
-use crate::member::Kept;
+use crate::fleet::wait_until;
 use crate::member::Member;
+use crate::member::StoredParts;
 
-/// A report as the platform got it.
+/// A report as received by the platform.
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct Report {
     holder: String,
@@ -42,56 +42,56 @@
 
 /// What the platform does with a call.
 #[derive(Clone, Copy)]
-enum Does {
+enum Behavior {
     Accept,
-    /// It does what is asked, and gives no answer to reports of this window.
+    /// It accepts all reports, but does not answer those of this window.
     HangOn(u64),
-    /// It has seen a higher token.
+    /// It has received a higher token.
     Refuse,
 }
 
 struct Platform {
     address: SocketAddr,
     reports: Rc<RefCell<Vec<Report>>>,
-    does: Rc<RefCell<Does>>,
+    behavior: Rc<RefCell<Behavior>>,
 }
 
 async fn platform() -> Platform {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (reports, does) =
-        (Rc::<RefCell<Vec<Report>>>::default(), Rc::new(RefCell::new(Does::Accept)));
-    let (got, how) = (reports.clone(), does.clone());
+    let (reports, behavior) =
+        (Rc::<RefCell<Vec<Report>>>::default(), Rc::new(RefCell::new(Behavior::Accept)));
+    let (recorded, current) = (reports.clone(), behavior.clone());
     let server = Rc::new(Server::default());
     actix_rt::spawn(async move {
         let answer = move |request: Request| {
             let header = |name: &str| request.headers.get(name).unwrap_or_default().to_owned();
-            got.borrow_mut().push(Report {
+            recorded.borrow_mut().push(Report {
                 holder: header("x-duty-holder"),
                 token: header("x-fencing-token").parse().unwrap(),
                 body: String::from_utf8_lossy(&request.body).into_owned(),
             });
-            let does = *how.borrow();
+            let behavior = *current.borrow();
             let is = |window: u64| {
                 let name = format!("\"WindowNumber\":{window}}}");
                 String::from_utf8_lossy(&request.body).ends_with(&name)
             };
-            let hangs = matches!(does, Does::HangOn(window) if is(window));
+            let hangs = matches!(behavior, Behavior::HangOn(window) if is(window));
             async move {
                 if hangs {
                     tokio::time::sleep(Duration::from_secs(60)).await;
                 }
-                let refuses = matches!(does, Does::Refuse);
+                let refuses = matches!(behavior, Behavior::Refuse);
                 let status = if refuses { StatusCode::CONFLICT } else { StatusCode::OK };
                 Reply::new(status, "")
             }
         };
         server.serve(listener, answer).await;
     });
-    Platform { address, reports, does }
+    Platform { address, reports, behavior }
 }
 
-/// A leader whose windows last a second, with one member that tells the time.
+/// Starts a leader whose windows last a second, with one member that sends its wall clock time.
 async fn fleet(platform: &Platform) -> (Fleet, Member) {
     let address = platform.address;
     let fleet = Fleet::start_with(|settings| Settings {
@@ -102,17 +102,17 @@
     })
     .await;
     let workspaces = vec![Workspace { name: "w".to_owned(), ..Workspace::default() }].into();
-    let keyed = Config { version: 2, workspaces, ..config() };
-    let configured = fleet.leader().commit(Command::Configure(Arc::new(keyed))).await;
+    let with_workspace = Config { version: 2, workspaces, ..config() };
+    let configured = fleet.leader().commit(Command::Configure(Arc::new(with_workspace))).await;
     assert!(matches!(configured, Answer::Done), "{configured:?}");
-    let store = fleet.store(&Kept::default()).await;
-    set_wall_clock(&store);
-    until("the first window is known", || fleet.replica.state().usage.next().is_some()).await;
+    let store = fleet.store(&StoredParts::default()).await;
+    send_wall_clock(&store);
+    wait_until("the first window is known", || fleet.replica.state().usage.next().is_some()).await;
     (fleet, store)
 }
 
-fn set_wall_clock(store: &Member) {
-    store.up.send(MemberMessage::Beat { clock: clock::now(), wall: clock::wall() }).unwrap();
+fn send_wall_clock(store: &Member) {
+    store.sender.send(MemberMessage::Beat { clock: clock::now(), wall: clock::wall() }).unwrap();
 }
 
 fn this_window() -> u64 {
@@ -120,39 +120,38 @@
     wall / 1_000
 }
 
-fn told(window: u64, before: u64, count: u64) -> Told {
+fn usage_report(window: u64, before: u64, count: u64) -> Told {
     let life = Life { node: "f".to_owned(), number: 1 };
     let counts = BTreeMap::from([("w".to_owned(), count)]);
     Told { life: life.clone(), before, totals: vec![Totals { life, window, counts }] }
 }
 
-/// Symptom: the platform gets two reports of one window that differ, or none.
-/// Sequence: a window is closed; the platform carries the report out and its answer is lost; the leader
-/// is replaced; an entry tells what it counted once more, and one request beyond.
-/// Cause: the next leader has to say what was said, and the window has to be reported until the
-/// platform is known to have it.
+/// A window is closed; the platform accepts its report, and the answer is lost; the leader is
+/// replaced; an entry reports its counts again, with one request more. Guards against two different
+/// reports of one window, or none: the next leader must repeat the same report, until the platform
+/// is known to have it.
 #[actix_rt::test]
 async fn a_report_without_an_answer_is_repeated_exactly_by_the_next_leader() {
     let platform = platform().await;
     let (fleet, store) = fleet(&platform).await;
     let window = this_window();
-    *platform.does.borrow_mut() = Does::HangOn(window);
-    fleet.leader().record_usage(told(window, window + 100, 3));
+    *platform.behavior.borrow_mut() = Behavior::HangOn(window);
+    fleet.leader().record_usage(usage_report(window, window + 100, 3));
     let name = format!("\"WindowNumber\":{window}}}");
     let reports = || {
         let all = platform.reports.borrow().clone();
         all.into_iter().filter(|report| report.body.ends_with(&name)).collect::<Vec<_>>()
     };
-    until("it is reported", || !reports().is_empty()).await;
+    wait_until("it is reported", || !reports().is_empty()).await;
     let first = reports().remove(0);
     assert!(first.body.contains("{\"w\":3}"), "{first:?}");
     fleet.next_leader();
     drop(store);
-    let store = fleet.store(&Kept::default()).await;
-    set_wall_clock(&store);
-    fleet.leader().record_usage(told(window, window + 100, 4));
-    *platform.does.borrow_mut() = Does::Accept;
-    until("it is reported again", || reports().len() > 1).await;
+    let store = fleet.store(&StoredParts::default()).await;
+    send_wall_clock(&store);
+    fleet.leader().record_usage(usage_report(window, window + 100, 4));
+    *platform.behavior.borrow_mut() = Behavior::Accept;
+    wait_until("it is reported again", || reports().len() > 1).await;
     let second = reports().pop().unwrap();
     assert_eq!((&second.body, &second.holder), (&first.body, &first.holder));
     assert!(second.token > first.token, "{second:?}");
@@ -160,22 +159,22 @@
     assert!(reports().iter().all(|report| report.body == first.body), "{:?}", reports());
 }
 
-/// Symptom: a leader that was replaced goes on to call the platform with a token that was refused.
-/// Cause: a refusal for a higher token ends the duty of whoever has the lower one.
+/// Guards against a replaced leader that keeps calling the platform with a refused token. A refusal
+/// because of a higher token ends the duty of the process with the lower one.
 #[actix_rt::test]
-async fn nothing_is_called_again_with_a_token_that_was_refused() {
+async fn a_refused_token_is_not_used_again() {
     let platform = platform().await;
     let (fleet, store) = fleet(&platform).await;
-    *platform.does.borrow_mut() = Does::Refuse;
+    *platform.behavior.borrow_mut() = Behavior::Refuse;
     platform.reports.borrow_mut().clear();
-    until("a report is refused", || !platform.reports.borrow().is_empty()).await;
+    wait_until("a report is refused", || !platform.reports.borrow().is_empty()).await;
     let token = platform.reports.borrow()[0].token;
     pause(2_500).await;
     let reports = platform.reports.borrow().clone();
     assert_eq!(reports.len(), 1, "{reports:?}");
-    *platform.does.borrow_mut() = Does::Accept;
+    *platform.behavior.borrow_mut() = Behavior::Accept;
     fleet.next_leader();
-    set_wall_clock(&store);
-    until("the next leader reports", || platform.reports.borrow().len() > 1).await;
+    send_wall_clock(&store);
+    wait_until("the next leader reports", || platform.reports.borrow().len() > 1).await;
     assert!(platform.reports.borrow()[1].token > token);
 }
--- a/components/node/tests/link.rs
+++ b/components/node/tests/link.rs
@@ -1,4 +1,5 @@
-//! A host's connection to a leader that the test plays, on real sockets: how old an order may be.
+//! A host's connection to a leader simulated by the test, on real sockets: the maximum age of
+//! orders and of the leader's signs.
 
 mod support {
     pub mod job;
@@ -50,32 +51,33 @@
 
 use support::job::job;
 
-/// How long an order lies on its way. The bound after the acknowledgement of an end is 3 s; what is
-/// begun after this long would reach its engine after it, as a connection takes a quarter of a second.
-const LAIN: Duration = Duration::from_millis(2_700);
-/// Time between two words of the leader that it lives.
-const ALIVE: Duration = Duration::from_millis(200);
+/// How long an order is delayed. An end must take effect 3 s after its acknowledgement, and
+/// connecting takes a quarter of a second, so a run that is started after this delay would reach
+/// its engine too late.
+const ORDER_DELAY: Duration = Duration::from_millis(2_700);
+/// Interval of the leader's heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 type Socket = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// The leader's end of the connection, and the host's clock in its last word.
+/// The leader's end of the connection, and the host's clock in its last heartbeat.
 struct Leader {
     sink: SplitSink<Socket, Bytes>,
     stream: SplitStream<Socket>,
-    heard: Millis,
-    /// Whether it reads nothing of the host any more, though it speaks on.
-    lags: bool,
+    host_clock: Millis,
+    /// Whether the leader ignores the host's heartbeats, while it keeps sending its own.
+    ignores_heartbeats: bool,
 }
 
 impl Leader {
-    /// Starts a host, and welcomes it.
+    /// Starts a host, and accepts it as a member.
     async fn with_host() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let view = Rc::new(View::default());
         let forwarder = Forwarder::new(Policy::default());
         let runner = Runner::new(view.clone(), forwarder.clone());
-        view.subscribe(move |news| forwarder.apply(news));
+        view.subscribe(move |update| forwarder.apply(update));
         actix_rt::spawn(runner.clone().run());
         let member = Member {
             node: "h".to_owned(),
@@ -91,40 +93,47 @@
         let (sink, mut stream) = Framed::new(stream, frames()).split();
         let hello = stream.next().await.unwrap().unwrap();
         let Hello::Member { clock, .. } = decode(&hello).unwrap() else { panic!("a member") };
-        let mut leader = Self { sink, stream, heard: clock, lags: false };
-        leader.say(&LeaderMessage::Welcome).await;
-        leader.say(&LeaderMessage::Everything(vec![Update::Whole(BTreeSet::new())])).await;
+        let mut leader = Self { sink, stream, host_clock: clock, ignores_heartbeats: false };
+        leader.send(&LeaderMessage::Welcome).await;
+        leader.send(&LeaderMessage::Everything(vec![Update::Whole(BTreeSet::new())])).await;
         leader
     }
 
-    async fn say(&mut self, down: &LeaderMessage) {
-        self.sink.send(encode(down)).await.unwrap();
+    async fn send(&mut self, message: &LeaderMessage) {
+        self.sink.send(encode(message)).await.unwrap();
     }
 
-    /// Orders a run that is whole at once, and whose scorer is this endpoint.
+    /// Orders a run that its engine completes at once, and whose scorer is this endpoint.
     async fn order_scored(&mut self, config: Config, scorer: SocketAddr) {
-        let (engine, _) = endpoint(WHOLE).await;
-        self.say(&LeaderMessage::News(Update::Config(Arc::new(config)))).await;
-        self.say(&LeaderMessage::News(Update::Endpoint(desk(scorer)))).await;
+        let (engine, _) = endpoint(COMPLETE_RUN).await;
+        self.send(&LeaderMessage::News(Update::Config(Arc::new(config)))).await;
+        self.send(&LeaderMessage::News(Update::Endpoint(desk(scorer)))).await;
         let mut job = job(engine);
         let (id, host, path) = ("score".to_owned(), "h".to_owned(), "/desk/x".to_owned());
         job.sample.scorer = Some(Scorer { id, host, path, body: Bytes::new() });
-        self.say(&LeaderMessage::Work { member_clock: self.heard, work: Work::Run(Box::new(job)) })
-            .await;
+        self.send(&LeaderMessage::Work {
+            member_clock: self.host_clock,
+            work: Work::Run(Box::new(job)),
+        })
+        .await;
     }
 
-    /// Goes on saying that it lives, and hearing the host, for a while; gives what it was told of runs.
-    async fn live(&mut self, time: Duration) -> Vec<Report> {
+    /// Sends and receives heartbeats for a while. Returns the reports that arrived.
+    async fn run_for(&mut self, time: Duration) -> Vec<Report> {
         let until = tokio::time::Instant::now() + time;
-        let mut alive = tokio::time::interval(ALIVE);
+        let mut heartbeats = tokio::time::interval(HEARTBEAT_INTERVAL);
         let mut reports = Vec::new();
         loop {
             tokio::select! {
                 () = tokio::time::sleep_until(until) => return reports,
-                _ = alive.tick() => self.say(&LeaderMessage::Alive { member_clock: self.heard, wall: None }).await,
+                _ = heartbeats.tick() => self
+                    .send(&LeaderMessage::Alive { member_clock: self.host_clock, wall: None })
+                    .await,
                 frame = self.stream.next() => match decode(&frame.unwrap().unwrap()).unwrap() {
                     MemberMessage::Report(report) => reports.push(report),
-                    MemberMessage::Beat { clock, .. } if !self.lags => self.heard = clock,
+                    MemberMessage::Beat { clock, .. } if !self.ignores_heartbeats => {
+                        self.host_clock = clock
+                    }
                     _ => {}
                 },
             }
@@ -132,12 +141,12 @@
     }
 }
 
-/// An endpoint that gives each request the same answer, and counts them.
+/// An endpoint that returns the same answer to each request, and counts the requests.
 async fn endpoint(answer: &'static str) -> (SocketAddr, Rc<Cell<u32>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let asked = Rc::<Cell<u32>>::default();
-    let counts = asked.clone();
+    let requests = Rc::<Cell<u32>>::default();
+    let counts = requests.clone();
     actix_rt::spawn(async move {
         loop {
             let (mut stream, _) = listener.accept().await.unwrap();
@@ -151,15 +160,15 @@
             });
         }
     });
-    (address, asked)
+    (address, requests)
 }
 
-/// An engine that counts who comes.
+/// An engine that counts its connections.
 async fn engine() -> (SocketAddr, Rc<Cell<u32>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let came = Rc::<Cell<u32>>::default();
-    let counts = came.clone();
+    let connections = Rc::<Cell<u32>>::default();
+    let counts = connections.clone();
     actix_rt::spawn(async move {
         let mut open = Vec::new();
         loop {
@@ -167,43 +176,43 @@
             counts.set(counts.get() + 1);
         }
     });
-    (address, came)
+    (address, connections)
 }
 
-/// Symptom: an engine gets a sample of a step whose end was acknowledged seconds ago.
-/// Sequence: the leader orders a run; the order lies in a queue or a socket, while other frames keep
-/// coming in both directions, so that neither side takes the other for lost; meanwhile the step ends.
-/// Cause: an order was carried out whenever it was read, however long ago it was given.
+/// An order may wait in a queue or a socket while other frames keep arriving in both directions, so
+/// that neither side considers the other lost; meanwhile the step ends. Guards against executing an
+/// order regardless of its age: an engine got a sample of a step whose end had been acknowledged
+/// seconds ago.
 #[actix_rt::test]
 async fn an_order_that_lay_on_its_way_is_not_carried_out() {
     let mut leader = Leader::with_host().await;
-    let (address, came) = engine().await;
-    leader.live(ALIVE * 5).await;
+    let (address, connections) = engine().await;
+    leader.run_for(HEARTBEAT_INTERVAL * 5).await;
     let run = Work::Run(Box::new(job(address)));
-    let order = LeaderMessage::Work { member_clock: leader.heard, work: run };
-    leader.live(LAIN).await;
-    leader.say(&order).await;
+    let order = LeaderMessage::Work { member_clock: leader.host_clock, work: run };
+    leader.run_for(ORDER_DELAY).await;
+    leader.send(&order).await;
 
-    let reports = leader.live(ALIVE * 5).await;
+    let reports = leader.run_for(HEARTBEAT_INTERVAL * 5).await;
 
-    assert_eq!(came.get(), 0, "the engine was asked");
+    assert_eq!(connections.get(), 0, "the engine was asked");
     let ended = reports.iter().any(|report| matches!(report.standing, Standing::Ended(_)));
     assert!(ended, "the leader would wait for the run: {reports:?}");
 }
 
-/// The other side of it: an order that comes at once is carried out.
+/// An order without delay is executed.
 #[actix_rt::test]
-async fn an_order_that_comes_at_once_is_carried_out() {
+async fn an_order_without_delay_is_executed() {
     let mut leader = Leader::with_host().await;
-    let (address, came) = engine().await;
-    leader.live(ALIVE * 5).await;
+    let (address, connections) = engine().await;
+    leader.run_for(HEARTBEAT_INTERVAL * 5).await;
     let run = Work::Run(Box::new(job(address)));
-    leader.say(&LeaderMessage::Work { member_clock: leader.heard, work: run }).await;
-    leader.live(ALIVE * 2).await;
-    assert_eq!(came.get(), 1, "the engine was not asked");
+    leader.send(&LeaderMessage::Work { member_clock: leader.host_clock, work: run }).await;
+    leader.run_for(HEARTBEAT_INTERVAL * 2).await;
+    assert_eq!(connections.get(), 1, "the engine was not asked");
 }
 
-const WHOLE: &str = "HTTP/1.1 200 OK\r\nx-attempt-id: s\r\nx-response-stamp: p\r\n\
+const COMPLETE_RUN: &str = "HTTP/1.1 200 OK\r\nx-attempt-id: s\r\nx-response-stamp: p\r\n\
                      content-length: 17\r\n\r\nid: 0\ndata: one\n\n";
 const FULL: &str = "HTTP/1.1 503 x\r\nx-not-executed: 1\r\ncontent-length: 0\r\n\r\n";
 
@@ -242,49 +251,48 @@
     Config { version: 1, routes: vec![route], ..Config::default() }
 }
 
-/// Symptom: a scorer is called for a step whose end was acknowledged more than three seconds ago.
-/// Sequence: a run is whole, and its scorer is full again and again. The leader's words come late, or
-/// it is another process's turn to lead, which this host does not know; meanwhile the step ends.
-/// Cause: a host went on calling scorers without any limit, whatever it knew of the leader.
+/// A run is complete, and its scorer keeps refusing calls because it is full. The leader's
+/// heartbeats are delayed, or another process leads without this host's knowledge, and meanwhile
+/// the step ends. Guards against a host that keeps calling scorers without a recent sign of the
+/// leader: a scorer was called more than three seconds after the end was acknowledged.
 #[actix_rt::test]
 async fn a_scorer_is_not_called_when_the_leader_gives_no_fresh_sign() {
     let mut leader = Leader::with_host().await;
     let (scorer, called) = endpoint(FULL).await;
     leader.order_scored(config(), scorer).await;
-    leader.live(ALIVE * 10).await;
-    assert!(called.get() > 1, "its scorer is called while the leader is fresh");
+    leader.run_for(HEARTBEAT_INTERVAL * 10).await;
+    assert!(called.get() > 1, "its scorer is called while the leader's sign is fresh");
 
-    leader.lags = true;
-    leader.live(Duration::from_millis(2_700)).await;
+    leader.ignores_heartbeats = true;
+    leader.run_for(Duration::from_millis(2_700)).await;
     let before = called.get();
-    leader.live(Duration::from_millis(1_000)).await;
-    assert_eq!(called.get(), before, "calls after the sign has become old");
+    leader.run_for(Duration::from_millis(1_000)).await;
+    assert_eq!(called.get(), before, "calls after the sign has expired");
 
-    leader.lags = false;
-    leader.live(Duration::from_millis(1_000)).await;
-    assert!(called.get() > before, "it goes on with the next fresh sign");
+    leader.ignores_heartbeats = false;
+    leader.run_for(Duration::from_millis(1_000)).await;
+    assert!(called.get() > before, "calls continue with the next fresh sign");
 }
 
-/// Symptom: a scorer is asked, by a second attempt of one call, more than three seconds after its step's
-/// end was acknowledged.
-/// Sequence: a call begins while the leader's last sign is fresh; its endpoint hangs; the sign grows old.
-/// Cause: only the beginning of a call asked for a fresh sign, and one call lasts up to 2.5 s.
+/// A call starts while the leader's last sign is fresh, its endpoint hangs, and the sign expires.
+/// Guards against checking the sign only at the start of a call, which lasts up to 2.5 s: a second
+/// attempt of the call was made more than three seconds after the step's end was acknowledged.
 #[actix_rt::test]
-async fn a_scorers_call_under_way_ends_when_the_leaders_sign_has_become_old() {
+async fn a_scorers_call_in_progress_ends_when_the_leaders_sign_expires() {
     let mut leader = Leader::with_host().await;
     let (scorer, open) = hanging().await;
     let mut config = config();
     config.routes[0].timeout_ms = None;
     leader.order_scored(config, scorer).await;
-    leader.live(ALIVE * 10).await;
+    leader.run_for(HEARTBEAT_INTERVAL * 10).await;
     assert!(open.get() > 0, "its scorer is being called");
 
-    leader.lags = true;
-    leader.live(Duration::from_millis(2_700)).await;
-    assert_eq!(open.get(), 0, "calls under way after the sign has become old");
+    leader.ignores_heartbeats = true;
+    leader.run_for(Duration::from_millis(2_700)).await;
+    assert_eq!(open.get(), 0, "calls in progress after the sign has expired");
 }
 
-/// An endpoint that never answers, and how many connections to it are open.
+/// An endpoint that never answers, and the number of its open connections.
 async fn hanging() -> (SocketAddr, Rc<Cell<u32>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
--- a/components/node/tests/parts.rs
+++ b/components/node/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Entries read parts from stores nearby, and ask the leader when a store does not answer.
+//! Entries read parts from nearby stores, and fall back to the leader when a store does not answer.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,10 +15,10 @@
 use tempfile::TempDir;
 use tokio::net::TcpListener;
 
-/// Longer than an entry waits for a store, with what a busy machine adds.
-const PATIENCE: Duration = Duration::from_millis(600);
+/// Longer than an entry waits for a store, plus the delays of a busy machine.
+const MAX_WAIT: Duration = Duration::from_millis(600);
 
-/// A store that holds parts 1 to 3, at an address of its own.
+/// Starts a store with parts 1 to 3, at an address of its own.
 async fn store(folder: &TempDir, listener: TcpListener) -> actix_rt::task::JoinHandle<()> {
     let depot = Depot::open(folder.path(), Disk::default()).unwrap();
     let worker = Rc::new(Worker::start(depot, |error| panic!("{error}")).unwrap());
@@ -39,7 +39,7 @@
 }
 
 #[actix_rt::test]
-async fn parts_come_from_a_store_each_to_its_reader() {
+async fn each_read_gets_its_own_part_from_the_store() {
     let folder = tempfile::tempdir().unwrap();
     let (listener, address) = listen().await;
     store(&folder, listener).await;
@@ -51,19 +51,19 @@
     assert_eq!(read, [Some(text(1)), Some(text(2)), Some(text(3)), None]);
 }
 
-/// Symptom: reads of results hang for minutes after something between an entry and a store has lost
-/// track of their connection. Sequence: the connection takes bytes and gives none; new ones work.
-/// Cause: the connection was used again after an answer had stayed out.
+/// A device between an entry and a store may lose the state of their connection: it then accepts
+/// bytes and returns none, while new connections work. Guards against using such a connection again
+/// after a timeout, with which reads hung for minutes.
 #[actix_rt::test]
-async fn a_store_that_stays_silent_is_given_up_in_time_and_asked_on_a_new_connection() {
+async fn a_silent_store_times_out_and_is_asked_on_a_new_connection() {
     let folder = tempfile::tempdir().unwrap();
     let (listener, address) = listen().await;
     let reader: Rc<PartReader> = Rc::default();
     let began = Instant::now();
 
-    // The connection is made, and nobody reads from it.
+    // The connection is accepted, but nothing reads from it.
     assert_eq!(reader.read(address, PartId(1)).await, None);
-    assert!(began.elapsed() < PATIENCE, "{:?}", began.elapsed());
+    assert!(began.elapsed() < MAX_WAIT, "{:?}", began.elapsed());
     let (silent, _) = listener.accept().await.unwrap();
     store(&folder, listener).await;
 
@@ -72,12 +72,12 @@
 }
 
 #[actix_rt::test]
-async fn a_store_that_is_gone_gives_nothing_at_once() {
+async fn reading_from_a_stopped_store_fails_at_once() {
     let (listener, address) = listen().await;
     drop(listener);
     let reader: Rc<PartReader> = Rc::default();
     let began = Instant::now();
 
     assert_eq!(reader.read(address, PartId(1)).await, None);
-    assert!(began.elapsed() < PATIENCE, "{:?}", began.elapsed());
+    assert!(began.elapsed() < MAX_WAIT, "{:?}", began.elapsed());
 }
--- a/components/node/tests/runner.rs
+++ b/components/node/tests/runner.rs
@@ -1,4 +1,4 @@
-//! What a host tells the leader of its runs, on real sockets.
+//! A host's reports about its runs to the leader, on real sockets.
 
 mod support {
     pub mod job;
@@ -25,10 +25,10 @@
 
 use support::job::job;
 
-/// Events of the engine's one answer, and the time between two of them: long enough for the host to
-/// tell of progress several times.
+/// Number of events in the engine's answer, and the time between two of them, which is long enough
+/// for several progress reports.
 const EVENTS: usize = 12;
-const GAP: Duration = Duration::from_millis(60);
+const EVENT_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Answers one request with a stream of events.
 async fn engine() -> SocketAddr {
@@ -45,7 +45,7 @@
             let event = format!("id: {number}\ndata: event {number}\n\n");
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
             stream.write_all(chunk.as_bytes()).await.unwrap();
-            tokio::time::sleep(GAP).await;
+            tokio::time::sleep(EVENT_INTERVAL).await;
         }
         stream.write_all(b"0\r\n\r\n").await.unwrap();
         tokio::time::sleep(Duration::from_secs(5)).await;
@@ -53,12 +53,13 @@
     address
 }
 
-/// Takes reports until the run has finished.
-async fn reports(told: &mut mpsc::Receiver<MemberMessage>) -> Vec<Report> {
+/// Collects reports until the run has finished.
+async fn reports(messages: &mut mpsc::Receiver<MemberMessage>) -> Vec<Report> {
     let mut reports: Vec<Report> = Vec::new();
     while !reports.last().is_some_and(|last| matches!(last.standing, Standing::Finished(_))) {
-        let up = tokio::time::timeout(Duration::from_secs(5), told.recv()).await;
-        if let MemberMessage::Report(report) = up.expect("the run goes on").expect("the host lives")
+        let message = tokio::time::timeout(Duration::from_secs(5), messages.recv()).await;
+        if let MemberMessage::Report(report) =
+            message.expect("the run continues").expect("the host runs")
         {
             reports.push(report);
         }
@@ -66,18 +67,18 @@
     reports
 }
 
-/// Symptom: each text crossed to the leader twice, and in part three times, which was a tenth of all
-/// that the fleet's data centres sent each other. Sequence: a host tells of progress four times a
-/// second, then of the end. Cause: the word of the end brought all events again.
+/// Progress is reported four times a second, followed by a final report. Guards against a final
+/// report that repeats all events: each text was sent to the leader two or three times, a tenth of
+/// all traffic between the fleet's data centres.
 #[actix_rt::test]
-async fn each_event_is_told_once_while_the_leader_stays() {
+async fn each_event_is_reported_once_to_the_same_leader() {
     let runner = Runner::new(Rc::new(View::default()), Forwarder::new(Policy::default()));
-    let (up, mut told) = mpsc::channel(1_024);
-    runner.attach(up);
+    let (sender, mut messages) = mpsc::channel(1_024);
+    runner.attach(sender);
     actix_rt::spawn(runner.clone().run());
     runner.handle_local(Work::Run(Box::new(job(engine().await))));
 
-    let reports = reports(&mut told).await;
+    let reports = reports(&mut messages).await;
 
     let events: usize = reports.iter().map(|report| report.made.events.len()).sum();
     assert_eq!(events, EVENTS);
@@ -87,64 +88,64 @@
     assert_eq!(known.events, whole);
 }
 
-/// The next leader knows nothing of the run, and must be told all of it: what the leader before was
-/// told is lost with it.
+/// The reports to the previous leader are lost with it, so the next leader must get all events.
 #[actix_rt::test]
-async fn the_next_leader_is_told_all_events() {
+async fn all_events_are_reported_to_the_next_leader() {
     let runner = Runner::new(Rc::new(View::default()), Forwarder::new(Policy::default()));
-    let (up, first) = mpsc::channel(1_024);
-    runner.attach(up);
+    let (sender, first) = mpsc::channel(1_024);
+    runner.attach(sender);
     actix_rt::spawn(runner.clone().run());
     runner.handle_local(Work::Run(Box::new(job(engine().await))));
-    tokio::time::sleep(GAP * (EVENTS as u32) / 2).await;
+    tokio::time::sleep(EVENT_INTERVAL * (EVENTS as u32) / 2).await;
     drop(first);
     runner.detach();
-    let (up, mut told) = mpsc::channel(1_024);
-    runner.attach(up);
+    let (sender, mut messages) = mpsc::channel(1_024);
+    runner.attach(sender);
 
-    let reports = reports(&mut told).await;
+    let reports = reports(&mut messages).await;
 
     let mut known = Made::default();
     assert!(reports.iter().all(|report| report.add_to(&mut known)));
     assert_eq!(known.events.len(), EVENTS);
 }
 
-/// Symptom: a sample is whole at its host, and the leader never hears of it.
-/// Sequence: the way to the leader has no room at the moment at which the run finishes; then it has.
-/// Cause: a report that finds no room is dropped, and only runs whose events still come are told of
-/// again.
+/// The queue to the leader may be full at the moment when a run finishes. Guards against dropping
+/// the final report then: only runs with new events were reported again, so the leader never
+/// received the finished sample.
 #[actix_rt::test]
-async fn the_end_of_a_run_that_finds_no_room_is_told_later() {
+async fn the_end_of_a_run_that_finds_no_room_in_the_queue_is_reported_later() {
     let runner = Runner::new(Rc::new(View::default()), Forwarder::new(Policy::default()));
-    let (up, mut told) = mpsc::channel(1);
-    runner.attach(up);
+    let (sender, mut messages) = mpsc::channel(1);
+    runner.attach(sender);
     actix_rt::spawn(runner.clone().run());
     runner.handle_local(Work::Run(Box::new(job(engine().await))));
-    tokio::time::sleep(GAP * (EVENTS as u32) + Duration::from_millis(500)).await;
+    tokio::time::sleep(EVENT_INTERVAL * (EVENTS as u32) + Duration::from_millis(500)).await;
     let mut finished = false;
     for _ in 0..10 {
-        let up = tokio::time::timeout(Duration::from_secs(1), told.recv()).await;
-        let up = up.expect("the host lives").expect("the host lives");
-        finished |=
-            matches!(up, MemberMessage::Report(Report { standing: Standing::Finished(_), .. }));
+        let message = tokio::time::timeout(Duration::from_secs(1), messages.recv()).await;
+        let message = message.expect("the host runs").expect("the host runs");
+        finished |= matches!(
+            message,
+            MemberMessage::Report(Report { standing: Standing::Finished(_), .. })
+        );
     }
-    assert!(finished, "the leader was not told that the run has finished");
+    assert!(finished, "the end of the run was not reported");
 }
 
-/// Symptom: a host is connected, and no run is given to it.
-/// Sequence: the way to the leader has no room at the moment at which the host has told of all its runs.
-/// Cause: the word that these were all was dropped, and the leader gives nothing to a host before it.
+/// The queue to the leader may be full at the moment when a host has reported all its runs. Guards
+/// against dropping the message that says so: the leader assigns nothing to a host before this
+/// message, so the host stayed idle.
 #[actix_rt::test]
-async fn the_word_that_all_runs_were_told_is_said_later_if_it_finds_no_room() {
+async fn the_end_of_the_reports_is_sent_later_if_the_queue_is_full() {
     let runner = Runner::new(Rc::new(View::default()), Forwarder::new(Policy::default()));
-    let (up, mut told) = mpsc::channel(1);
-    up.try_send(MemberMessage::Alive(clock::wall())).unwrap();
-    runner.attach(up);
+    let (sender, mut messages) = mpsc::channel(1);
+    sender.try_send(MemberMessage::Alive(clock::wall())).unwrap();
+    runner.attach(sender);
     actix_rt::spawn(runner.clone().run());
     let mut reported = false;
     for _ in 0..6 {
-        let up = tokio::time::timeout(Duration::from_secs(1), told.recv()).await;
-        reported |= matches!(up.expect("the host lives"), Some(MemberMessage::Reported));
+        let message = tokio::time::timeout(Duration::from_secs(1), messages.recv()).await;
+        reported |= matches!(message.expect("the host runs"), Some(MemberMessage::Reported));
     }
-    assert!(reported, "the leader was not told that these were all");
+    assert!(reported, "the end of the reports was not reported");
 }
--- a/components/node/tests/scorers.rs
+++ b/components/node/tests/scorers.rs
@@ -1,4 +1,4 @@
-//! What a host spends on the call of a sample's scorer, on real sockets.
+//! Limits of a host's calls to a sample's scorer, on real sockets.
 
 mod support {
     pub mod endpoint;
@@ -47,24 +47,24 @@
 use support::endpoint::endpoint;
 use support::route::route;
 
-/// Endpoints at which one call may run.
+/// Maximum number of endpoints that may run one call.
 const ATTEMPTS: u32 = 4;
-/// Endpoints that score: more than one call may run at.
+/// Number of scorer endpoints, which is more than one call may use.
 const SCORERS: usize = 7;
-/// Milliseconds that one pass over the endpoints may take.
+/// Time limit of one pass over the endpoints, in milliseconds.
 const PASS_MS: u64 = 500;
-/// Milliseconds for which the sample is wanted.
-const WANTED_MS: u64 = 6_000;
+/// Time limit of the sample, in milliseconds.
+const SAMPLE_LIMIT_MS: u64 = 6_000;
 
 /// A call that reached an endpoint.
 #[derive(Clone, Debug)]
-struct Asked {
+struct ReceivedCall {
     endpoint: usize,
     at: Instant,
     left_ms: u64,
 }
 
-type Calls = Rc<RefCell<Vec<Asked>>>;
+type Calls = Rc<RefCell<Vec<ReceivedCall>>>;
 
 async fn listen(serve: impl Fn(TcpStream) + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -87,9 +87,9 @@
     }
 }
 
-/// Answers a call with this status after a while.
-async fn answer(mut stream: TcpStream, endpoint: usize, does: (u16, Duration), calls: Calls) {
-    let (status, time) = does;
+/// Answers a call with a status after a delay, and records the call.
+async fn answer(mut stream: TcpStream, endpoint: usize, behavior: (u16, Duration), calls: Calls) {
+    let (status, delay) = behavior;
     let mut bytes = vec![0; 4_096];
     while let Ok(read) = stream.read(&mut bytes).await {
         if read == 0 {
@@ -98,8 +98,8 @@
         let text = String::from_utf8_lossy(&bytes[..read]).to_lowercase();
         let left = text.split("x-deadline-ms: ").nth(1).and_then(|rest| rest.split("\r\n").next());
         let left_ms = left.and_then(|left| left.parse().ok()).expect("a time limit");
-        calls.borrow_mut().push(Asked { endpoint, at: Instant::now(), left_ms });
-        tokio::time::sleep(time).await;
+        calls.borrow_mut().push(ReceivedCall { endpoint, at: Instant::now(), left_ms });
+        tokio::time::sleep(delay).await;
         let answer = format!(
             "HTTP/1.1 {status} x\r\nx-attempt-id: c\r\nx-response-stamp: p\r\n\
              content-length: 0\r\n\r\n"
@@ -125,29 +125,29 @@
     }
 }
 
-/// Starts scorers that fail after so long.
-async fn scorers(time: Duration) -> (Vec<Endpoint>, Calls) {
-    scorers_that_answer(500, time).await
+/// Starts scorers that fail after this time.
+async fn scorers(delay: Duration) -> (Vec<Endpoint>, Calls) {
+    scorers_with_status(500, delay).await
 }
 
-async fn scorers_that_answer(status: u16, time: Duration) -> (Vec<Endpoint>, Calls) {
+async fn scorers_with_status(status: u16, delay: Duration) -> (Vec<Endpoint>, Calls) {
     let (mut scorers, calls) = (Vec::new(), Calls::default());
     for number in 0..SCORERS {
-        let noted = calls.clone();
+        let recorded = calls.clone();
         let address = listen(move |stream| {
-            actix_rt::spawn(answer(stream, number, (status, time), noted.clone()));
+            actix_rt::spawn(answer(stream, number, (status, delay), recorded.clone()));
         });
         scorers.push(endpoint("score", &format!("i{number}"), address.await, 4));
     }
     (scorers, calls)
 }
 
-/// Starts a host that knows these scorers.
+/// Creates a host with these scorers.
 fn host(scorers: &[Endpoint]) -> Rc<Runner> {
     let view = Rc::new(View::default());
     let forwarder = Forwarder::new(Policy::default());
     let learning = forwarder.clone();
-    view.subscribe(move |news| learning.apply(news));
+    view.subscribe(move |update| learning.apply(update));
     view.apply(Update::Config(Arc::new(config())));
     scorers.iter().cloned().for_each(|endpoint| view.apply(Update::Endpoint(endpoint)));
     Runner::new(view, forwarder)
@@ -169,105 +169,109 @@
     let address = listen(|stream| {
         actix_rt::spawn(run(stream));
     });
-    Job { sample, left_ms: WANTED_MS, cost, ..support::job::job(address.await) }
+    Job { sample, left_ms: SAMPLE_LIMIT_MS, cost, ..support::job::job(address.await) }
 }
 
-/// Has a host carry out a run until its scorer is given up; gives what it told last.
-async fn carry_out(runner: &Rc<Runner>, cost: Cost) -> Report {
-    let told: Rc<RefCell<Vec<Report>>> = Rc::default();
-    let telling = told.clone();
-    runner.attach_local(move |report| telling.borrow_mut().push(report.clone()));
+/// Makes a host execute a run until its scorer is given up. Returns the host's last report.
+async fn run_until_given_up(runner: &Rc<Runner>, cost: Cost) -> Report {
+    let reports: Rc<RefCell<Vec<Report>>> = Rc::default();
+    let sink = reports.clone();
+    runner.attach_local(move |report| sink.borrow_mut().push(report.clone()));
     runner.handle_local(Work::Run(Box::new(job(cost).await)));
     let unscored = |report: &&Report| report.standing == Standing::Unscored;
-    for _ in 0..WANTED_MS / 20 {
-        if let Some(last) = told.borrow().last().filter(unscored) {
+    for _ in 0..SAMPLE_LIMIT_MS / 20 {
+        if let Some(last) = reports.borrow().last().filter(unscored) {
             return last.clone();
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("the scorer was not given up: {:?}", told.borrow().last());
+    panic!("the scorer was not given up: {:?}", reports.borrow().last());
 }
 
-/// Guards against a scorer's call that each pass sends to other endpoints, and with a new time limit.
+/// Guards against a scorer's call that uses other endpoints, and a new time limit, in each pass.
 #[actix_rt::test]
-async fn a_scorer_that_fails_slowly_keeps_to_its_endpoints_and_its_time() {
+async fn calls_to_a_slowly_failing_scorer_keep_endpoints_and_deadline() {
     let (scorers, calls) = scorers(Duration::from_millis(300)).await;
-    carry_out(&host(&scorers), Cost::default()).await;
+    run_until_given_up(&host(&scorers), Cost::default()).await;
     let calls = calls.borrow();
     let endpoints: BTreeSet<usize> = calls.iter().map(|call| call.endpoint).collect();
     assert!(endpoints.len() <= ATTEMPTS as usize, "{calls:?}");
-    let end = |call: &Asked| call.at + Duration::from_millis(call.left_ms);
+    let end = |call: &ReceivedCall| call.at + Duration::from_millis(call.left_ms);
     let first = end(&calls[0]);
     let slack = Duration::from_millis(300);
     assert!(calls.iter().all(|call| end(call) <= first + slack), "{calls:?}");
 }
 
-/// Guards against hosts that ask different endpoints, each as many as one call may, while both carry it.
+/// Guards against two hosts that execute the same call concurrently and use different endpoints,
+/// each as many as one call may.
 #[actix_rt::test]
-async fn hosts_that_carry_the_same_call_ask_the_same_endpoints() {
+async fn hosts_that_execute_the_same_call_use_the_same_endpoints() {
     let (scorers, calls) = scorers(Duration::from_millis(100)).await;
     let (first, second) = (host(&scorers), host(&scorers));
-    let both = [&first, &second].map(|host| carry_out(host, Cost::default()));
+    let both = [&first, &second].map(|host| run_until_given_up(host, Cost::default()));
     futures_util::future::join_all(both).await;
     let endpoints: BTreeSet<usize> = calls.borrow().iter().map(|call| call.endpoint).collect();
     assert!(endpoints.len() <= ATTEMPTS as usize, "{calls:?}");
 }
 
-/// Guards against failures that are lost with their host, because it tells them only when the call is over.
+/// Guards against failures that are lost with their host because it reports them only at the end of
+/// the call.
 #[actix_rt::test]
-async fn the_leader_is_told_of_a_scorers_failures_as_they_come() {
+async fn a_scorers_failures_are_reported_as_they_occur() {
     let (scorers, _calls) = scorers(Duration::from_millis(300)).await;
     let runner = host(&scorers);
-    let told: Rc<RefCell<Vec<Report>>> = Rc::default();
-    let telling = told.clone();
-    runner.attach_local(move |report| telling.borrow_mut().push(report.clone()));
+    let reports: Rc<RefCell<Vec<Report>>> = Rc::default();
+    let sink = reports.clone();
+    runner.attach_local(move |report| sink.borrow_mut().push(report.clone()));
     actix_rt::spawn(runner.clone().run());
     runner.handle_local(Work::Run(Box::new(job(Cost::default()).await)));
     tokio::time::sleep(Duration::from_millis(800)).await;
-    let told = told.borrow();
-    let last = told.last().expect("a report");
+    let reports = reports.borrow();
+    let last = reports.last().expect("a report");
     assert_eq!(last.standing, Standing::Scoring);
     assert!(last.cost.scorer.failures > 0, "{last:?}");
 }
 
-/// Guards against an endpoint that a lost host has asked, and that the next one does not count because it
-/// prefers endpoints that have come since.
+/// Guards against an endpoint that was used by a lost host and is not counted by the next one,
+/// which prefers endpoints that have joined since.
 #[actix_rt::test]
-async fn the_leader_is_told_at_once_of_each_endpoint_that_a_call_asks() {
+async fn each_endpoint_that_a_call_uses_is_reported_at_once() {
     let (scorers, _calls) = scorers(Duration::from_millis(2_000)).await;
     let runner = host(&scorers);
-    let told: Rc<RefCell<Vec<Report>>> = Rc::default();
-    let telling = told.clone();
-    runner.attach_local(move |report| telling.borrow_mut().push(report.clone()));
+    let reports: Rc<RefCell<Vec<Report>>> = Rc::default();
+    let sink = reports.clone();
+    runner.attach_local(move |report| sink.borrow_mut().push(report.clone()));
     runner.handle_local(Work::Run(Box::new(job(Cost::default()).await)));
     tokio::time::sleep(Duration::from_millis(200)).await;
-    // The second was asked beside the first, which is silent.
-    let told = told.borrow();
-    let counts: BTreeSet<usize> = told.iter().map(|one| one.cost.scorer.endpoints.len()).collect();
-    assert_eq!(counts, BTreeSet::from([0, 1, 2]), "{told:?}");
+    // The second endpoint was asked as a hedge, because the first is silent.
+    let reports = reports.borrow();
+    let counts: BTreeSet<usize> =
+        reports.iter().map(|one| one.cost.scorer.endpoints.len()).collect();
+    assert_eq!(counts, BTreeSet::from([0, 1, 2]), "{reports:?}");
 }
 
-/// Guards against a host that begins to count anew what a scorer's call has cost at the host before.
+/// Guards against a host that ignores what a scorer's call has cost at the previous host.
 #[actix_rt::test]
-async fn the_next_host_goes_on_with_what_a_scorers_call_has_cost() {
+async fn the_next_host_continues_with_the_cost_of_a_scorers_call() {
     let (scorers, calls) = scorers(Duration::from_millis(10)).await;
     let spent = |endpoints: &[&str]| Spent {
         failures: ATTEMPTS - 1,
         endpoints: endpoints.iter().map(|id| (*id).to_owned()).collect(),
     };
     let scorer = spent(&["i0", "i1", "i2", "i3"]);
-    let last = carry_out(&host(&scorers), Cost { scorer, ..Cost::default() }).await;
+    let last = run_until_given_up(&host(&scorers), Cost { scorer, ..Cost::default() }).await;
     assert_eq!(last.cost.scorer.failures, ATTEMPTS);
     assert_eq!(calls.borrow().len(), 1, "{calls:?}");
     assert!(calls.borrow()[0].endpoint < ATTEMPTS as usize, "{calls:?}");
 }
 
-/// Guards against a call that has no endpoint left to ask and has other requests wait as if all were full.
+/// Guards against a call without any allowed endpoint left that makes other requests wait as if all
+/// endpoints were full.
 #[actix_rt::test]
-async fn a_call_that_may_ask_no_other_endpoint_holds_up_no_other_request() {
+async fn a_call_without_allowed_endpoints_delays_no_other_request() {
     let (scorers, _calls) = scorers(Duration::from_millis(1)).await;
     let forwarder = Forwarder::new(Policy::default());
-    // Those that the call may ask take no connections.
+    // The endpoints that the call may use accept no connections.
     let closed = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
     for (number, mut endpoint) in scorers.into_iter().enumerate() {
         if number < ATTEMPTS as usize {
@@ -281,7 +285,7 @@
     };
     let request = Request::new(Method::POST, "/score/x", "");
     let route = scoring();
-    let until = clock::now() + WANTED_MS;
+    let until = clock::now() + SAMPLE_LIMIT_MS;
     let bound = Budget::shared("c", until, spent);
     let began = Instant::now();
     let outcome = forwarder.forward(&route, &request, &bound, PASS_MS, Requester::default()).await;
@@ -290,10 +294,10 @@
     assert_eq!(bound.spent().endpoints.len(), ATTEMPTS as usize);
 }
 
-/// Guards against a call that is repeated as fast as a scorer answers that it will not do it.
+/// Guards against a call that is repeated as fast as the scorer rejects it.
 #[actix_rt::test]
-async fn a_call_that_is_turned_down_is_repeated_less_and_less() {
-    let (scorers, calls) = scorers_that_answer(404, Duration::from_millis(1)).await;
+async fn a_rejected_call_is_retried_with_backoff() {
+    let (scorers, calls) = scorers_with_status(404, Duration::from_millis(1)).await;
     let runner = host(&scorers);
     runner.attach_local(|_| {});
     runner.handle_local(Work::Run(Box::new(job(Cost::default()).await)));
--- a/components/node/tests/settings.rs
+++ b/components/node/tests/settings.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn what_is_left_out_has_its_default() {
+fn missing_fields_have_defaults() {
     let settings = load(MINIMAL).unwrap();
     assert_eq!((settings.tolerated, settings.grace_ms, settings.lease_ms), (1, 8_000, 3_000));
     assert!(settings.entry.is_none() && settings.data.is_none() && !settings.first_start);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn seeds_are_known_by_their_links_and_a_process_may_listen_elsewhere() {
+fn seeds_map_to_link_addresses_and_the_listen_address_may_differ() {
     let more = "seeds: [\"10.1.0.5:9000\", \"10.2.0.6:9000\"]\nlisten_ip: 127.0.0.9\n";
     let settings = load(&format!("{MINIMAL}{more}")).unwrap();
     let links: Vec<String> =
--- a/components/node/tests/support/endpoint.rs
+++ b/components/node/tests/support/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint of a plain service.
+//! A ready endpoint of a plain service.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use chicoryford_fleet::Endpoint;
 use chicoryford_fleet::Standing;
 
-/// Makes an endpoint that is ready.
+/// Creates a ready endpoint.
 pub fn endpoint(service: &str, id: &str, address: SocketAddr, slots: u32) -> Endpoint {
     let said = Announcement {
         id: id.to_owned(),
--- a/components/node/tests/support/job.rs
+++ b/components/node/tests/support/job.rs
@@ -1,4 +1,4 @@
-//! A run that a host is given.
+//! A run that is assigned to a host.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use chicoryford_fleet::run::Cost;
 use chicoryford_fleet::run::Job;
 
-/// Makes the run of the sample "s" at an engine.
+/// Creates a run of the sample "s" at an engine.
 pub fn job(address: SocketAddr) -> Job {
     let sample = Sample { id: "s".to_owned(), path: "/x".to_owned(), ..Sample::default() };
     Job {
--- a/components/node/tests/support/route.rs
+++ b/components/node/tests/support/route.rs
@@ -4,7 +4,7 @@
 use chicoryford_fleet::Route;
 use chicoryford_fleet::Share;
 
-/// Makes a route on the host "h" to a service, which all paths below `/SERVICE/` take.
+/// Creates a route on the host "h" to a service, for all paths below `/SERVICE/`.
 pub fn route(service: &str, kind: Kind, attempts: u32) -> Route {
     Route {
         name: service.to_owned(),
--- a/components/node/tests/traffic.rs
+++ b/components/node/tests/traffic.rs
@@ -1,13 +1,13 @@
-//! What links carry is counted by kind of message, and apart for what crosses data centres.
+//! Traffic is counted by kind of message, and separately for traffic between data centres.
 
 use chicoryford_node::traffic::Direction;
 use chicoryford_node::traffic::Traffic;
 
-/// Bytes that each message takes beside its content.
-const FRAME: u64 = 4;
+/// Bytes of each message in addition to its content.
+const LENGTH_PREFIX_BYTES: u64 = 4;
 
 #[test]
-fn bytes_between_data_centres_are_told_apart_from_those_within_one() {
+fn traffic_between_data_centres_is_counted_separately() {
     let traffic = Traffic::new("ston");
     traffic.count("report", Direction::In, "novigrad", 100);
     traffic.count("report", Direction::In, "novigrad", 50);
@@ -16,13 +16,13 @@
 
     let (far, near) = traffic.take();
 
-    assert_eq!(far.get("report"), Some(&(150 + 2 * FRAME)));
-    assert_eq!(far.get("work"), Some(&(7 + FRAME)));
-    assert_eq!(near, 1_000 + FRAME);
+    assert_eq!(far.get("report"), Some(&(150 + 2 * LENGTH_PREFIX_BYTES)));
+    assert_eq!(far.get("work"), Some(&(7 + LENGTH_PREFIX_BYTES)));
+    assert_eq!(near, 1_000 + LENGTH_PREFIX_BYTES);
 }
 
 #[test]
-fn what_was_taken_is_not_told_again() {
+fn taking_the_counts_resets_them() {
     let traffic = Traffic::new("ston");
     traffic.count("work", Direction::Out, "split", 7);
     traffic.take();
