--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -30,7 +30,7 @@
 
 /// Milliseconds of the leader's silence during which announcements that change nothing are still
 /// acknowledged. An endpoint that announces itself here does so nowhere else, and is considered
-/// silent six seconds after the leader last received a sign of it; it needs up to two seconds to
+/// silent six seconds after the leader last received its heartbeat; it needs up to two seconds to
 /// switch to another process.
 const MAX_LEADER_SILENCE_MS: u64 = 3_000;
 /// Interval of reports to the leader about received announcements. An endpoint is considered silent
@@ -50,7 +50,7 @@
     /// connections.
     pub own: SocketAddr,
     /// Received announcements that were not reported to the leader yet.
-    pub hearing: RefCell<Hearing>,
+    pub heartbeats: RefCell<Hearing>,
 }
 
 impl Control {
@@ -106,7 +106,7 @@
         let has_recent_leader =
             self.link.is_connected() || self.link.silent_ms() < MAX_LEADER_SILENCE_MS;
         has_recent_leader
-            && self.hearing.borrow_mut().hear(known.as_deref(), announcement, clock::now())
+            && self.heartbeats.borrow_mut().hear(known.as_deref(), announcement, clock::now())
     }
 
     fn acknowledge(&self) -> Reply {
@@ -118,9 +118,9 @@
     pub async fn report_periodically(self: Rc<Self>) {
         loop {
             tokio::time::sleep(REPORT_INTERVAL).await;
-            let signs = self.hearing.borrow().signs(clock::now());
-            if !signs.is_empty() && self.link.report_signs(signs) {
-                self.hearing.borrow_mut().clear();
+            let pending = self.heartbeats.borrow().signs(clock::now());
+            if !pending.is_empty() && self.link.report_heartbeats(pending) {
+                self.heartbeats.borrow_mut().clear();
             }
         }
     }
--- a/components/node/src/entry.rs
+++ b/components/node/src/entry.rs
@@ -78,11 +78,11 @@
     /// Detects stalls of the process.
     pub stall: Rc<Stall>,
     /// Cache of recently read results.
-    pub recent: RefCell<Recent>,
+    pub result_cache: RefCell<Recent>,
     /// Counts the usage of workspaces, if it is reported.
     pub usage: Option<Rc<Usage>>,
     /// How long keys are accepted without a leader.
-    pub trust: Trust,
+    pub stale_key_policy: Trust,
     /// This data centre, if texts are read from its stores where possible; otherwise empty.
     pub near_data_centre: String,
     /// Reads texts from these stores.
@@ -138,7 +138,7 @@
         let silent_ms = self.link.silent_ms();
         match access {
             Access::Open => Ok(None),
-            Access::Of(workspace) if self.trust.holds(silent_ms) => Ok(Some(workspace)),
+            Access::Of(workspace) if self.stale_key_policy.holds(silent_ms) => Ok(Some(workspace)),
             Access::Of(_) => {
                 Err(self.refuse(request, "keys may be out of date", NO_LEADER_RETRY_AFTER_MS))
             }
@@ -246,8 +246,9 @@
         platform::failure(status, why)
     }
 
-    /// Returns the remaining time of a request in milliseconds when it was read. After a stall it
-    /// is unknown how long the request waited unread, so at least the route's target time is left.
+    /// Returns the remaining time of a request in milliseconds when it was read. After a stall, the
+    /// request may have waited unread or may have just arrived, so at least the route's target time
+    /// is left.
     fn remaining_ms(&self, route: &Route, read: Millis, limit_ms: u64) -> u64 {
         let waited_ms = self.stall.waited_ms(read);
         limit_ms.saturating_sub(waited_ms).max(limit_ms.min(route.target_ms))
@@ -288,15 +289,15 @@
     /// three trainers).
     async fn reply_from_cache(&self, step: &str, after: u64) -> Option<Reply> {
         let (next, whole) = {
-            let mut recent = self.recent.borrow_mut();
-            let read = recent.get(step, after)?;
+            let mut cache = self.result_cache.borrow_mut();
+            let read = cache.get(step, after)?;
             (after + read.results.len() as u64, read.whole)
         };
         if !whole {
             self.fetch_newer(step, next).await;
         }
-        let mut recent = self.recent.borrow_mut();
-        let read = recent.get(step, after)?;
+        let mut cache = self.result_cache.borrow_mut();
+        let read = cache.get(step, after)?;
         Some(step::listed(step::results(read.total as usize, after, read.results.into_iter())))
     }
 
@@ -307,7 +308,7 @@
         if let Ok(answer) = self.link.call(request, NEWER_RESULTS_TIMEOUT).await
             && let Some((total, listed)) = self.assemble(answer).await
         {
-            self.recent.borrow_mut().put(step, total, next, listed);
+            self.result_cache.borrow_mut().put(step, total, next, listed);
         }
     }
 
@@ -325,7 +326,7 @@
         };
         let results = listed.iter().map(|(id, verdict)| (id.as_str(), verdict));
         let reply = step::listed(step::results(total as usize, after, results));
-        self.recent.borrow_mut().put(step, total, after, listed);
+        self.result_cache.borrow_mut().put(step, total, after, listed);
         Some(reply)
     }
 
@@ -372,7 +373,7 @@
             (Ok(answer @ Answer::Results { .. }), step::Call::Read { step, after, .. }) => {
                 match self.reply_with_results(step, *after, answer).await {
                     Some(reply) => reply,
-                    None => self.step_failed(&call),
+                    None => self.step_call_failed(&call),
                 }
             }
             (Ok(Answer::Body(bytes)), _) => step::body(bytes),
@@ -380,11 +381,11 @@
                 tracing::info!(event = "step_unknown", call = ?call);
                 platform::failure(StatusCode::NOT_FOUND, "no such step")
             }
-            (Ok(_) | Err(_), _) => self.step_failed(&call),
+            (Ok(_) | Err(_), _) => self.step_call_failed(&call),
         }
     }
 
-    fn step_failed(&self, call: &step::Call) -> Reply {
+    fn step_call_failed(&self, call: &step::Call) -> Reply {
         let silent_ms = self.link.silent_ms();
         tracing::info!(event = "step_call_failed", call = ?call, silent_ms);
         let why = "no leader answered";
--- a/components/node/src/forward/dispatch.rs
+++ b/components/node/src/forward/dispatch.rs
@@ -56,10 +56,9 @@
     pub(super) tried: Vec<String>,
     /// Endpoints that may have run the request in this pass for the first time.
     pub(super) new_endpoints: BTreeSet<String>,
-    /// Its place in the queue of requests that wait for full endpoints, once it has reached the
-    /// head.
+    /// Its place in the queue for endpoints with free capacity, once it has reached the head.
     pub(super) queue_place: Option<Place>,
-    /// Milliseconds for which it has waited for full endpoints.
+    /// Milliseconds for which it has waited because all endpoints were full.
     pub(super) waited_ms: u64,
     /// Number of attempts that may have run.
     pub(super) possible_runs: u32,
@@ -126,7 +125,7 @@
         }
     }
 
-    /// Waits in the queue for full endpoints. Returns whether the turn came in time.
+    /// Waits in the queue while all endpoints are full. Returns whether the turn came in time.
     async fn wait_for_turn(&mut self) -> bool {
         let began = clock::now();
         let until = began + MAX_FULL_WAIT_MS.saturating_sub(self.waited_ms);
@@ -202,7 +201,7 @@
 
     /// Returns whether an attempt is in progress.
     fn in_progress(&self) -> bool {
-        self.attempt_log.borrow().iter().any(|one| one.end.is_none())
+        self.attempt_log.borrow().iter().any(|attempt| attempt.end.is_none())
     }
 
     /// Handles the result of an attempt. Returns the outcome if it decides the request.
--- a/components/node/src/hosts.rs
+++ b/components/node/src/hosts.rs
@@ -16,9 +16,9 @@
 /// that was reset is replaced within about a tenth of a second.
 const RECONNECT_GRACE_MS: u64 = 350;
 
-/// A host in the endpoint's data centre is preferred while its number of runs is at most this
-/// multiple of the idlest host's, plus this number. A run takes about a thousandth of a core on its
-/// host.
+/// A host in the engine's data centre is preferred while its number of runs is at most this
+/// multiple of the least loaded host's, plus this number. A run takes about a thousandth of a core
+/// on its host.
 const MAX_LOAD_RATIO: u32 = 2;
 const MAX_EXTRA_RUNS: u32 = 24;
 
--- a/components/node/src/leader/endpoints.rs
+++ b/components/node/src/leader/endpoints.rs
@@ -16,17 +16,17 @@
 use crate::message::Update;
 
 impl Leader {
-    pub(super) async fn announce(&self, said: Announcement) -> Answer {
-        if self.registry.borrow().is_foreign(&said, self.config().as_deref()) {
+    pub(super) async fn announce(&self, announcement: Announcement) -> Answer {
+        if self.registry.borrow().is_foreign(&announcement, self.config().as_deref()) {
             tracing::warn!(
                 event = "announcement_foreign",
-                endpoint = said.id,
-                service = said.service
+                endpoint = announcement.id,
+                service = announcement.service
             );
             return Answer::Unknown;
         }
-        let (id, draining) = (said.id.clone(), said.draining);
-        let effect = self.registry.borrow_mut().announce(said, clock::now());
+        let (id, draining) = (announcement.id.clone(), announcement.draining);
+        let effect = self.registry.borrow_mut().announce(announcement, clock::now());
         self.publish_endpoint(&id, effect);
         if draining && !matches!(self.persist_departure(&id).await, Answer::Done) {
             return Answer::NotNow;
@@ -35,13 +35,13 @@
     }
 
     /// Records the endpoints whose unchanged announcements a control process has answered itself.
-    pub fn record_signs(&self, signs: &[Sign]) {
+    pub fn record_heartbeats(&self, heartbeats: &[Sign]) {
         let now = clock::now();
         let mut registry = self.registry.borrow_mut();
         let mut plan = self.plan.borrow_mut();
-        for sign in signs {
-            if registry.heard(sign, now) {
-                plan.heard(&sign.id, sign.sequence);
+        for heartbeat in heartbeats {
+            if registry.heard(heartbeat, now) {
+                plan.heard(&heartbeat.id, heartbeat.sequence);
             }
         }
     }
@@ -69,11 +69,11 @@
         self.context.forwarder.apply(&update);
         if effect == Effect::Changed {
             if let Update::Endpoint(endpoint) = &update {
-                let said = &endpoint.said;
-                tracing::info!(event = "endpoint_changed", endpoint = id, service = said.service,
-                    standing = ?endpoint.standing, address = %said.address, born = said.born,
-                    sequence = said.sequence,
-                    models = ?said.models);
+                let announcement = &endpoint.said;
+                tracing::info!(event = "endpoint_changed", endpoint = id,
+                    service = announcement.service, standing = ?endpoint.standing,
+                    address = %announcement.address, born = announcement.born,
+                    sequence = announcement.sequence, models = ?announcement.models);
             }
             self.context.followers.broadcast_to_replicas(&update);
             if self.callable.borrow().contains(&service) {
--- a/components/node/src/leader/mod.rs
+++ b/components/node/src/leader/mod.rs
@@ -62,8 +62,8 @@
 
 /// Interval of the planner's rounds; events start additional rounds.
 const PLAN_INTERVAL: Duration = Duration::from_millis(50);
-/// Interval between checks for run progress to persist.
-const NOTE_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between checks for run progress to write as checkpoints.
+const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval between checks whether the logged endpoints still match the registry.
 const PERSIST_ENDPOINTS_INTERVAL_MS: u64 = 2_000;
 /// Interval between checks for expired steps.
@@ -105,7 +105,8 @@
     registry: RefCell<Registry>,
     /// Services whose endpoints entries and hosts may call.
     callable: RefCell<BTreeSet<String>>,
-    fleet_clock: u64,
+    /// The fleet's clock when this term began.
+    start_clock: u64,
     /// Ids of steps whose submission is in progress, either on the way to the stores or into the
     /// log.
     submitting: RefCell<Vec<String>>,
@@ -113,6 +114,7 @@
     submitted: RefCell<BTreeMap<String, Arc<Step>>>,
     /// Open steps whose samples have not been read from the stores yet.
     unread: RefCell<Vec<String>>,
+    /// Changes when results are listed or a step is closed, which wakes up waiting reads.
     listed: watch::Sender<u64>,
     wake_planner: Notify,
     hosts: Hosts,
@@ -131,13 +133,13 @@
     pub fn start(context: Context, epoch: Epoch, view: &View) -> Rc<Self> {
         let now = clock::now();
         let known = view.endpoints();
-        let turn = Turn {
+        let lease = Turn {
             began: now,
             lease_ms: context.settings.lease_ms,
             fenced: context.settings.fenced,
             ordered: view.order_times(),
         };
-        let fleet_clock = context.replica.fleet_clock();
+        let start_clock = context.replica.fleet_clock();
         // The view of this process is newer than the log.
         let mut endpoints = context.replica.state().endpoints.clone();
         endpoints.extend(known.into_iter().map(|endpoint| (endpoint.said.id.clone(), endpoint)));
@@ -151,7 +153,7 @@
             copies,
             plan: RefCell::new(Plan::new(epoch).under(context.settings.policy)),
             pool: RefCell::default(),
-            orders: RefCell::new(Orders::new(turn)),
+            orders: RefCell::new(Orders::new(lease)),
             began: now,
             registry: RefCell::new(Registry::adopt(
                 endpoint::Settings::default(),
@@ -159,7 +161,7 @@
                 now,
             )),
             callable: RefCell::default(),
-            fleet_clock,
+            start_clock,
             submitting: RefCell::default(),
             submitted: RefCell::default(),
             unread: RefCell::default(),
@@ -319,7 +321,7 @@
 
     /// Returns the time of the fleet's clock in milliseconds.
     pub fn fleet_now(&self) -> u64 {
-        self.fleet_clock + clock::now().since(self.began)
+        self.start_clock + clock::now().since(self.began)
     }
 
     async fn read_config(&self) -> Answer {
@@ -453,9 +455,9 @@
 async fn run_persistence(leader: Weak<Leader>) {
     let mut last_persisted = clock::now();
     loop {
-        tokio::time::sleep(NOTE_INTERVAL).await;
+        tokio::time::sleep(CHECKPOINT_INTERVAL).await;
         let Some(leader) = leader.upgrade() else { return };
-        leader.write_notes().await;
+        leader.write_checkpoints().await;
         if clock::now().since(last_persisted) >= PERSIST_ENDPOINTS_INTERVAL_MS {
             last_persisted = clock::now();
             leader.persist_endpoints().await;
--- a/components/node/src/leader/runs.rs
+++ b/components/node/src/leader/runs.rs
@@ -120,8 +120,8 @@
     /// Handles a host's report about a run.
     pub fn handle_report(&self, host: &str, report: &Report) {
         let (step, index) = (&report.step, report.index);
-        let told = self.plan.borrow_mut().told(host, report, clock::now());
-        match told {
+        let action = self.plan.borrow_mut().told(host, report, clock::now());
+        match action {
             Told::GoOn => {}
             Told::Stop => {
                 // If the step is open but has not been read from the stores yet, the host is asked
--- a/components/node/src/leader/steps.rs
+++ b/components/node/src/leader/steps.rs
@@ -221,14 +221,14 @@
         };
         let Some((part, place)) = found else { return true };
         let Some(step) = self.read_step(part, &place).await else { return false };
-        let notes = self.read_notes(id).await;
+        let checkpoints = self.read_checkpoints(id).await;
         let state = self.context.replica.state();
         if let Some(open) = state.steps.get(id).filter(|step| step.is_open()) {
-            let at = self.began.0.saturating_sub(self.fleet_clock.saturating_sub(open.at));
+            let at = self.began.0.saturating_sub(self.start_clock.saturating_sub(open.at));
             let mut plan = self.plan.borrow_mut();
             let reports_until = clock::now() + HOST_REPORTS_WAIT_MS;
             plan.open(Arc::new(step), Millis(at), reports_until, |index| open.is_listed(index));
-            plan.recall(id, notes);
+            plan.recall(id, checkpoints);
             tracing::info!(event = "step_adopted", step = id, listed = open.results.len());
         }
         true
@@ -250,37 +250,39 @@
             .ok()
     }
 
-    /// Reads the notes about a step's samples. A note that cannot be read costs only the time to
-    /// repeat the work.
-    pub(super) async fn read_notes(&self, id: &str) -> Vec<Note> {
+    /// Reads the checkpoints of a step's samples. A checkpoint that cannot be read costs only the
+    /// time to repeat the work.
+    pub(super) async fn read_checkpoints(&self, id: &str) -> Vec<Note> {
         let places: Vec<(PartId, copies::Place)> = {
             let state = self.context.replica.state();
             let parts = state.steps.get(id).map(|step| step.notes.clone()).unwrap_or_default();
             let place = |part: PartId| Some((part, state.parts.get(&part)?.place.clone()));
             parts.into_iter().filter_map(place).collect()
         };
-        let mut notes = Vec::new();
+        let mut checkpoints = Vec::new();
         for (part, place) in places {
             let Some(bytes) = self.copies.read(part, &place).await else { continue };
             match rmp_serde::from_slice::<Vec<Note>>(&bytes) {
-                Ok(read) => notes.extend(read),
+                Ok(read) => checkpoints.extend(read),
                 Err(error) => tracing::error!(event = "part_unfit", part = part.0, %error),
             }
         }
-        notes
+        checkpoints
     }
 
-    /// Writes the progress of long runs to the stores.
-    pub(super) async fn write_notes(&self) {
-        let notes = self.plan.borrow_mut().to_note();
+    /// Writes checkpoints of long runs to the stores.
+    pub(super) async fn write_checkpoints(&self) {
+        let checkpoints = self.plan.borrow_mut().to_note();
         let retired = self.context.replica.state().retired.clone();
-        let writes = notes.into_iter().map(|(step, notes)| {
+        let writes = checkpoints.into_iter().map(|(step, checkpoints)| {
             let retired = &retired;
             async move {
                 let part = PartId(rand::random());
-                let bytes = Bytes::from(rmp_serde::to_vec(&notes).expect("notes are plain data"));
+                let bytes = Bytes::from(
+                    rmp_serde::to_vec(&checkpoints).expect("checkpoints are plain data"),
+                );
                 let place = self.copies.write(part, &bytes, retired).await;
-                // Without enough stores the progress is not recorded: the log is not meant for this
+                // Without enough stores the checkpoint is skipped: the log is not meant for this
                 // volume of data.
                 if matches!(place, copies::Place::Stores(_)) {
                     self.commit(Command::Note { step, part, place }).await;
@@ -302,7 +304,7 @@
 }
 
 /// Reads the open steps of earlier leaders from the stores, concurrently, so that a step whose part
-/// or notes are slow to read delays no other.
+/// or checkpoints are slow to read delays no other.
 ///
 /// Reports that hosts sent before a step was read were ignored, so the hosts are asked again, once
 /// for all steps that were read in the meantime. Reporting all runs takes a host and the leader
--- a/components/node/src/leader/usage.rs
+++ b/components/node/src/leader/usage.rs
@@ -65,25 +65,25 @@
 
 impl Leader {
     /// Queues the usage that an entry reported.
-    pub fn record_usage(&self, told: Told) {
-        self.usage.pending.borrow_mut().push(told);
+    pub fn record_usage(&self, report: Told) {
+        self.usage.pending.borrow_mut().push(report);
     }
 
     /// Commits the queued usage reports to the log.
     async fn write_usage(&self) {
-        let told = std::mem::take(&mut *self.usage.pending.borrow_mut());
-        if told.is_empty() {
+        let reports = std::mem::take(&mut *self.usage.pending.borrow_mut());
+        if reports.is_empty() {
             return;
         }
-        let totals: Vec<Totals> = told.iter().flat_map(|told| told.totals.clone()).collect();
+        let totals: Vec<Totals> = reports.iter().flat_map(|report| report.totals.clone()).collect();
         let written = totals.is_empty() || self.propose(Command::Use(totals)).await.is_ok();
         if !written {
             // The reports stay queued; their windows must not be closed without them.
-            self.usage.pending.borrow_mut().splice(0..0, told);
+            self.usage.pending.borrow_mut().splice(0..0, reports);
             return;
         }
         let mut lives = self.usage.lives.borrow_mut();
-        told.iter().for_each(|told| lives.heard(told));
+        reports.iter().for_each(|report| lives.heard(report));
     }
 
     /// Closes the next window if it is due.
@@ -94,8 +94,8 @@
         let accepted = self.usage.accepted.get();
         let Some(window) = next else {
             let window = self.usage.windows.at(wall).saturating_sub(1);
-            let begun = self.propose(Command::CloseWindow { window, accepted }).await;
-            tracing::info!(event = "usage_begun", window = window + 1, done = ?begun);
+            let outcome = self.propose(Command::CloseWindow { window, accepted }).await;
+            tracing::info!(event = "usage_begun", window = window + 1, done = ?outcome);
             return;
         };
         let Some(ended_ms) = self.usage.windows.since_end(window, wall) else { return };
--- a/components/node/src/link.rs
+++ b/components/node/src/link.rs
@@ -168,10 +168,10 @@
         }
     }
 
-    /// Reports which endpoints this process has received announcements from. Returns whether the
+    /// Reports the heartbeats of endpoints that this process has received. Returns whether the
     /// report was queued.
-    pub fn report_signs(&self, signs: Vec<Sign>) -> bool {
-        self.send(MemberMessage::Heard(signs))
+    pub fn report_heartbeats(&self, heartbeats: Vec<Sign>) -> bool {
+        self.send(MemberMessage::Heard(heartbeats))
     }
 
     /// Reports the usage of workspaces. Returns whether the report was queued.
@@ -338,7 +338,7 @@
             LeaderMessage::Ask { number, request } => self.handle_request(number, request),
             LeaderMessage::Work { member_clock, work } => {
                 if let Some(runner) = &self.member.runner {
-                    runner.record_leader_sign(member_clock);
+                    runner.record_confirmation(member_clock);
                     runner.handle_order(work, clock::now().since(member_clock));
                 }
             }
@@ -347,7 +347,7 @@
                     self.view.set_wall_clock(wall);
                 }
                 if let Some(runner) = &self.member.runner {
-                    runner.record_leader_sign(member_clock);
+                    runner.record_confirmation(member_clock);
                 }
             }
             LeaderMessage::Welcome => {}
--- a/components/node/src/link_server.rs
+++ b/components/node/src/link_server.rs
@@ -270,7 +270,7 @@
             (MemberMessage::Used(report), _) => self.leader.record_usage(report),
             (MemberMessage::Crashed(crash), _) => self.leader.record_crash(crash),
             (MemberMessage::Cleared(content), _) => self.leader.record_cleared(content),
-            (MemberMessage::Heard(signs), _) => self.leader.record_signs(&signs),
+            (MemberMessage::Heard(heartbeats), _) => self.leader.record_heartbeats(&heartbeats),
             (MemberMessage::Alive(wall), _) => {
                 self.server.followers.record_wall_clock(self.number, wall)
             }
--- a/components/node/src/orders.rs
+++ b/components/node/src/orders.rs
@@ -54,7 +54,7 @@
     last_check: Millis,
     /// Set once an engine has rejected this epoch, because another process leads.
     fenced: bool,
-    turn: Turn,
+    lease: Turn,
 }
 
 /// The peak demand of a model's trainer.
@@ -66,8 +66,8 @@
 
 impl Orders {
     /// Starts with the known orders of earlier leaders.
-    pub fn new(turn: Turn) -> Self {
-        Self { turn, ..Self::default() }
+    pub fn new(lease: Turn) -> Self {
+        Self { lease, ..Self::default() }
     }
 
     /// Makes the next round check at once, because a version was published.
@@ -107,7 +107,7 @@
             swap::wishes(
                 &seats,
                 &claims,
-                &leader.orders.borrow().turn,
+                &leader.orders.borrow().lease,
                 leader.context.settings.policy,
                 now,
             )
--- a/components/node/src/runner/execute.rs
+++ b/components/node/src/runner/execute.rs
@@ -183,15 +183,15 @@
     true
 }
 
-/// Calls a sample's scorer until it answers, as long as a recent sign of the leader confirms that
-/// the run is wanted. The budget includes what the call has cost at earlier hosts.
+/// Calls a sample's scorer until it answers, as long as a recent confirmation by the leader shows
+/// that the run is wanted. The budget includes what the call has cost at earlier hosts.
 async fn score(runner: &Rc<Runner>, job: &Job, state: &Rc<RunState>) -> Standing {
     let Some(scorer) = &job.sample.scorer else { return Standing::Finished(None) };
     let request = sample::score_request(scorer, job.workspace.as_deref());
     let budget = &state.budget;
     let mut pause = SCORE_RETRY_PAUSE;
     loop {
-        if !runner.has_fresh_leader() {
+        if !runner.has_confirmed_leader() {
             tokio::time::sleep(SCORE_RETRY_PAUSE).await;
             continue;
         }
@@ -207,8 +207,8 @@
             return Standing::Unscored;
         }
         let limit_ms = route.timeout_ms.unwrap_or(SCORE_TIMEOUT_MS).min(SCORE_TIMEOUT_MS);
-        // A call may try several endpoints for seconds, so it also ends when the leader's sign
-        // expires.
+        // A call may try several endpoints for seconds, so it also ends when the leader's
+        // confirmation expires.
         let workspace = job.workspace.as_deref().unwrap_or_default();
         let requester = Requester { workspace, rank: route.priority, usage: None };
         let mut call = pin!(runner.forwarder.forward(route, &request, budget, limit_ms, requester));
@@ -218,7 +218,7 @@
                 // Reported at once: if this host is lost, the next host may prefer endpoints that
                 // have joined since, and would try them in addition.
                 () = budget.endpoint_added() => runner.set_standing(job, state, Standing::Scoring),
-                () = runner.leader_sign_expired() => break None,
+                () = runner.confirmation_expired() => break None,
             }
         };
         let Some(outcome) = outcome else { continue };
--- a/components/node/src/runner/mod.rs
+++ b/components/node/src/runner/mod.rs
@@ -37,12 +37,12 @@
 /// order without delay appears at most about 250 ms old, which is the heartbeat interval; with slow
 /// or frozen VMs, orders up to 4.5 s old were observed.
 const MAX_ORDER_AGE_MS: u64 = 2_000;
-/// Maximum age of the leader's last sign, in milliseconds. A sign returns a reading of this host's
-/// clock, and the leader was in office after that reading. Scorers are called for this long plus
-/// one [`REPORT_INTERVAL`], so their calls stop 0.75 s before an end that was acknowledged in the
-/// meantime must have taken effect: three seconds are allowed for that, and the next leader is
-/// elected within one.
-const MAX_LEADER_SIGN_AGE_MS: u64 = 2_000;
+/// Maximum age of the leader's last confirmation, in milliseconds. The leader confirms its
+/// leadership by returning a reading of this host's clock: it led after that reading. Scorers are
+/// called for this long plus one [`REPORT_INTERVAL`], so their calls stop 0.75 s before an end that
+/// was acknowledged in the meantime must have taken effect: three seconds are allowed for that, and
+/// the next leader is elected within one.
+const MAX_CONFIRMATION_AGE_MS: u64 = 2_000;
 /// Milliseconds after its last event for which a run that has left its engine is kept if no leader
 /// asks for it.
 const FINISHED_RUN_TTL_MS: u64 = 30_000;
@@ -91,8 +91,8 @@
     sink: RefCell<Option<Sink>>,
     /// Whether the message that all runs have been reported is still to be sent.
     reported_due: Cell<bool>,
-    /// The newest reading of this host's clock that a leader is known to have received.
-    leader_sign: Cell<Millis>,
+    /// The newest reading of this host's clock that a leader has confirmed.
+    leader_confirmed: Cell<Millis>,
     /// When it last started to report to a leader.
     attached_at: Cell<Millis>,
 }
@@ -114,7 +114,7 @@
             runs: RefCell::default(),
             sink: RefCell::default(),
             reported_due: Cell::default(),
-            leader_sign: Cell::default(),
+            leader_confirmed: Cell::default(),
             attached_at: Cell::default(),
         })
     }
@@ -136,28 +136,30 @@
         }
     }
 
-    /// Records a sign of the leader, which was in office after this host's clock read `clock`.
-    pub fn record_leader_sign(&self, clock: Millis) {
-        self.leader_sign.set(self.leader_sign.get().max(clock));
+    /// Records that the leader has confirmed its leadership: it led after this host's clock read
+    /// `clock`.
+    pub fn record_confirmation(&self, clock: Millis) {
+        self.leader_confirmed.set(self.leader_confirmed.get().max(clock));
     }
 
-    /// Returns whether a leader is known to want this host's runs: its last sign is recent, and
-    /// newer than the start of the reports to it. Its orders to stop unwanted runs were sent before
-    /// that sign on the same connection. Without a leader, or on a delayed connection, a step may
-    /// have ended long ago.
-    fn has_fresh_leader(&self) -> bool {
+    /// Returns whether a leader is known to want this host's runs: its last confirmation is recent,
+    /// and newer than the start of the reports to it. Its orders to stop unwanted runs were sent
+    /// before that confirmation on the same connection. Without a leader, or on a delayed
+    /// connection, a step may have ended long ago.
+    fn has_confirmed_leader(&self) -> bool {
         match &*self.sink.borrow() {
             Some(Sink::Local(_)) => true,
             _ => {
-                let sign = self.leader_sign.get();
-                sign >= self.attached_at.get() && clock::now().since(sign) <= MAX_LEADER_SIGN_AGE_MS
+                let confirmed = self.leader_confirmed.get();
+                confirmed >= self.attached_at.get()
+                    && clock::now().since(confirmed) <= MAX_CONFIRMATION_AGE_MS
             }
         }
     }
 
     /// Waits until no leader is known to want this host's runs.
-    async fn leader_sign_expired(&self) {
-        while self.has_fresh_leader() {
+    async fn confirmation_expired(&self) {
+        while self.has_confirmed_leader() {
             tokio::time::sleep(REPORT_INTERVAL).await;
         }
     }
--- a/components/node/src/settings.rs
+++ b/components/node/src/settings.rs
@@ -153,7 +153,7 @@
     }
 
     /// Returns how long keys are accepted without a leader.
-    pub fn trust(&self) -> Trust {
+    pub fn stale_key_policy(&self) -> Trust {
         Trust { strict: self.strict_keys, limit_ms: self.revocation_ms }
     }
 
--- a/components/node/src/start.rs
+++ b/components/node/src/start.rs
@@ -294,7 +294,7 @@
             link: self.link.clone(),
             view: self.view.clone(),
             own: address,
-            hearing: RefCell::default(),
+            heartbeats: RefCell::default(),
         });
         actix_rt::spawn(control.clone().report_periodically());
         let address = self.settings.listen_address(address);
@@ -324,9 +324,9 @@
             forwarder: self.forwarder.clone(),
             started: clock::now(),
             stall,
-            recent: RefCell::new(Recent::new(kept)),
+            result_cache: RefCell::new(Recent::new(kept)),
             usage,
-            trust: self.settings.trust(),
+            stale_key_policy: self.settings.stale_key_policy(),
             near_data_centre: near,
             reader: Rc::default(),
         });
--- a/components/node/tests/entry.rs
+++ b/components/node/tests/entry.rs
@@ -83,9 +83,9 @@
         forwarder,
         started: clock::now(),
         stall: Rc::new(Stall::new(clock::now())),
-        recent: RefCell::new(Recent::new(0)),
+        result_cache: RefCell::new(Recent::new(0)),
         usage: None,
-        trust: Trust { strict: false, limit_ms: 0 },
+        stale_key_policy: Trust { strict: false, limit_ms: 0 },
         near_data_centre: String::new(),
         reader: Rc::default(),
     })
--- a/components/node/tests/leader/fleet.rs
+++ b/components/node/tests/leader/fleet.rs
@@ -151,13 +151,13 @@
         assert!(matches!(part.place, Place::Stores(_)), "{part:?}");
     }
 
-    /// Commits six notes about a step's samples, on a store that does not return them.
-    pub async fn note(&self, id: &str) {
+    /// Commits six checkpoints of a step's samples, on a store that does not return them.
+    pub async fn commit_checkpoints(&self, id: &str) {
         let stores = BTreeSet::from([StoreId { node: "s".to_owned(), identity: STORE_IDENTITY }]);
         for number in 0..6 {
             let place = Place::Stores(stores.clone());
-            let note = Command::Note { step: id.to_owned(), part: PartId(number), place };
-            assert!(matches!(self.leader().commit(note).await, Answer::Done));
+            let checkpoint = Command::Note { step: id.to_owned(), part: PartId(number), place };
+            assert!(matches!(self.leader().commit(checkpoint).await, Answer::Done));
         }
     }
 
--- a/components/node/tests/leader/keys.rs
+++ b/components/node/tests/leader/keys.rs
@@ -87,7 +87,7 @@
 }
 
 impl Rig {
-    async fn start(trust: Trust, keys: [&[&str]; 2]) -> Self {
+    async fn start(stale_key_policy: Trust, keys: [&[&str]; 2]) -> Self {
         let (fleet, received) = (Fleet::start().await, Received::default());
         let (view, forwarder) = (Rc::new(View::default()), Forwarder::new(Policy::default()));
         let member = Member {
@@ -109,9 +109,9 @@
             forwarder,
             started: clock::now(),
             stall: Rc::new(Stall::new(clock::now())),
-            recent: RefCell::new(Recent::new(0)),
+            result_cache: RefCell::new(Recent::new(0)),
             usage: None,
-            trust,
+            stale_key_policy,
             near_data_centre: String::new(),
             reader: Rc::default(),
         });
--- a/components/node/tests/leader/steps.rs
+++ b/components/node/tests/leader/steps.rs
@@ -151,16 +151,16 @@
 }
 
 /// The leader changes. A host reports a run whose scorer it calls, before the step is read; the
-/// notes of another step are on a store that does not answer; the first step ends. Guards against
-/// reading steps and their notes one after the other: the runs of an unread step were stopped only
-/// after its turn, more than three seconds after the end.
+/// checkpoints of another step are on a store that does not answer; the first step ends. Guards
+/// against reading steps and their checkpoints one after the other: the runs of an unread step were
+/// stopped only after its turn, more than three seconds after the end.
 #[actix_rt::test]
 async fn the_runs_of_an_ended_step_are_stopped_though_another_step_is_slow_to_read() {
     let (fleet, parts) = (Fleet::start().await, StoredParts::default());
     let store = fleet.store(&parts).await;
     fleet.submit("a").await;
     fleet.submit("b").await;
-    fleet.note("a").await;
+    fleet.commit_checkpoints("a").await;
     drop(store);
     fleet.next_leader();
     let _store = fleet.store(&parts).await;
@@ -263,16 +263,17 @@
     assert!(!connected(), "three seconds after its queue was full");
 }
 
-/// The leader changes. A host reports a run whose scorer it calls while the step's part or notes
-/// are still being read from a store that does not answer; the step ends. Guards against asking the
-/// host again only when reading has finished, which takes 0.8 s for each note: the report had been
-/// ignored, and the scorer was called more than three seconds after the end.
+/// The leader changes. A host reports a run whose scorer it calls while the step's part or
+/// checkpoints are still being read from a store that does not answer; the step ends. Guards
+/// against asking the host again only when reading has finished, which takes 0.8 s for each
+/// checkpoint: the report had been ignored, and the scorer was called more than three seconds after
+/// the end.
 #[actix_rt::test]
 async fn the_runs_of_an_ended_step_are_stopped_though_it_is_slow_to_read_itself() {
     let (fleet, parts) = (Fleet::start().await, StoredParts::default());
     let store = fleet.store(&parts).await;
     fleet.submit("a").await;
-    fleet.note("a").await;
+    fleet.commit_checkpoints("a").await;
     drop(store);
     fleet.next_leader();
     let _store = fleet.store(&parts).await;
@@ -318,11 +319,11 @@
     sink.send(encode(&MemberMessage::Beat { clock, wall: Unix::default() })).await.unwrap();
     pause(300).await;
     assert!(fleet.followers.send_work("h", Work::Tell));
-    let (mut order, mut sign) = (None, None);
-    while order.is_none() || sign != Some(clock) {
+    let (mut order, mut heartbeat) = (None, None);
+    while order.is_none() || heartbeat != Some(clock) {
         match decode(&stream.next().await.unwrap().unwrap()).unwrap() {
             LeaderMessage::Work { member_clock, .. } => order = Some(member_clock),
-            LeaderMessage::Alive { member_clock, .. } => sign = Some(member_clock),
+            LeaderMessage::Alive { member_clock, .. } => heartbeat = Some(member_clock),
             _ => {}
         }
     }
--- a/components/node/tests/leader/updates.rs
+++ b/components/node/tests/leader/updates.rs
@@ -147,8 +147,8 @@
     actix_rt::spawn(async move { running.run().await });
     assert!(link.wait_connected(Duration::from_secs(5)).await);
     let own = "10.0.0.7:80".parse().unwrap();
-    let hearing = RefCell::default();
-    (Rc::new(Control { link: link.clone(), view, own, hearing }), link)
+    let heartbeats = RefCell::default();
+    (Rc::new(Control { link: link.clone(), view, own, heartbeats }), link)
 }
 
 /// Guards against a call to the leader for each announcement of 3,000 endpoints that repeat
@@ -208,7 +208,8 @@
 /// the next leader has sent its state: each endpoint then tried the next process on a new
 /// connection, hundreds of connections a second, and this load kept the next leader from
 /// recovering, so that elections followed one another. During the time of an election, no unchanged
-/// endpoint is refused, and the next leader gets a sign of each endpoint that announced itself.
+/// endpoint is refused, and the next leader gets a heartbeat of each endpoint that announced
+/// itself.
 #[actix_rt::test]
 async fn endpoints_are_not_turned_away_while_a_leader_is_elected() {
     const ENDPOINTS: usize = 3_000;
@@ -229,8 +230,8 @@
     fleet.next_leader();
     wait_until("the next leader is found", || link.is_connected()).await;
     actix_rt::spawn(control.clone().report_periodically());
-    wait_until("the signs are reported", || {
-        control.hearing.borrow().signs(clock::now()).is_empty()
+    wait_until("the heartbeats are reported", || {
+        control.heartbeats.borrow().signs(clock::now()).is_empty()
     })
     .await;
 }
@@ -244,10 +245,10 @@
     configure(&fleet, config_with_desk(2)).await;
     announce(&fleet, engine("e", 1)).await;
     let mut replica = connect_member(fleet.links, "c2", true).await;
-    let sign = |sequence| Sign { id: "e".to_owned(), born: 0, sequence, age_ms: 0 };
+    let heartbeat = |sequence| Sign { id: "e".to_owned(), born: 0, sequence, age_ms: 0 };
     for sequence in 2..9 {
         pause(1_000).await;
-        replica.send(encode(&MemberMessage::Heard(vec![sign(sequence)]))).await.unwrap();
+        replica.send(encode(&MemberMessage::Heard(vec![heartbeat(sequence)]))).await.unwrap();
     }
     pause(100).await;
     let counts = fleet.leader().endpoint_counts();
--- a/components/node/tests/link.rs
+++ b/components/node/tests/link.rs
@@ -1,5 +1,5 @@
 //! A host's connection to a leader simulated by the test, on real sockets: the maximum age of
-//! orders and of the leader's signs.
+//! orders and of the leader's confirmations.
 
 mod support {
     pub mod job;
@@ -251,9 +251,9 @@
     Config { version: 1, routes: vec![route], ..Config::default() }
 }
 
-/// A run is complete, and its scorer keeps refusing calls because it is full. The leader's
-/// heartbeats are delayed, or another process leads without this host's knowledge, and meanwhile
-/// the step ends. Guards against a host that keeps calling scorers without a recent sign of the
+/// A run is complete, and its scorer keeps refusing calls because it is full. The leader's messages
+/// are delayed, or another process leads without this host's knowledge, and meanwhile the step
+/// ends. Guards against a host that keeps calling scorers without a recent confirmation by the
 /// leader: a scorer was called more than three seconds after the end was acknowledged.
 #[actix_rt::test]
 async fn a_scorer_is_not_called_when_the_leader_gives_no_fresh_sign() {
@@ -261,24 +261,25 @@
     let (scorer, called) = endpoint(FULL).await;
     leader.order_scored(config(), scorer).await;
     leader.run_for(HEARTBEAT_INTERVAL * 10).await;
-    assert!(called.get() > 1, "its scorer is called while the leader's sign is fresh");
+    assert!(called.get() > 1, "its scorer is called while the leader's confirmation is fresh");
 
     leader.ignores_heartbeats = true;
     leader.run_for(Duration::from_millis(2_700)).await;
     let before = called.get();
     leader.run_for(Duration::from_millis(1_000)).await;
-    assert_eq!(called.get(), before, "calls after the sign has expired");
+    assert_eq!(called.get(), before, "calls after the confirmation has expired");
 
     leader.ignores_heartbeats = false;
     leader.run_for(Duration::from_millis(1_000)).await;
-    assert!(called.get() > before, "calls continue with the next fresh sign");
+    assert!(called.get() > before, "calls continue with the next confirmation");
 }
 
-/// A call starts while the leader's last sign is fresh, its endpoint hangs, and the sign expires.
-/// Guards against checking the sign only at the start of a call, which lasts up to 2.5 s: a second
-/// attempt of the call was made more than three seconds after the step's end was acknowledged.
+/// A call starts while the leader's last confirmation is fresh, its endpoint hangs, and the
+/// confirmation expires. Guards against checking this only at the start of a call, which lasts up
+/// to 2.5 s: a second attempt of the call was made more than three seconds after the step's end was
+/// acknowledged.
 #[actix_rt::test]
-async fn a_scorers_call_in_progress_ends_when_the_leaders_sign_expires() {
+async fn a_scorers_call_in_progress_ends_when_the_leaders_confirmation_expires() {
     let mut leader = Leader::with_host().await;
     let (scorer, open) = hanging().await;
     let mut config = config();
@@ -289,7 +290,7 @@
 
     leader.ignores_heartbeats = true;
     leader.run_for(Duration::from_millis(2_700)).await;
-    assert_eq!(open.get(), 0, "calls in progress after the sign has expired");
+    assert_eq!(open.get(), 0, "calls in progress after the confirmation has expired");
 }
 
 /// An endpoint that never answers, and the number of its open connections.
