--- a/components/node/src/leader/mod.rs
+++ b/components/node/src/leader/mod.rs
@@ -396,7 +396,7 @@
         }
         let Some(config) = self.config() else { return };
         let now = clock::now();
-        crate::orders::start_due_changes(self, &config, now);
+        crate::orders::start_due_loads(self, &config, now);
         for host in self.hosts.take_expired() {
             let orphaned = self.plan.borrow_mut().orphan(&host);
             tracing::warn!(event = "host_lost", host, orphaned);
--- a/components/node/src/orders.rs
+++ b/components/node/src/orders.rs
@@ -35,14 +35,14 @@
 /// further checks.
 const FIRST_LOAD_CHECK: Duration = Duration::from_millis(900);
 const LOAD_CHECK_INTERVAL: Duration = Duration::from_millis(60);
-/// Time after which an incomplete change is ordered again under a new precondition. Engines may
+/// Time after which an incomplete load is ordered again under a new precondition. Engines may
 /// execute orders up to twelve seconds late.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(5);
 /// Milliseconds between checks for engines that should load new weights.
 const CHECK_INTERVAL_MS: u64 = 50;
 /// Pause before an order that an engine did not accept is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Maximum number of orders to one engine for one change.
+/// Maximum number of orders to one engine for one load.
 const MAX_ORDERS: u32 = 6;
 
 /// The orders of this term of leadership.
@@ -50,7 +50,7 @@
 pub struct Orders {
     tasks: BTreeMap<String, JoinHandle<()>>,
     demand: BTreeMap<String, Demand>,
-    /// Time of the last check for due changes.
+    /// Time of the last check for due loads.
     last_check: Millis,
     /// Set once an engine has rejected this epoch, because another process leads.
     fenced: bool,
@@ -75,7 +75,7 @@
         self.last_check = Millis::default();
     }
 
-    /// Cancels all changes in progress; no more orders are sent.
+    /// Cancels all loads in progress; no more orders are sent.
     pub fn stop(&mut self) {
         for (_, task) in std::mem::take(&mut self.tasks) {
             task.abort();
@@ -83,11 +83,11 @@
     }
 }
 
-/// Starts the changes of weights that are due.
+/// Starts the loads of weights that are due.
 ///
 /// A check takes 0.4 ms with 3,000 engines, and rounds follow each completed sample, some hundreds
 /// a second. Loading takes about a second, so a delay of [`CHECK_INTERVAL_MS`] does no harm.
-pub fn start_due_changes(leader: &Rc<Leader>, config: &Config, now: Millis) {
+pub fn start_due_loads(leader: &Rc<Leader>, config: &Config, now: Millis) {
     {
         let mut orders = leader.orders.borrow_mut();
         if orders.fenced || now.since(orders.last_check) < CHECK_INTERVAL_MS {
@@ -96,34 +96,36 @@
         orders.last_check = now;
     }
     for service in config.services.iter().filter(|service| !service.models.is_empty()) {
-        let claims = claims(leader, &service.models);
-        if claims.is_empty() {
+        let model_demands = model_demands(leader, &service.models);
+        if model_demands.is_empty() {
             continue;
         }
-        let wishes = {
+        let loads = {
             let plan = leader.plan.borrow();
-            let seats: Vec<&Seat> =
-                plan.seats().filter(|seat| seat.endpoint.said.service == service.name).collect();
+            let engines: Vec<&Seat> = plan
+                .seats()
+                .filter(|engine| engine.endpoint.said.service == service.name)
+                .collect();
             swap::wishes(
-                &seats,
-                &claims,
+                &engines,
+                &model_demands,
                 &leader.orders.borrow().lease,
                 leader.context.settings.policy,
                 now,
             )
         };
-        for wish in wishes {
-            start_change(leader, wish);
+        for load in loads {
+            start_load(leader, load);
         }
     }
 }
 
-fn claims(leader: &Rc<Leader>, models: &[String]) -> Vec<Claim> {
+fn model_demands(leader: &Rc<Leader>, models: &[String]) -> Vec<Claim> {
     let versions = leader.context.replica.state().versions.clone();
     let plan = leader.plan.borrow();
     let mut orders = leader.orders.borrow_mut();
-    let named = models.iter().filter_map(|model| versions.get(model).map(|v| (model, *v)));
-    named
+    let published = models.iter().filter_map(|model| versions.get(model).map(|v| (model, *v)));
+    published
         .map(|(model, version)| {
             // Uses the peak demand: between two steps the demand is zero, and engines must not
             // change models because of that.
@@ -137,40 +139,40 @@
         .collect()
 }
 
-fn start_change(leader: &Rc<Leader>, wish: Wish) {
-    let endpoint = wish.endpoint.clone();
-    if let Some(seat) = leader.plan.borrow_mut().seat(&endpoint) {
-        seat.loading = Some(wish.model.clone());
+fn start_load(leader: &Rc<Leader>, load: Wish) {
+    let endpoint = load.endpoint.clone();
+    if let Some(engine) = leader.plan.borrow_mut().seat(&endpoint) {
+        engine.loading = Some(load.model.clone());
     }
-    let task = actix_rt::spawn(run_change(leader.clone(), wish));
+    let task = actix_rt::spawn(run_load(leader.clone(), load));
     leader.orders.borrow_mut().tasks.insert(endpoint, task);
 }
 
-async fn run_change(leader: Rc<Leader>, wish: Wish) {
+async fn run_load(leader: Rc<Leader>, load: Wish) {
     let began = clock::now();
-    let outcome = try_change(&leader, &wish).await;
+    let outcome = try_load(&leader, &load).await;
     let ms = clock::now().since(began);
-    let Wish { endpoint, model, version } = &wish;
+    let Wish { endpoint, model, version } = &load;
     tracing::info!(event = "weights_changed", endpoint, model, version, outcome, ms);
-    if let Some(seat) = leader.plan.borrow_mut().seat(endpoint) {
-        seat.loading = None;
+    if let Some(engine) = leader.plan.borrow_mut().seat(endpoint) {
+        engine.loading = None;
     }
     leader.orders.borrow_mut().tasks.remove(endpoint);
 }
 
-async fn try_change(leader: &Rc<Leader>, wish: &Wish) -> &'static str {
-    let runs = runs(leader, wish);
+async fn try_load(leader: &Rc<Leader>, load: &Wish) -> &'static str {
+    let runs = runs_during_load(leader, load);
     for _ in 0..MAX_ORDERS {
-        let Some(address) = address(leader, wish) else { return "endpoint gone" };
-        let report = match ask_report(leader, wish, address).await {
+        let Some(address) = address(leader, load) else { return "endpoint gone" };
+        let report = match ask_report(leader, load, address).await {
             Ok(report) => report,
             Err(error) => {
-                tracing::info!(event = "report_lost", endpoint = wish.endpoint, %error);
+                tracing::info!(event = "report_lost", endpoint = load.endpoint, %error);
                 tokio::time::sleep(RETRY_PAUSE).await;
                 continue;
             }
         };
-        if has_version(leader, wish, &report) {
+        if has_version(leader, load, &report) {
             return "done";
         }
         if report.busy {
@@ -180,9 +182,9 @@
         if !leader.leads() {
             return "lead lost";
         }
-        match send_order(leader, wish, address, &report, runs).await {
+        match send_order(leader, load, address, &report, runs).await {
             Taken::Started | Taken::Holds => {
-                if await_loaded(leader, wish).await {
+                if await_loaded(leader, load).await {
                     return "done";
                 }
             }
@@ -201,66 +203,66 @@
 
 /// Decides what happens to the engine's runs of the model. They continue under the new version, so
 /// that nothing waits for them, unless a sample must be made by a single version.
-fn runs(leader: &Rc<Leader>, wish: &Wish) -> Runs {
-    if leader.plan.borrow().is_single(&wish.model) { Runs::Finish } else { Runs::GoOn }
+fn runs_during_load(leader: &Rc<Leader>, load: &Wish) -> Runs {
+    if leader.plan.borrow().is_single(&load.model) { Runs::Finish } else { Runs::GoOn }
 }
 
-fn address(leader: &Rc<Leader>, wish: &Wish) -> Option<SocketAddr> {
+fn address(leader: &Rc<Leader>, load: &Wish) -> Option<SocketAddr> {
     let mut plan = leader.plan.borrow_mut();
-    let seat = plan.seat(&wish.endpoint)?;
-    seat.is_ready(clock::now()).then_some(seat.endpoint.said.address)
+    let engine = plan.seat(&load.endpoint)?;
+    engine.is_ready(clock::now()).then_some(engine.endpoint.said.address)
 }
 
 async fn ask_report(
     leader: &Rc<Leader>,
-    wish: &Wish,
+    load: &Wish,
     address: SocketAddr,
 ) -> Result<Report, Broken> {
-    let request = endpoint::report_request(&wish.endpoint);
-    let reply = call(leader, wish, address, &request).await?;
+    let request = endpoint::report_request(&load.endpoint);
+    let reply = call(leader, load, address, &request).await?;
     if !reply.status.is_success() {
         return Err(Broken::Unfit("no report"));
     }
     endpoint::report(&reply.body).map_err(|_| Broken::Unfit("a report that cannot be read"))
 }
 
-fn has_version(leader: &Rc<Leader>, wish: &Wish, report: &Report) -> bool {
-    let Some(held) = report.models.get(&wish.model) else { return false };
-    leader.record_version(&wish.endpoint, &wish.model, *held);
-    *held >= wish.version && !report.busy
+fn has_version(leader: &Rc<Leader>, load: &Wish, report: &Report) -> bool {
+    let Some(held) = report.models.get(&load.model) else { return false };
+    leader.record_version(&load.endpoint, &load.model, *held);
+    *held >= load.version && !report.busy
 }
 
 async fn send_order(
     leader: &Rc<Leader>,
-    wish: &Wish,
+    load: &Wish,
     address: SocketAddr,
     report: &Report,
     runs: Runs,
 ) -> Taken {
     let order = VersionOrder {
-        incarnation: &wish.endpoint,
-        model: &wish.model,
-        version: wish.version,
+        incarnation: &load.endpoint,
+        model: &load.model,
+        version: load.version,
         runs,
         holder: &leader.context.settings.node,
         fence: leader.epoch.0,
         sequence: report.sequence,
     };
-    leader.context.followers.broadcast_to_replicas(&Update::Ordered(wish.endpoint.clone()));
+    leader.context.followers.broadcast_to_replicas(&Update::Ordered(load.endpoint.clone()));
     let request = endpoint::order(&order);
-    let taken = match call(leader, wish, address, &request).await {
+    let taken = match call(leader, load, address, &request).await {
         Ok(reply) => endpoint::taken(reply.status),
         Err(error) => {
-            tracing::info!(event = "order_unanswered", endpoint = wish.endpoint, %error);
+            tracing::info!(event = "order_unanswered", endpoint = load.endpoint, %error);
             Taken::Unclear
         }
     };
     metrics::ORDERS.with_label_values(&[outcome_label(taken)]).inc();
     tracing::info!(
         event = "order_given",
-        endpoint = wish.endpoint,
-        model = wish.model,
-        version = wish.version,
+        endpoint = load.endpoint,
+        model = load.model,
+        version = load.version,
         epoch = leader.epoch.0,
         sequence = report.sequence,
         ?runs,
@@ -281,13 +283,13 @@
     }
 }
 
-async fn await_loaded(leader: &Rc<Leader>, wish: &Wish) -> bool {
+async fn await_loaded(leader: &Rc<Leader>, load: &Wish) -> bool {
     let until = clock::now() + LOAD_TIMEOUT.as_millis() as u64;
     tokio::time::sleep(FIRST_LOAD_CHECK).await;
     loop {
-        let Some(address) = address(leader, wish) else { return false };
-        if let Ok(report) = ask_report(leader, wish, address).await
-            && has_version(leader, wish, &report)
+        let Some(address) = address(leader, load) else { return false };
+        if let Ok(report) = ask_report(leader, load, address).await
+            && has_version(leader, load, &report)
         {
             return true;
         }
@@ -300,12 +302,12 @@
 
 async fn call(
     leader: &Rc<Leader>,
-    wish: &Wish,
+    load: &Wish,
     address: SocketAddr,
     request: &Request,
 ) -> Result<Reply, Broken> {
     let exchange = async {
-        let pooled = leader.pool.borrow_mut().take(address, &wish.endpoint);
+        let pooled = leader.pool.borrow_mut().take(address, &load.endpoint);
         let connection = match pooled {
             Some(connection) => connection,
             None => Connection::open(address, CALL_TIMEOUT).await?,
@@ -313,7 +315,7 @@
         let (reply, connection) = connection.start(request).await?.whole().await?;
         if let Some(connection) = connection {
             let keep_alive = reply.headers.get("keep-alive");
-            leader.pool.borrow_mut().keep(address, &wish.endpoint, connection, keep_alive);
+            leader.pool.borrow_mut().keep(address, &load.endpoint, connection, keep_alive);
         }
         Ok(reply)
     };
--- a/components/node/src/replica.rs
+++ b/components/node/src/replica.rs
@@ -233,7 +233,7 @@
         self.failed.subscribe()
     }
 
-    /// Returns the leader's link address, as far as this replica knows.
+    /// Returns the leader's link address, if this replica has one on record.
     pub fn leader(&self) -> Option<SocketAddr> {
         let replica = self.replica.borrow();
         replica.leader().and_then(|id| id.node.to_string().parse().ok())
--- a/components/node/src/traffic.rs
+++ b/components/node/src/traffic.rs
@@ -1,9 +1,9 @@
 //! Counts the bytes on the fleet's links, by kind of message and by data centre.
 //!
 //! Besides the VMs, traffic between data centres is what a fleet costs, and no log line about a
-//! single decision shows it. The process that accepts a link counts both directions, since it knows
-//! the location of both ends. The sum over all control processes is therefore the traffic of all
-//! links.
+//! single decision shows it. The process that accepts a link counts both directions, since the
+//! data centres of both ends are known there. The sum over all control processes is therefore the
+//! traffic of all links.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
