--- a/components/agent/src/watch.rs
+++ b/components/agent/src/watch.rs
@@ -247,7 +247,7 @@
 
 async fn propose(proposer: ProposerClient, command: Command) {
     for _ in 0..TELL_TRIES {
-        match proposer.persist(&command, TELL).await {
+        match proposer.propose_until_timeout(&command, TELL).await {
             Ok(reply) => return tracing::info!(event = "crash_told", ?reply),
             Err(error) => tracing::warn!(event = "crash_untold", %error),
         }
--- a/components/config/src/proposer.rs
+++ b/components/config/src/proposer.rs
@@ -132,7 +132,11 @@
     /// # Errors
     ///
     /// As [`ProposerClient::propose`].
-    pub async fn persist(&self, command: &Command, timeout: Duration) -> Result<Reply, Failure> {
+    pub async fn propose_until_timeout(
+        &self,
+        command: &Command,
+        timeout: Duration,
+    ) -> Result<Reply, Failure> {
         self.run(command, timeout, Mode::Patient).await
     }
 
--- a/components/entry/src/run/background.rs
+++ b/components/entry/src/run/background.rs
@@ -15,7 +15,8 @@
 pub fn propose(context: &Context, command: Command) {
     let context = context.clone();
     actix_rt::spawn(async move {
-        if let Err(failure) = context.proposer.persist(&command, COMMIT_TIMEOUT).await {
+        if let Err(failure) = context.proposer.propose_until_timeout(&command, COMMIT_TIMEOUT).await
+        {
             tracing::warn!(event = "not_settled", %failure);
         }
     });
