--- a/components/agent/src/start.rs
+++ b/components/agent/src/start.rs
@@ -16,8 +16,8 @@
 use chicoryford_membership::Handle as Members;
 use chicoryford_settings::AgentSettings;
 use chicoryford_settings::Settings;
-use chicoryford_state::claims::CLAIM_AHEAD_MS;
-use chicoryford_state::claims::CLAIM_MS;
+use chicoryford_state::claims::CLAIM_WINDOW_MS;
+use chicoryford_state::claims::MAX_KEY_CLOCK_SKEW_MS;
 use chicoryford_types::Incarnation;
 use chicoryford_types::LoadReport;
 use chicoryford_types::Millis;
@@ -140,8 +140,8 @@
         incarnation,
         // A key that the control processes still take must not be refused here for a clock that
         // runs a little ahead of theirs.
-        key_ms: CLAIM_MS + CLAIM_AHEAD_MS,
-        skew_ms: 2 * CLAIM_AHEAD_MS,
+        key_ms: CLAIM_WINDOW_MS + MAX_KEY_CLOCK_SKEW_MS,
+        skew_ms: 2 * MAX_KEY_CLOCK_SKEW_MS,
         ..GateSettings::default()
     }
 }
--- a/components/agreement/examples/cost.rs
+++ b/components/agreement/examples/cost.rs
@@ -107,7 +107,7 @@
                 self.tell(place, Event::Tick);
             }
             self.settle();
-            let leads = |r: &Replica| r.role() == Role::Leader && r.leads(self.now);
+            let leads = |r: &Replica| r.role() == Role::Leader && r.holds_lease(self.now);
             if let Some(leader) = self.replicas.iter().position(leads) {
                 return leader;
             }
@@ -161,8 +161,8 @@
         if status.commit < status.snapshot.index + SNAPSHOT_EVERY {
             return;
         }
-        let Some(mark) = replica.mark(status.commit) else { return };
-        let meta = SnapshotMeta { mark, members: replica.members_at(mark.index) };
+        let Some(last) = replica.entry_id(status.commit) else { return };
+        let meta = SnapshotMeta { last, members: replica.members_at(last.index) };
         self.tell(place, Event::SnapshotTaken(Snapshot { meta, data: Bytes::new() }));
     }
 }
--- a/components/agreement/src/action.rs
+++ b/components/agreement/src/action.rs
@@ -40,13 +40,13 @@
     ChangePending,
     /// The replica to promote does not yet hold enough of the log. Nothing was done.
     #[error("the replica has not caught up")]
-    Behind,
+    NotCaughtUp,
     /// Too few of the voters that the change would leave are alive. Nothing was done.
     #[error("too few of the voters that would remain are alive")]
-    WouldStall,
+    WouldLoseQuorum,
     /// The change makes no sense for the present members. Nothing was done.
     #[error("the change does not fit the members")]
-    BadChange,
+    InvalidChange,
 }
 
 impl Refusal {
--- a/components/agreement/src/append.rs
+++ b/components/agreement/src/append.rs
@@ -3,10 +3,10 @@
 use chicoryford_types::Epoch;
 
 use crate::entry::Entry;
-use crate::entry::Mark;
+use crate::entry::EntryId;
 use crate::identity::ReplicaId;
+use crate::invariant::Invariant;
 use crate::message::Body;
-use crate::promise::Promise;
 use crate::replica::Replica;
 use crate::restart::Since;
 use crate::status::Role;
@@ -17,7 +17,7 @@
         let same = epoch == self.hard.epoch;
         let other = self.leader.as_ref().is_some_and(|leader| leader != from);
         let rival = same && (self.role == Role::Leader || other);
-        self.check(!rival, Promise::OneLeader);
+        self.check(!rival, Invariant::OneLeader);
         if rival {
             return false;
         }
@@ -33,7 +33,7 @@
     pub(crate) fn on_append(
         &mut self,
         from: ReplicaId,
-        prev: Mark,
+        prev: EntryId,
         entries: Vec<Entry>,
         commit: u64,
         round: u64,
@@ -47,7 +47,7 @@
         }
         let last = prev.index + entries.len() as u64;
         // What lies at or before the base is committed, and so equal.
-        for entry in entries.into_iter().filter(|entry| entry.mark.index > base) {
+        for entry in entries.into_iter().filter(|entry| entry.id.index > base) {
             self.take_entry(entry);
         }
         self.verified = self.verified.max(last.max(base));
@@ -56,11 +56,11 @@
     }
 
     fn take_entry(&mut self, entry: Entry) {
-        let index = entry.mark.index;
+        let index = entry.id.index;
         match self.log.get(index) {
-            Some(own) if own.mark == entry.mark => {
+            Some(own) if own.id == entry.id => {
                 let equal = *own == entry;
-                self.check(equal, Promise::LogMatching);
+                self.check(equal, Invariant::LogMatching);
             }
             Some(_) => {
                 self.truncate(index);
@@ -71,7 +71,7 @@
     }
 
     /// Tells the leader how much of its log is on disk here.
-    fn reply_append(&mut self, to: ReplicaId, conflict: Option<Mark>) {
+    fn reply_append(&mut self, to: ReplicaId, conflict: Option<EntryId>) {
         let body = Body::AppendReply { round: self.round, matched: self.matched(), conflict };
         self.send(to, body);
     }
@@ -80,7 +80,7 @@
         let counted =
             if self.settings.protections.sync_first { self.durable.index } else { u64::MAX };
         let matched = self.verified.min(counted);
-        self.check(matched <= self.durable.index, Promise::SyncedFirst);
+        self.check(matched <= self.durable.index, Invariant::SyncedFirst);
         matched
     }
 
--- a/components/agreement/src/birth.rs
+++ b/components/agreement/src/bootstrap.rs
@@ -16,12 +16,12 @@
 use chicoryford_types::Node;
 
 use crate::entry::Entry;
-use crate::entry::Mark;
+use crate::entry::EntryId;
 use crate::entry::Payload;
 use crate::identity::Founder;
-use crate::identity::Members;
+use crate::identity::Membership;
 use crate::identity::ReplicaId;
-use crate::identity::Seat;
+use crate::identity::ReplicaInfo;
 use crate::message::Body;
 use crate::replica::Replica;
 
@@ -29,7 +29,7 @@
     /// Tells whether nothing was ever written here.
     pub(crate) fn is_empty(&self) -> bool {
         let never = self.hard.epoch.0 == 0 && self.hard.vote.is_none();
-        never && self.log.last() == Mark::default()
+        never && self.log.last() == EntryId::default()
     }
 
     /// Asks the other founders, if this one is to write the first entry.
@@ -74,15 +74,16 @@
         if self.founders.values().any(|empty| !empty) {
             return;
         }
-        let mut members = Members::default();
+        let mut members = Membership::default();
         for founder in &self.settings.founders {
             let Some(id) = self.founder_id(founder) else { return };
-            let seat = Seat { address: founder.address.clone(), voter: true, replaces: None };
-            members.seats.insert(id, seat);
+            let info =
+                ReplicaInfo { address: founder.address.clone(), voter: true, replaces: None };
+            members.replicas.insert(id, info);
         }
-        tracing::info!(event = "founded", replicas = members.seats.len());
-        let mark = Mark { index: 1, ..Mark::default() };
-        self.push(Entry { mark, payload: Payload::Members(members) });
+        tracing::info!(event = "founded", replicas = members.replicas.len());
+        let id = EntryId { index: 1, ..EntryId::default() };
+        self.push(Entry { id, payload: Payload::Members(members) });
         self.deadline = self.now;
     }
 
--- a/components/agreement/src/check.rs
+++ b/components/agreement/src/check.rs
@@ -1,18 +1,18 @@
 //! Promises that are checked after every event.
 
-use crate::promise::Promise;
+use crate::invariant::Invariant;
 use crate::replica::Replica;
 use crate::status::PeerStatus;
 use crate::status::Role;
 use crate::status::Status;
 
 impl Replica {
-    pub(crate) fn check_promises(&mut self) {
+    pub(crate) fn check_invariants(&mut self) {
         let kept = self.commit <= self.log.last().index;
-        self.check(kept, Promise::CommittedStays);
+        self.check(kept, Invariant::CommittedStays);
         if self.role == Role::Leader {
-            let heard = self.now.since(self.contact()) < self.settings.hold_ms();
-            self.check(heard, Promise::LeadsOnlyWithQuorum);
+            let heard = self.now.since(self.contact()) < self.settings.min_election_ms();
+            self.check(heard, Invariant::LeadsOnlyWithQuorum);
         }
     }
 
@@ -28,17 +28,17 @@
             last: self.log.last(),
             commit: self.commit,
             durable: self.durable.index,
-            snapshot: self.snapshot.meta.mark,
+            snapshot: self.snapshot.meta.last,
             lease_ms: lease,
             peers: self.peer_statuses(),
-            broken: self.broken.count,
-            last_broken: self.broken.last,
+            violations: self.violations.count,
+            last_violation: self.violations.last,
         }
     }
 
     fn shown_role(&self) -> Role {
-        let unborn = self.role == Role::Follower && self.members().seats.is_empty();
-        if unborn { Role::Unborn } else { self.role }
+        let unborn = self.role == Role::Follower && self.members().replicas.is_empty();
+        if unborn { Role::Uninitialized } else { self.role }
     }
 
     fn peer_statuses(&self) -> Vec<PeerStatus> {
--- a/components/agreement/src/election.rs
+++ b/components/agreement/src/election.rs
@@ -3,10 +3,10 @@
 use chicoryford_types::Epoch;
 use chicoryford_types::Millis;
 
-use crate::entry::Mark;
+use crate::entry::EntryId;
 use crate::identity::ReplicaId;
+use crate::invariant::Invariant;
 use crate::message::Body;
-use crate::promise::Promise;
 use crate::replica::Replica;
 use crate::restart::Since;
 use crate::saved::HardState;
@@ -21,7 +21,7 @@
     pub(crate) fn hears_leader(&self) -> bool {
         let last = if self.role == Role::Leader { self.contact() } else { self.heard };
         let none_left = self.restart.since == Since::Together;
-        !none_left && !self.is_empty() && self.now.since(last) < self.settings.hold_ms()
+        !none_left && !self.is_empty() && self.now.since(last) < self.settings.min_election_ms()
     }
 
     /// Tells whether this replica votes by the members that are committed or by any since.
@@ -62,7 +62,7 @@
     /// Starts an election in a new epoch.
     pub(crate) fn campaign(&mut self, handed: bool) {
         let reaches = self.reaches_quorum();
-        self.check(handed || reaches, Promise::QuietWhenCutOff);
+        self.check(handed || reaches, Invariant::QuietWhenCutOff);
         let vote = Some(self.settings.id.clone());
         self.set_hard(HardState { epoch: self.hard.epoch.next(), vote });
         self.role = Role::Candidate;
@@ -93,12 +93,12 @@
     }
 
     fn is_granted(&self) -> bool {
-        self.members().majority(|id| self.granted.contains(id))
+        self.members().has_majority(|id| self.granted.contains(id))
     }
 
     fn reaches_quorum(&self) -> bool {
         let window = 2 * self.settings.election_ms;
-        self.members().majority(|id| {
+        self.members().has_majority(|id| {
             let heard = self.contacts.get(id);
             *id == self.settings.id || heard.is_some_and(|at| self.now.since(*at) <= window)
         })
@@ -110,10 +110,10 @@
 
     /// Sets what must be remembered of elections.
     fn set_hard(&mut self, hard: HardState) {
-        self.check(hard.epoch >= self.hard.epoch, Promise::EpochGrows);
+        self.check(hard.epoch >= self.hard.epoch, Invariant::EpochGrows);
         let same = hard.epoch == self.hard.epoch;
         let kept = !same || self.hard.vote.is_none() || self.hard.vote == hard.vote;
-        self.check(kept, Promise::OneVote);
+        self.check(kept, Invariant::OneVote);
         self.write.hard = Some(hard.clone());
         self.hard = hard;
     }
@@ -131,7 +131,7 @@
             self.set_hard(HardState { epoch, vote: None });
             self.forget_leader();
         }
-        self.check(epoch == self.hard.epoch, Promise::EpochGrows);
+        self.check(epoch == self.hard.epoch, Invariant::EpochGrows);
         self.role = Role::Follower;
         self.granted.clear();
         self.leader = leader;
@@ -139,7 +139,7 @@
         self.end_leading();
     }
 
-    pub(crate) fn on_pre_vote(&mut self, from: ReplicaId, next: Epoch, last: Mark) {
+    pub(crate) fn on_pre_vote(&mut self, from: ReplicaId, next: Epoch, last: EntryId) {
         let held = self.settings.protections.vote_hold && self.hears_leader();
         let granted = !held && next > self.hard.epoch && self.is_enough(last);
         self.send(from, Body::PreVoteReply { next, granted });
@@ -158,7 +158,7 @@
         }
     }
 
-    pub(crate) fn on_vote(&mut self, from: ReplicaId, epoch: Epoch, last: Mark, handed: bool) {
+    pub(crate) fn on_vote(&mut self, from: ReplicaId, epoch: Epoch, last: EntryId, handed: bool) {
         let held = self.settings.protections.vote_hold && self.hears_leader();
         if held && !handed {
             return;
@@ -182,7 +182,7 @@
         }
     }
 
-    fn is_enough(&self, last: Mark) -> bool {
+    fn is_enough(&self, last: EntryId) -> bool {
         !self.settings.protections.log_check || last >= self.log.last()
     }
 
@@ -196,7 +196,7 @@
     /// Gives when a majority was last heard, as a leader counts it.
     pub(crate) fn contact(&self) -> Millis {
         let Some(lead) = &self.lead else { return Millis::default() };
-        self.members().reached(|id| {
+        self.members().majority_value(|id| {
             let heard = lead.peers.get(id).map(|peer| peer.heard);
             if *id == self.settings.id { self.now } else { heard.unwrap_or_default() }
         })
@@ -208,7 +208,7 @@
     /// that it leads while another does. It would show as two leaders in the state dumps.
     pub(crate) fn check_quorum(&mut self) {
         let on = self.settings.protections.check_quorum && self.role == Role::Leader;
-        if on && self.now.since(self.contact()) >= self.settings.hold_ms() {
+        if on && self.now.since(self.contact()) >= self.settings.min_election_ms() {
             tracing::warn!(event = "leader_without_quorum", epoch = %self.hard.epoch);
             self.become_follower(self.hard.epoch, None);
         }
--- a/components/agreement/src/entry.rs
+++ b/components/agreement/src/entry.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::identity::Members;
+use crate::identity::Membership;
 
 /// The place of an entry: two logs that hold an entry with the same mark are equal up to it.
 ///
@@ -13,7 +13,7 @@
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
-pub struct Mark {
+pub struct EntryId {
     /// The epoch whose leader made the entry.
     pub epoch: Epoch,
     /// The entry's number, counted from one without gaps.
@@ -28,7 +28,7 @@
     /// A command of the state machine.
     Data(Bytes),
     /// The members from this entry on, in force at each replica as soon as it is in its log.
-    Members(Members),
+    Members(Membership),
 }
 
 impl Payload {
@@ -45,7 +45,8 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Entry {
     /// Its place.
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub id: EntryId,
     /// What it carries.
     pub payload: Payload,
 }
--- a/components/agreement/src/event.rs
+++ b/components/agreement/src/event.rs
@@ -23,7 +23,7 @@
 
 /// A change of the members; one at a time is in progress (docs/AGREEMENT.md).
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Change {
+pub enum MembershipChange {
     /// Adds a replica as a non-voter. The leader promotes it by itself once it has caught up.
     Add {
         /// The replica.
@@ -68,7 +68,7 @@
         /// Comes back in the answer.
         token: Token,
         /// The change.
-        change: Change,
+        change: MembershipChange,
     },
     /// Leadership is to be handed over, to this replica or to the one that is closest behind.
     HandOver {
@@ -77,7 +77,7 @@
     },
     /// Other control processes that are known, by gossip or otherwise, besides the founders. They
     /// are asked before a deployment is founded.
-    Neighbours(Vec<Node>),
+    KnownNodes(Vec<Node>),
     /// A write or sync failed. After that nothing on the disk can be trusted until it is read
     /// anew, so the replica takes no part until its process restarts.
     StorageFailed,
--- a/components/agreement/src/handover.rs
+++ b/components/agreement/src/handover.rs
@@ -11,7 +11,7 @@
     pub(crate) fn hand_over(&mut self, to: Option<ReplicaId>) {
         let closest = self.closest_voter();
         let to = to.filter(|id| self.members().is_voter(id)).or(closest);
-        let until = self.now + self.settings.hold_ms();
+        let until = self.now + self.settings.min_election_ms();
         let own = self.settings.id.clone();
         let Some(lead) = &mut self.lead else { return };
         let Some(to) = to.filter(|id| *id != own) else { return };
@@ -23,7 +23,7 @@
     /// Finds the voter that holds most of the log, of those heard lately.
     fn closest_voter(&self) -> Option<ReplicaId> {
         let lead = self.lead.as_ref()?;
-        let live = self.settings.hold_ms();
+        let live = self.settings.min_election_ms();
         let voters = lead.peers.iter().filter(|(id, _)| self.members().is_voter(id));
         let heard = voters.filter(|(_, peer)| self.now.since(peer.heard) < live);
         heard.max_by_key(|(_, peer)| peer.matched).map(|(id, _)| id.clone())
@@ -50,7 +50,7 @@
             handing.told = true;
             lead.lease = self.now;
             let to = handing.to.clone();
-            self.send(to, Body::CampaignNow);
+            self.send(to, Body::TimeoutNow);
         }
     }
 
@@ -65,7 +65,7 @@
     /// Tells the closest voter to start an election, when this replica can lead no longer.
     pub(crate) fn send_campaign_now(&mut self) {
         if let Some(to) = self.closest_voter() {
-            self.send(to, Body::CampaignNow);
+            self.send(to, Body::TimeoutNow);
         }
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Answers whether a token's proposal waits here, for tests and the state dump.
-    pub fn is_waiting(&self, token: Token) -> bool {
+    pub fn is_pending(&self, token: Token) -> bool {
         let lead = self.lead.as_ref();
         lead.is_some_and(|lead| lead.tokens.values().any(|waiting| *waiting == token))
     }
--- a/components/agreement/src/identity.rs
+++ b/components/agreement/src/identity.rs
@@ -45,7 +45,7 @@
 
 /// The place of a replica among the members.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Seat {
+pub struct ReplicaInfo {
     /// Where its node answers HTTP.
     pub address: String,
     /// Whether it votes and is counted; one that does not is still catching up.
@@ -57,26 +57,26 @@
 
 /// The members of the agreement.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Members {
+pub struct Membership {
     /// The seats, by replica, as pairs because not every codec has maps with structured keys.
-    #[serde(with = "pairs")]
-    pub seats: BTreeMap<ReplicaId, Seat>,
+    #[serde(with = "pairs", rename = "seats")]
+    pub replicas: BTreeMap<ReplicaId, ReplicaInfo>,
 }
 
-impl Members {
+impl Membership {
     /// Tells whether a replica votes.
     pub fn is_voter(&self, id: &ReplicaId) -> bool {
-        self.seats.get(id).is_some_and(|seat| seat.voter)
+        self.replicas.get(id).is_some_and(|info| info.voter)
     }
 
     /// Tells whether a replica has a seat.
-    pub fn has(&self, id: &ReplicaId) -> bool {
-        self.seats.contains_key(id)
+    pub fn contains(&self, id: &ReplicaId) -> bool {
+        self.replicas.contains_key(id)
     }
 
     /// Gives the voters.
     pub fn voters(&self) -> impl Iterator<Item = &ReplicaId> {
-        self.seats.iter().filter(|(_, seat)| seat.voter).map(|(id, _)| id)
+        self.replicas.iter().filter(|(_, info)| info.voter).map(|(id, _)| id)
     }
 
     /// Gives how many voters make a majority.
@@ -85,12 +85,12 @@
     }
 
     /// Tells whether a majority of the voters passes a test.
-    pub fn majority(&self, pass: impl Fn(&ReplicaId) -> bool) -> bool {
+    pub fn has_majority(&self, pass: impl Fn(&ReplicaId) -> bool) -> bool {
         self.voters().filter(|id| pass(id)).count() >= self.quorum()
     }
 
     /// Gives the greatest value that a majority of the voters has reached.
-    pub fn reached<T: Ord + Default>(&self, value: impl Fn(&ReplicaId) -> T) -> T {
+    pub fn majority_value<T: Ord + Default>(&self, value: impl Fn(&ReplicaId) -> T) -> T {
         let mut values: Vec<T> = self.voters().map(value).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
         values.into_iter().nth(self.quorum() - 1).unwrap_or_default()
@@ -105,19 +105,19 @@
     use serde::Serializer;
 
     use super::ReplicaId;
-    use super::Seat;
+    use super::ReplicaInfo;
 
     pub fn serialize<S: Serializer>(
-        seats: &BTreeMap<ReplicaId, Seat>,
+        replicas: &BTreeMap<ReplicaId, ReplicaInfo>,
         to: S,
     ) -> Result<S::Ok, S::Error> {
-        to.collect_seq(seats.iter())
+        to.collect_seq(replicas.iter())
     }
 
     pub fn deserialize<'a, D: Deserializer<'a>>(
         from: D,
-    ) -> Result<BTreeMap<ReplicaId, Seat>, D::Error> {
-        let pairs = Vec::<(ReplicaId, Seat)>::deserialize(from)?;
+    ) -> Result<BTreeMap<ReplicaId, ReplicaInfo>, D::Error> {
+        let pairs = Vec::<(ReplicaId, ReplicaInfo)>::deserialize(from)?;
         Ok(pairs.into_iter().collect())
     }
 }
--- a/components/agreement/src/promise.rs
+++ b/components/agreement/src/invariant.rs
@@ -11,7 +11,7 @@
 /// What is promised.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Promise {
+pub enum Invariant {
     /// An epoch has one leader, as far as this replica sees.
     OneLeader,
     /// Logs that share a mark are equal up to it.
@@ -43,19 +43,19 @@
 
 /// Counts broken promises.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Broken {
+pub(crate) struct Violations {
     pub count: u64,
-    pub last: Option<Promise>,
+    pub last: Option<Invariant>,
 }
 
-impl Broken {
+impl Violations {
     /// Counts and logs a broken promise unless it was kept.
-    pub fn check(&mut self, kept: bool, promise: Promise, id: &ReplicaId) {
-        if kept {
+    pub fn check(&mut self, holds: bool, invariant: Invariant, id: &ReplicaId) {
+        if holds {
             return;
         }
         self.count += 1;
-        self.last = Some(promise);
-        tracing::error!(event = "promise_broken", ?promise, replica = %id);
+        self.last = Some(invariant);
+        tracing::error!(event = "promise_broken", promise = ?invariant, replica = %id);
     }
 }
--- a/components/agreement/src/log.rs
+++ b/components/agreement/src/log.rs
@@ -5,29 +5,29 @@
 use chicoryford_types::Epoch;
 
 use crate::entry::Entry;
-use crate::entry::Mark;
+use crate::entry::EntryId;
 
 /// The entries after some mark, without gaps.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
-    base: Mark,
+    base: EntryId,
     entries: VecDeque<Entry>,
 }
 
 impl Log {
     /// Holds entries that follow `base`.
-    pub fn new(base: Mark, entries: Vec<Entry>) -> Self {
+    pub fn new(base: EntryId, entries: Vec<Entry>) -> Self {
         Self { base, entries: entries.into() }
     }
 
     /// Gives the mark before the first entry.
-    pub fn base(&self) -> Mark {
+    pub fn base(&self) -> EntryId {
         self.base
     }
 
     /// Gives the mark of the last entry.
-    pub fn last(&self) -> Mark {
-        self.entries.back().map_or(self.base, |entry| entry.mark)
+    pub fn last(&self) -> EntryId {
+        self.entries.back().map_or(self.base, |entry| entry.id)
     }
 
     /// Gives the epoch of an entry, none if it is no longer or not yet there.
@@ -35,17 +35,17 @@
         if index == self.base.index {
             return Some(self.base.epoch);
         }
-        self.get(index).map(|entry| entry.mark.epoch)
+        self.get(index).map(|entry| entry.id.epoch)
     }
 
     /// Gives the mark at an index.
-    pub fn mark(&self, index: u64) -> Option<Mark> {
-        self.epoch(index).map(|epoch| Mark { epoch, index })
+    pub fn entry_id(&self, index: u64) -> Option<EntryId> {
+        self.epoch(index).map(|epoch| EntryId { epoch, index })
     }
 
     /// Tells whether the entry with this mark is in the log or just before it.
-    pub fn has(&self, mark: Mark) -> bool {
-        self.epoch(mark.index) == Some(mark.epoch)
+    pub fn has(&self, id: EntryId) -> bool {
+        self.epoch(id.index) == Some(id.epoch)
     }
 
     /// Gives an entry.
@@ -76,15 +76,15 @@
 
     /// Forgets the entries up to an index.
     pub fn compact(&mut self, to: u64) {
-        while self.entries.front().is_some_and(|entry| entry.mark.index <= to) {
+        while self.entries.front().is_some_and(|entry| entry.id.index <= to) {
             if let Some(entry) = self.entries.pop_front() {
-                self.base = entry.mark;
+                self.base = entry.id;
             }
         }
     }
 
     /// Starts anew after a mark.
-    pub fn reset(&mut self, base: Mark) {
+    pub fn reset(&mut self, base: EntryId) {
         self.base = base;
         self.entries.clear();
     }
@@ -92,14 +92,14 @@
     /// Gives the last place at or before `mark` at which an equal entry may be: its epoch is not
     /// greater. Whole epochs are skipped, so that logs that differ by thousands of entries are
     /// compared in a few messages. Gives the zero mark if such a place is no longer kept.
-    pub fn candidate(&self, mark: Mark) -> Mark {
-        let mut index = mark.index.min(self.last().index);
-        while let Some(own) = self.mark(index) {
-            if own.epoch <= mark.epoch {
+    pub fn candidate(&self, id: EntryId) -> EntryId {
+        let mut index = id.index.min(self.last().index);
+        while let Some(own) = self.entry_id(index) {
+            if own.epoch <= id.epoch {
                 return own;
             }
             index -= 1;
         }
-        Mark::default()
+        EntryId::default()
     }
 }
--- a/components/agreement/src/membership.rs
+++ b/components/agreement/src/membership.rs
@@ -2,16 +2,16 @@
 
 use crate::action::Refusal;
 use crate::entry::Payload;
-use crate::event::Change;
+use crate::event::MembershipChange;
 use crate::event::Token;
-use crate::identity::Members;
+use crate::identity::Membership;
 use crate::identity::ReplicaId;
-use crate::identity::Seat;
-use crate::promise::Promise;
+use crate::identity::ReplicaInfo;
+use crate::invariant::Invariant;
 use crate::replica::Replica;
 
 impl Replica {
-    pub(crate) fn change_members(&mut self, token: Token, change: Change) {
+    pub(crate) fn change_members(&mut self, token: Token, change: MembershipChange) {
         if let Some(why) = self.why_not() {
             self.refuse(token, why);
             return;
@@ -33,27 +33,27 @@
         self.settings.protections.one_change && (last > self.commit || !self.is_ready())
     }
 
-    fn plan(&self, change: Change) -> Result<Members, Refusal> {
+    fn plan(&self, change: MembershipChange) -> Result<Membership, Refusal> {
         let mut members = self.members().clone();
         match change {
-            Change::Add { id, address, replaces } => {
-                if members.has(&id) {
-                    return Err(Refusal::BadChange);
+            MembershipChange::Add { id, address, replaces } => {
+                if members.contains(&id) {
+                    return Err(Refusal::InvalidChange);
                 }
-                members.seats.insert(id, Seat { address, voter: false, replaces });
+                members.replicas.insert(id, ReplicaInfo { address, voter: false, replaces });
             }
-            Change::Promote(id) => {
-                let seat = members.seats.get_mut(&id).filter(|seat| !seat.voter);
-                seat.ok_or(Refusal::BadChange)?.voter = true;
+            MembershipChange::Promote(id) => {
+                let info = members.replicas.get_mut(&id).filter(|info| !info.voter);
+                info.ok_or(Refusal::InvalidChange)?.voter = true;
                 self.check_caught_up(&id)?;
                 self.check_live(&members)?;
             }
-            Change::Remove(id) => {
-                let seat = members.seats.remove(&id).ok_or(Refusal::BadChange)?;
+            MembershipChange::Remove(id) => {
+                let info = members.replicas.remove(&id).ok_or(Refusal::InvalidChange)?;
                 if members.voters().next().is_none() {
-                    return Err(Refusal::BadChange);
+                    return Err(Refusal::InvalidChange);
                 }
-                if seat.voter {
+                if info.voter {
                     self.check_live(&members)?;
                 }
             }
@@ -65,39 +65,40 @@
     /// make one: if another is lost then, nothing can be committed until it has caught up.
     fn check_caught_up(&self, id: &ReplicaId) -> Result<(), Refusal> {
         let on = self.settings.protections.catch_up;
-        if on && !self.has_caught_up(id) { Err(Refusal::Behind) } else { Ok(()) }
+        if on && !self.has_caught_up(id) { Err(Refusal::NotCaughtUp) } else { Ok(()) }
     }
 
     fn has_caught_up(&self, id: &ReplicaId) -> bool {
         let Some(peer) = self.lead.as_ref().and_then(|lead| lead.peers.get(id)) else {
             return false;
         };
-        let close = peer.matched > 0 && peer.matched + self.settings.catch_up >= self.commit;
+        let close =
+            peer.matched > 0 && peer.matched + self.settings.catch_up_entries >= self.commit;
         close && self.is_live(id)
     }
 
     fn is_live(&self, id: &ReplicaId) -> bool {
         let heard = self.lead.as_ref().and_then(|lead| lead.peers.get(id)).map(|peer| peer.heard);
-        let lately = heard.is_some_and(|at| self.now.since(at) < self.settings.hold_ms());
+        let lately = heard.is_some_and(|at| self.now.since(at) < self.settings.min_election_ms());
         *id == self.settings.id || lately
     }
 
     /// The change itself needs a majority of the new voters, so they must be alive.
-    fn check_live(&self, members: &Members) -> Result<(), Refusal> {
-        let live = members.majority(|id| self.is_live(id));
-        if live { Ok(()) } else { Err(Refusal::WouldStall) }
+    fn check_live(&self, members: &Membership) -> Result<(), Refusal> {
+        let live = members.has_majority(|id| self.is_live(id));
+        if live { Ok(()) } else { Err(Refusal::WouldLoseQuorum) }
     }
 
-    fn set_members(&mut self, members: Members, token: Option<Token>) {
+    fn set_members(&mut self, members: Membership, token: Option<Token>) {
         self.check_change(&members);
         tracing::info!(event = "members_change", voters = members.voters().count());
         self.add_entry(Payload::Members(members), token);
         self.sync_peers();
     }
 
-    fn check_change(&mut self, members: &Members) {
+    fn check_change(&mut self, members: &Membership) {
         let before = self.members();
-        let ids = before.seats.keys().chain(members.seats.keys());
+        let ids = before.replicas.keys().chain(members.replicas.keys());
         let differs = |id: &&ReplicaId| before.is_voter(id) != members.is_voter(id);
         let mut moved: Vec<&ReplicaId> = ids.filter(differs).collect();
         moved.sort();
@@ -106,8 +107,8 @@
         let one = moved.len() <= 1 && settled;
         let added = moved.into_iter().filter(|id| members.is_voter(id));
         let held = added.into_iter().all(|id| self.has_caught_up(id));
-        self.check(one, Promise::OneChange);
-        self.check(held, Promise::VotersHoldLog);
+        self.check(one, Invariant::OneChange);
+        self.check(held, Invariant::VotersHoldLog);
     }
 
     /// Carries on with replacements: a non-voter that has caught up takes its place, by itself, so
@@ -123,19 +124,19 @@
         }
     }
 
-    fn next_change(&self) -> Option<Change> {
+    fn next_change(&self) -> Option<MembershipChange> {
         let members = self.members();
-        for (id, seat) in &members.seats {
-            let replaced = seat.replaces.as_ref().filter(|old| members.has(old));
+        for (id, info) in &members.replicas {
+            let replaced = info.replaces.as_ref().filter(|old| members.contains(old));
             match replaced {
-                Some(old) if seat.voter => return Some(Change::Remove(old.clone())),
+                Some(old) if info.voter => return Some(MembershipChange::Remove(old.clone())),
                 // The lost one goes first: among four that live the quorum is three, while with
                 // the lost one still counted it would be four of six.
                 Some(old) if self.may_promote(id) && *old != self.settings.id => {
-                    return Some(Change::Remove(old.clone()));
+                    return Some(MembershipChange::Remove(old.clone()));
                 }
-                _ if !seat.voter && self.may_promote(id) => {
-                    return Some(Change::Promote(id.clone()));
+                _ if !info.voter && self.may_promote(id) => {
+                    return Some(MembershipChange::Promote(id.clone()));
                 }
                 _ => {}
             }
--- a/components/agreement/src/message.rs
+++ b/components/agreement/src/message.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use crate::entry::Entry;
-use crate::entry::Mark;
+use crate::entry::EntryId;
 use crate::identity::ReplicaId;
 use crate::saved::SnapshotMeta;
 
@@ -34,7 +34,7 @@
         /// The epoch that the sender would start.
         next: Epoch,
         /// The last entry of its log.
-        last: Mark,
+        last: EntryId,
     },
     /// The answer to a `PreVote`.
     PreVoteReply {
@@ -46,7 +46,7 @@
     /// Vote for me in this epoch.
     Vote {
         /// The last entry of the sender's log.
-        last: Mark,
+        last: EntryId,
         /// Whether the present leader asked for this election, so that its being heard is no
         /// reason to refuse.
         handed: bool,
@@ -59,7 +59,7 @@
     /// The leader's entries, or a heartbeat if there are none.
     Append {
         /// The entry before the first.
-        prev: Mark,
+        prev: EntryId,
         /// The entries.
         entries: Vec<Entry>,
         /// The last entry that the leader knows to be committed.
@@ -75,10 +75,11 @@
         matched: u64,
         /// Set if the entry before the first was missing or different: a place at or before
         /// which the logs may be equal.
-        conflict: Option<Mark>,
+        conflict: Option<EntryId>,
     },
     /// A piece of a snapshot, for a replica that needs entries that are no longer kept.
-    Piece {
+    #[serde(rename = "Piece")]
+    SnapshotChunk {
         /// What the snapshot stands for.
         meta: SnapshotMeta,
         /// The bytes of the whole snapshot.
@@ -91,16 +92,19 @@
         round: u64,
     },
     /// The answer to a `Piece`.
-    PieceReply {
+    #[serde(rename = "PieceReply")]
+    SnapshotChunkReply {
         /// The last entry in the snapshot.
-        mark: Mark,
+        #[serde(rename = "mark")]
+        last: EntryId,
         /// The bytes that the sender holds of it.
         received: u64,
         /// The round of the `Piece`.
         round: u64,
     },
     /// Start an election at once: the leader hands over.
-    CampaignNow,
+    #[serde(rename = "CampaignNow")]
+    TimeoutNow,
     /// A founder with an empty disk asks who the others are.
     Hello,
     /// The answer to a `Hello`: the sender's identity is in the message.
--- a/components/agreement/src/progress.rs
+++ b/components/agreement/src/progress.rs
@@ -72,7 +72,7 @@
         while self.flying.front().is_some_and(|last| *last <= index) {
             self.flying.pop_front();
         }
-        if self.transfer.as_ref().is_some_and(|t| t.snapshot.meta.mark.index <= index) {
+        if self.transfer.as_ref().is_some_and(|t| t.snapshot.meta.last.index <= index) {
             self.transfer = None;
         }
     }
--- a/components/agreement/src/receive.rs
+++ b/components/agreement/src/receive.rs
@@ -21,10 +21,10 @@
             Body::HelloReply { empty } => self.on_hello_reply(from, empty),
             Body::PreVote { next, last } => self.on_pre_vote(from, next, last),
             Body::Vote { last, handed } => self.on_vote(from, epoch, last, handed),
-            Body::Append { .. } | Body::Piece { .. } => self.receive_led(from, epoch, body),
+            Body::Append { .. } | Body::SnapshotChunk { .. } => self.receive_led(from, epoch, body),
             Body::Restarted { number } => self.on_restarted(from, number),
             Body::RestartedReply { number, too } => self.on_restarted_reply(from, number, too),
-            Body::CampaignNow => self.on_campaign_now(&from, epoch),
+            Body::TimeoutNow => self.on_campaign_now(&from, epoch),
             _ => self.receive_reply(from, epoch, body),
         }
     }
@@ -49,8 +49,8 @@
             Body::Append { prev, entries, commit, round } => {
                 self.on_append(from, prev, entries, commit, round);
             }
-            Body::Piece { meta, total, offset, data, round } => {
-                self.on_piece(from, meta, total, offset, &data, round);
+            Body::SnapshotChunk { meta, total, offset, data, round } => {
+                self.on_snapshot_chunk(from, meta, total, offset, &data, round);
             }
             _ => {}
         }
@@ -74,8 +74,8 @@
             Body::AppendReply { round, matched, conflict } if self.role == Role::Leader => {
                 self.on_append_reply(&from, round, matched, conflict);
             }
-            Body::PieceReply { mark, received, round } if self.role == Role::Leader => {
-                self.on_piece_reply(&from, mark, received, round);
+            Body::SnapshotChunkReply { last, received, round } if self.role == Role::Leader => {
+                self.on_snapshot_chunk_reply(&from, last, received, round);
             }
             _ => {}
         }
--- a/components/agreement/src/replica.rs
+++ b/components/agreement/src/replica.rs
@@ -16,18 +16,18 @@
 use crate::action::Refusal;
 use crate::durable::Durable;
 use crate::entry::Entry;
-use crate::entry::Mark;
+use crate::entry::EntryId;
 use crate::entry::Payload;
 use crate::event::Event;
 use crate::event::Token;
-use crate::identity::Members;
+use crate::identity::Membership;
 use crate::identity::ReplicaId;
+use crate::invariant::Invariant;
+use crate::invariant::Violations;
 use crate::leader::Leader;
 use crate::log::Log;
 use crate::message::Body;
 use crate::message::Message;
-use crate::promise::Broken;
-use crate::promise::Promise;
 use crate::restart::Restart;
 use crate::restart::Since;
 use crate::saved::HardState;
@@ -49,7 +49,7 @@
     pub(crate) log: Log,
     pub(crate) snapshot: Snapshot,
     /// The members by the entry that set them, oldest first.
-    pub(crate) changes: Vec<(u64, Members)>,
+    pub(crate) changes: Vec<(u64, Membership)>,
     pub(crate) commit: u64,
     pub(crate) durable: Durable,
     pub(crate) leader: Option<ReplicaId>,
@@ -73,7 +73,7 @@
     pub(crate) neighbours: Vec<Node>,
     /// Who answered before the founding, and whether their disks were empty.
     pub(crate) founders: BTreeMap<ReplicaId, bool>,
-    pub(crate) broken: Broken,
+    pub(crate) violations: Violations,
     pub(crate) out: Vec<Action>,
     pub(crate) write: Write,
     /// Messages that may leave only once what they say is on disk.
@@ -86,9 +86,9 @@
     /// Makes a replica of what was found on its disk. The seed draws its election timeouts.
     pub fn new(settings: Settings, saved: Saved, seed: u64) -> Self {
         let snapshot = saved.snapshot.unwrap_or_default();
-        let base = snapshot.meta.mark;
+        let base = snapshot.meta.last;
         let entries: Vec<Entry> =
-            saved.entries.into_iter().filter(|entry| entry.mark.index > base.index).collect();
+            saved.entries.into_iter().filter(|entry| entry.id.index > base.index).collect();
         let changes = find_changes(&snapshot, &entries);
         let log = Log::new(base, entries);
         let mut hard = saved.hard;
@@ -118,7 +118,7 @@
             contacts: BTreeMap::new(),
             neighbours: Vec::new(),
             founders: BTreeMap::new(),
-            broken: Broken::default(),
+            violations: Violations::default(),
             out: Vec::new(),
             write: Write::default(),
             fresh: Vec::new(),
@@ -142,18 +142,18 @@
         self.check_quorum();
         self.dispatch(event);
         self.lead_on();
-        self.check_promises();
+        self.check_invariants();
         self.flush()
     }
 
     /// Gives how many promises were broken here.
-    pub fn broken(&self) -> u64 {
-        self.broken.count
+    pub fn violations(&self) -> u64 {
+        self.violations.count
     }
 
     /// Gives the last broken promise.
-    pub fn last_broken(&self) -> Option<Promise> {
-        self.broken.last
+    pub fn last_violation(&self) -> Option<Invariant> {
+        self.violations.last
     }
 
     /// Gives this replica's identity.
@@ -183,18 +183,18 @@
 
     /// Gives the mark of an entry that was committed to the state machine, for its snapshot;
     /// none once the entry is no longer kept.
-    pub fn mark(&self, index: u64) -> Option<Mark> {
-        if index > self.commit { None } else { self.log.mark(index) }
+    pub fn entry_id(&self, index: u64) -> Option<EntryId> {
+        if index > self.commit { None } else { self.log.entry_id(index) }
     }
 
     /// Gives the members as of the last entry in the log.
-    pub fn members(&self) -> &Members {
-        static NONE: Members = Members { seats: BTreeMap::new() };
+    pub fn members(&self) -> &Membership {
+        static NONE: Membership = Membership { replicas: BTreeMap::new() };
         self.changes.last().map_or(&NONE, |(_, members)| members)
     }
 
     /// Gives the members as of an entry, for the snapshot that ends with it.
-    pub fn members_at(&self, index: u64) -> Members {
+    pub fn members_at(&self, index: u64) -> Membership {
         let found = self.changes.iter().rev().find(|(at, _)| *at <= index);
         found.map(|(_, members)| members.clone()).unwrap_or_default()
     }
@@ -229,7 +229,7 @@
             Event::Read { token } => self.read(token),
             Event::ChangeMembers { token, change } => self.change_members(token, change),
             Event::HandOver { to } => self.hand_over(to),
-            Event::Neighbours(nodes) => self.neighbours = nodes,
+            Event::KnownNodes(nodes) => self.neighbours = nodes,
             Event::StorageFailed => self.storage_failed(),
         }
     }
@@ -265,19 +265,20 @@
 
     pub(crate) fn draw_deadline(&mut self) {
         let together = self.restart.since == Since::Together && self.is_restarting();
-        let hold = if together { self.settings.heartbeat_ms / 2 } else { self.settings.hold_ms() };
+        let hold =
+            if together { self.settings.heartbeat_ms / 2 } else { self.settings.min_election_ms() };
         self.deadline = self.now + hold + self.rng.random_range(0..=hold);
     }
 
-    pub(crate) fn check(&mut self, kept: bool, promise: Promise) {
-        self.broken.check(kept, promise, &self.settings.id);
+    pub(crate) fn check(&mut self, holds: bool, invariant: Invariant) {
+        self.violations.check(holds, invariant, &self.settings.id);
     }
 
     fn check_gaps(&mut self) {
         let base = self.log.base().index;
         let last = self.log.last().index;
-        let whole = self.log.range(base + 1, last).zip(base + 1..).all(|(e, i)| e.mark.index == i);
-        self.check(whole, Promise::NoGaps);
+        let whole = self.log.range(base + 1, last).zip(base + 1..).all(|(e, i)| e.id.index == i);
+        self.check(whole, Invariant::NoGaps);
     }
 
     /// Sends a message that says nothing of what is on disk.
@@ -303,10 +304,10 @@
 
     /// Adds an entry to the log.
     pub(crate) fn push(&mut self, entry: Entry) {
-        let follows = entry.mark.index == self.log.last().index + 1;
-        self.check(follows, Promise::NoGaps);
+        let follows = entry.id.index == self.log.last().index + 1;
+        self.check(follows, Invariant::NoGaps);
         if let Payload::Members(members) = &entry.payload {
-            self.changes.push((entry.mark.index, members.clone()));
+            self.changes.push((entry.id.index, members.clone()));
         }
         self.write.entries.push(entry.clone());
         self.log.push(entry);
@@ -314,12 +315,12 @@
 
     /// Removes the entries from an index on.
     pub(crate) fn truncate(&mut self, from: u64) {
-        self.check(from > self.commit, Promise::CommittedStays);
+        self.check(from > self.commit, Invariant::CommittedStays);
         self.log.truncate(from);
         self.changes.retain(|(index, _)| *index < from);
         self.durable.cut(from - 1);
-        let first = self.write.entries.first().map(|entry| entry.mark.index);
-        self.write.entries.retain(|entry| entry.mark.index < from);
+        let first = self.write.entries.first().map(|entry| entry.id.index);
+        self.write.entries.retain(|entry| entry.id.index < from);
         if first.is_none_or(|first| from < first) {
             let least = self.write.truncate.map_or(from, |other| other.min(from));
             self.write.truncate = Some(least);
@@ -334,11 +335,11 @@
         let mut batch = Vec::new();
         for entry in self.log.range(self.commit + 1, index) {
             let lead = self.lead.as_mut();
-            let token = lead.and_then(|lead| lead.tokens.remove(&entry.mark.index));
+            let token = lead.and_then(|lead| lead.tokens.remove(&entry.id.index));
             batch.push(Committed { entry: entry.clone(), token });
         }
         let whole = batch.len() as u64 == index - self.commit;
-        self.check(whole, Promise::NoGaps);
+        self.check(whole, Invariant::NoGaps);
         self.commit = index;
         self.out.push(Action::Commit(batch));
     }
@@ -382,7 +383,7 @@
         }
         let mut votes = actions.iter().filter_map(says_vote);
         let kept = votes.all(|epoch| self.durable.has_vote(epoch));
-        self.check(kept, Promise::SyncedFirst);
+        self.check(kept, Invariant::SyncedFirst);
     }
 
     fn announce(&mut self, actions: &mut Vec<Action>) {
@@ -407,14 +408,14 @@
     votes.then_some(message.epoch)
 }
 
-fn find_changes(snapshot: &Snapshot, entries: &[Entry]) -> Vec<(u64, Members)> {
+fn find_changes(snapshot: &Snapshot, entries: &[Entry]) -> Vec<(u64, Membership)> {
     let mut changes = Vec::new();
-    if !snapshot.meta.members.seats.is_empty() {
-        changes.push((snapshot.meta.mark.index, snapshot.meta.members.clone()));
+    if !snapshot.meta.members.replicas.is_empty() {
+        changes.push((snapshot.meta.last.index, snapshot.meta.members.clone()));
     }
     for entry in entries {
         if let Payload::Members(members) = &entry.payload {
-            changes.push((entry.mark.index, members.clone()));
+            changes.push((entry.id.index, members.clone()));
         }
     }
     changes
--- a/components/agreement/src/replicate.rs
+++ b/components/agreement/src/replicate.rs
@@ -4,15 +4,15 @@
 
 use crate::action::Refusal;
 use crate::entry::Entry;
-use crate::entry::Mark;
+use crate::entry::EntryId;
 use crate::entry::Payload;
 use crate::event::Proposal;
 use crate::event::Token;
 use crate::identity::ReplicaId;
+use crate::invariant::Invariant;
 use crate::leader::Leader;
 use crate::message::Body;
 use crate::progress::Progress;
-use crate::promise::Promise;
 use crate::replica::Replica;
 use crate::restart::Since;
 use crate::status::Role;
@@ -50,7 +50,7 @@
     }
 
     /// Tells whether this replica leads and no other can have been elected: its lease holds.
-    pub fn leads(&self, now: Millis) -> bool {
+    pub fn holds_lease(&self, now: Millis) -> bool {
         let lease = self.lead.as_ref().map(|lead| lead.lease);
         self.is_ready() && lease.is_some_and(|lease| now < lease)
     }
@@ -73,14 +73,14 @@
             return Some(Refusal::HandingOver);
         }
         let uncommitted = self.log.last().index - self.commit;
-        (uncommitted >= self.settings.uncommitted as u64).then_some(Refusal::Full)
+        (uncommitted >= self.settings.max_uncommitted as u64).then_some(Refusal::Full)
     }
 
     pub(crate) fn add_entry(&mut self, payload: Payload, token: Option<Token>) {
-        let mark = Mark { epoch: self.hard.epoch, index: self.log.last().index + 1 };
-        self.push(Entry { mark, payload });
+        let id = EntryId { epoch: self.hard.epoch, index: self.log.last().index + 1 };
+        self.push(Entry { id, payload });
         if let (Some(lead), Some(token)) = (&mut self.lead, token) {
-            lead.tokens.insert(mark.index, token);
+            lead.tokens.insert(id.index, token);
         }
     }
 
@@ -109,7 +109,7 @@
         let index = self.held_by_majority();
         let own = self.log.epoch(index) == Some(self.hard.epoch);
         if index > self.commit && (own || !self.settings.protections.own_epoch) {
-            self.check(own, Promise::CountsOwnEpoch);
+            self.check(own, Invariant::CountsOwnEpoch);
             self.commit_to(index);
             self.leave_if_removed();
         }
@@ -118,9 +118,9 @@
     fn held_by_majority(&mut self) -> u64 {
         let last = self.log.last().index;
         let own = if self.settings.protections.sync_first { self.durable.index } else { last };
-        self.check(own <= self.durable.index, Promise::SyncedFirst);
+        self.check(own <= self.durable.index, Invariant::SyncedFirst);
         let Some(lead) = &self.lead else { return 0 };
-        self.members().reached(|id| {
+        self.members().majority_value(|id| {
             let peer = lead.peers.get(id).map_or(0, |peer| peer.matched);
             if *id == self.settings.id { own } else { peer }
         })
@@ -160,7 +160,7 @@
             peer.moved = self.now;
         }
         if peer.transfer.is_some() || peer.next <= base {
-            self.send_pieces(id, true);
+            self.send_snapshot_chunks(id, true);
             return;
         }
         let at = if peer.probing { peer.next - 1 } else { peer.matched.max(base) };
@@ -168,7 +168,7 @@
     }
 
     fn send_append(&mut self, id: &ReplicaId, prev: u64, entries: Vec<Entry>) {
-        let Some(prev) = self.log.mark(prev) else { return };
+        let Some(prev) = self.log.entry_id(prev) else { return };
         let Some(lead) = &mut self.lead else { return };
         let Some(peer) = lead.peers.get_mut(id) else { return };
         let commit = self.commit;
@@ -192,10 +192,10 @@
         loop {
             let Some(peer) = self.lead.as_ref().and_then(|lead| lead.peers.get(id)) else { return };
             if peer.transfer.is_some() || peer.next <= base {
-                self.send_pieces(id, false);
+                self.send_snapshot_chunks(id, false);
                 return;
             }
-            if peer.next > last || !peer.has_room(self.settings.window) {
+            if peer.next > last || !peer.has_room(self.settings.max_in_flight) {
                 break;
             }
             let next = peer.next;
@@ -239,7 +239,7 @@
     fn advance_round(&mut self) {
         let lease_ms = self.settings.lease_ms();
         let Some(lead) = &self.lead else { return };
-        let round = self.members().reached(|id| {
+        let round = self.members().majority_value(|id| {
             let peer = lead.peers.get(id).map_or(0, |peer| peer.round);
             if *id == self.settings.id { lead.round } else { peer }
         });
@@ -262,9 +262,9 @@
         from: &ReplicaId,
         round: u64,
         matched: u64,
-        conflict: Option<Mark>,
+        conflict: Option<EntryId>,
     ) {
-        let place = conflict.map(|mark| self.log.candidate(mark).index);
+        let place = conflict.map(|id| self.log.candidate(id).index);
         let (now, last) = (self.now, self.log.last().index);
         let Some(peer) = self.peer(from) else { return };
         peer.heard = now;
@@ -274,7 +274,7 @@
             peer.probe(place + 1);
             peer.moved = now;
         }
-        self.check(matched <= last, Promise::LogMatching);
+        self.check(matched <= last, Invariant::LogMatching);
     }
 
     pub(crate) fn peer(&mut self, id: &ReplicaId) -> Option<&mut Progress> {
@@ -287,8 +287,8 @@
         let next = self.log.last().index + 1;
         let (id, now) = (self.settings.id.clone(), self.now);
         let Some(lead) = &mut self.lead else { return };
-        lead.peers.retain(|peer, _| members.has(peer));
-        for peer in members.seats.into_keys().filter(|peer| *peer != id) {
+        lead.peers.retain(|peer, _| members.contains(peer));
+        for peer in members.replicas.into_keys().filter(|peer| *peer != id) {
             lead.peers.entry(peer).or_insert_with(|| Progress::new(next, now));
         }
     }
--- a/components/agreement/src/restart.rs
+++ b/components/agreement/src/restart.rs
@@ -67,7 +67,7 @@
 
     /// Tells whether the process started less than the shortest election timeout ago.
     pub(crate) fn is_restarting(&self) -> bool {
-        self.now.since(self.restart.at) < self.settings.hold_ms()
+        self.now.since(self.restart.at) < self.settings.min_election_ms()
     }
 
     pub(crate) fn on_restarted(&mut self, from: ReplicaId, number: u64) {
@@ -94,7 +94,7 @@
     fn all_restarted(&self) -> bool {
         let told = |id: &ReplicaId| *id == self.settings.id || self.has_restarted(id);
         if !self.settings.protections.all_restarted {
-            return self.members().majority(told);
+            return self.members().has_majority(told);
         }
         self.others().iter().all(told)
     }
@@ -106,7 +106,7 @@
     /// Gives all other members by the last two memberships.
     fn others(&self) -> BTreeSet<ReplicaId> {
         let last = self.changes.iter().rev().take(2);
-        let seats = last.flat_map(|(_, members)| members.seats.keys());
-        seats.filter(|id| **id != self.settings.id).cloned().collect()
+        let replicas = last.flat_map(|(_, members)| members.replicas.keys());
+        replicas.filter(|id| **id != self.settings.id).cloned().collect()
     }
 }
--- a/components/agreement/src/saved.rs
+++ b/components/agreement/src/saved.rs
@@ -6,8 +6,8 @@
 use serde::Serialize;
 
 use crate::entry::Entry;
-use crate::entry::Mark;
-use crate::identity::Members;
+use crate::entry::EntryId;
+use crate::identity::Membership;
 use crate::identity::ReplicaId;
 
 /// What a replica must remember of elections.
@@ -23,9 +23,10 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct SnapshotMeta {
     /// The last entry that is in it.
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub last: EntryId,
     /// The members at that entry.
-    pub members: Members,
+    pub members: Membership,
 }
 
 /// A snapshot of the state machine.
--- a/components/agreement/src/settings.rs
+++ b/components/agreement/src/settings.rs
@@ -24,15 +24,15 @@
     /// Entries in one message.
     pub batch_entries: usize,
     /// Messages with entries that may be under way to one replica.
-    pub window: usize,
+    pub max_in_flight: usize,
     /// Entries that may be uncommitted at the leader before it refuses more.
-    pub uncommitted: usize,
+    pub max_uncommitted: usize,
     /// Bytes of one piece of a snapshot.
-    pub piece_bytes: usize,
+    pub chunk_bytes: usize,
     /// Entries that are kept in memory behind a snapshot, for replicas that are a little behind.
-    pub tail: u64,
+    pub retained_entries: u64,
     /// A non-voter has caught up when it lacks at most this many entries.
-    pub catch_up: u64,
+    pub catch_up_entries: u64,
     /// What guards the promises.
     #[doc(hidden)]
     pub protections: Protections,
@@ -48,11 +48,11 @@
             lease_percent: 80,
             batch_bytes: 256 << 10,
             batch_entries: 1_024,
-            window: 8,
-            uncommitted: 16_384,
-            piece_bytes: 256 << 10,
-            tail: 4_096,
-            catch_up: 256,
+            max_in_flight: 8,
+            max_uncommitted: 16_384,
+            chunk_bytes: 256 << 10,
+            retained_entries: 4_096,
+            catch_up_entries: 256,
             protections: Protections::default(),
         }
     }
@@ -61,13 +61,13 @@
 impl Settings {
     /// Gives the shortest election timeout: for this long after word from a leader a replica
     /// votes for nobody else.
-    pub fn hold_ms(&self) -> u64 {
+    pub fn min_election_ms(&self) -> u64 {
         (self.election_ms / 2).max(1)
     }
 
     /// Gives how long a lease lasts from the sending of the heartbeat that a majority answered.
     pub fn lease_ms(&self) -> u64 {
-        self.hold_ms() * self.lease_percent / 100
+        self.min_election_ms() * self.lease_percent / 100
     }
 }
 
--- a/components/agreement/src/snapshot.rs
+++ b/components/agreement/src/snapshot.rs
@@ -3,11 +3,11 @@
 use bytes::Bytes;
 
 use crate::action::Action;
-use crate::entry::Mark;
+use crate::entry::EntryId;
 use crate::identity::ReplicaId;
+use crate::invariant::Invariant;
 use crate::message::Body;
 use crate::progress::Transfer;
-use crate::promise::Promise;
 use crate::replica::Replica;
 use crate::saved::Snapshot;
 use crate::saved::SnapshotMeta;
@@ -22,17 +22,17 @@
 impl Replica {
     /// Takes note of a snapshot and forgets entries that it covers, but for a tail.
     pub(crate) fn snapshot_taken(&mut self, snapshot: Snapshot) {
-        let mark = snapshot.meta.mark;
-        if mark.index <= self.snapshot.meta.mark.index {
+        let last = snapshot.meta.last;
+        if last.index <= self.snapshot.meta.last.index {
             return;
         }
-        let right = mark.index <= self.commit && self.log.has(mark);
-        self.check(right, Promise::LogMatching);
+        let right = last.index <= self.commit && self.log.has(last);
+        self.check(right, Invariant::LogMatching);
         if !right {
             return;
         }
         self.snapshot = snapshot;
-        self.compact(mark.index.saturating_sub(self.settings.tail));
+        self.compact(last.index.saturating_sub(self.settings.retained_entries));
     }
 
     fn compact(&mut self, to: u64) {
@@ -43,9 +43,9 @@
 
     /// Sends the next pieces of a snapshot, as far as the window allows. A heartbeat sends at
     /// least an empty one, and starts again from what was acknowledged when nothing moves.
-    pub(crate) fn send_pieces(&mut self, id: &ReplicaId, heartbeat: bool) {
+    pub(crate) fn send_snapshot_chunks(&mut self, id: &ReplicaId, heartbeat: bool) {
         let patience = 2 * self.settings.heartbeat_ms;
-        let (piece, window) = (self.settings.piece_bytes.max(1), self.settings.window);
+        let (piece, window) = (self.settings.chunk_bytes.max(1), self.settings.max_in_flight);
         let newest = self.snapshot.clone();
         let now = self.now;
         let Some(lead) = &mut self.lead else { return };
@@ -69,7 +69,7 @@
             let end = (transfer.sent + piece as u64).min(limit);
             let data = transfer.snapshot.data.slice(transfer.sent as usize..end as usize);
             let meta = transfer.snapshot.meta.clone();
-            bodies.push(Body::Piece { meta, total, offset: transfer.sent, data, round });
+            bodies.push(Body::SnapshotChunk { meta, total, offset: transfer.sent, data, round });
             transfer.sent = end;
         }
         for body in bodies {
@@ -77,7 +77,7 @@
         }
     }
 
-    pub(crate) fn on_piece(
+    pub(crate) fn on_snapshot_chunk(
         &mut self,
         from: ReplicaId,
         meta: SnapshotMeta,
@@ -87,13 +87,13 @@
         round: u64,
     ) {
         self.round = self.round.max(round);
-        let mark = meta.mark;
-        if mark.index <= self.commit || self.log.has(mark) {
+        let last = meta.last;
+        if last.index <= self.commit || self.log.has(last) {
             // What it would bring is here already. Entries beyond it must stay, because the leader
             // may have been told of them; to start anew after the snapshot would lose them.
-            self.verified = self.verified.max(mark.index);
-            self.commit_to(mark.index);
-            self.send(from, Body::PieceReply { mark, received: total, round });
+            self.verified = self.verified.max(last.index);
+            self.commit_to(last.index);
+            self.send(from, Body::SnapshotChunkReply { last, received: total, round });
             self.reply_append_to_leader();
             return;
         }
@@ -101,7 +101,7 @@
         if received >= total {
             self.install();
         }
-        self.send_synced(from, Body::PieceReply { mark, received, round });
+        self.send_synced(from, Body::SnapshotChunkReply { last, received, round });
     }
 
     /// Adds a piece if it is the next; gives the bytes that are here. Doubled and early pieces
@@ -120,26 +120,26 @@
 
     fn install(&mut self) {
         let Some(Incoming { meta, data }) = self.incoming.take() else { return };
-        let mark = meta.mark;
-        self.check(mark.index > self.commit, Promise::CommitGrows);
+        let last = meta.last;
+        self.check(last.index > self.commit, Invariant::CommitGrows);
         let snapshot = Snapshot { meta, data: Bytes::from(data) };
-        self.log.reset(mark);
+        self.log.reset(last);
         self.durable.cut(0);
-        self.changes = vec![(mark.index, snapshot.meta.members.clone())];
-        self.commit = mark.index;
-        self.verified = self.verified.max(mark.index);
+        self.changes = vec![(last.index, snapshot.meta.members.clone())];
+        self.commit = last.index;
+        self.verified = self.verified.max(last.index);
         self.write.truncate = None;
         self.write.entries.clear();
         self.write.snapshot = Some(snapshot.clone());
         self.snapshot = snapshot.clone();
-        tracing::info!(event = "snapshot_installed", index = mark.index);
+        tracing::info!(event = "snapshot_installed", index = last.index);
         self.out.push(Action::ApplySnapshot(snapshot));
     }
 
-    pub(crate) fn on_piece_reply(
+    pub(crate) fn on_snapshot_chunk_reply(
         &mut self,
         from: &ReplicaId,
-        mark: Mark,
+        last: EntryId,
         received: u64,
         round: u64,
     ) {
@@ -148,7 +148,7 @@
         peer.heard = now;
         peer.round = peer.round.max(round);
         let Some(transfer) = &mut peer.transfer else { return };
-        if transfer.snapshot.meta.mark != mark {
+        if transfer.snapshot.meta.last != last {
             return;
         }
         if received > transfer.acked {
--- a/components/agreement/src/status.rs
+++ b/components/agreement/src/status.rs
@@ -4,10 +4,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::entry::Mark;
-use crate::identity::Members;
+use crate::entry::EntryId;
+use crate::identity::Membership;
 use crate::identity::ReplicaId;
-use crate::promise::Promise;
+use crate::invariant::Invariant;
 
 /// What a replica does at present.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
@@ -15,7 +15,8 @@
 pub enum Role {
     /// It has an empty disk and looks for the other founders, or waits to be added.
     #[default]
-    Unborn,
+    #[serde(rename = "unborn")]
+    Uninitialized,
     /// It follows, or waits for a leader.
     Follower,
     /// It asks whether it could win an election.
@@ -53,21 +54,23 @@
     /// Who leads, as far as it knows.
     pub leader: Option<ReplicaId>,
     /// The members as its log has them.
-    pub members: Members,
+    pub members: Membership,
     /// The last entry of its log.
-    pub last: Mark,
+    pub last: EntryId,
     /// The last entry known to be committed.
     pub commit: u64,
     /// The last entry that is on its disk.
     pub durable: u64,
     /// The last entry in its snapshot.
-    pub snapshot: Mark,
+    pub snapshot: EntryId,
     /// Milliseconds for which its lease still holds, if it leads.
     pub lease_ms: u64,
     /// The other replicas, if it leads.
     pub peers: Vec<PeerStatus>,
     /// How many promises were broken here.
-    pub broken: u64,
+    #[serde(rename = "broken")]
+    pub violations: u64,
     /// The last of them.
-    pub last_broken: Option<Promise>,
+    #[serde(rename = "last_broken")]
+    pub last_violation: Option<Invariant>,
 }
--- a/components/agreement/tests/random/chaos.rs
+++ b/components/agreement/tests/random/chaos.rs
@@ -1,9 +1,9 @@
 //! Clients, operators and faults, drawn from the run's seed.
 
 use bytes::Bytes;
-use chicoryford_agreement::Change;
 use chicoryford_agreement::Event;
-use chicoryford_agreement::Members;
+use chicoryford_agreement::Membership;
+use chicoryford_agreement::MembershipChange;
 use chicoryford_agreement::Payload;
 use chicoryford_agreement::Proposal;
 use chicoryford_agreement::ReplicaId;
@@ -176,8 +176,8 @@
     }
 
     /// Gives the members as each replica has them, in memory or on disk.
-    fn views(&self) -> Vec<Members> {
-        let mut views: Vec<Members> = Vec::new();
+    fn views(&self) -> Vec<Membership> {
+        let mut views: Vec<Membership> = Vec::new();
         for host in &self.hosts {
             views.extend(host.replica.as_ref().map(|replica| replica.members().clone()));
             views.push(self.members_on_disk(host));
@@ -185,7 +185,7 @@
         views
     }
 
-    fn members_on_disk(&self, host: &Host) -> Members {
+    fn members_on_disk(&self, host: &Host) -> Membership {
         let saved = &host.disk.saved;
         let mut members = saved.snapshot.as_ref().map(|s| s.meta.members.clone());
         for entry in &saved.entries {
@@ -196,21 +196,21 @@
         members.unwrap_or_default()
     }
 
-    fn withstands(&self, members: &Members, lost: &ReplicaId) -> bool {
+    fn withstands(&self, members: &Membership, lost: &ReplicaId) -> bool {
         let mut members = members.clone();
-        if let Some(seat) = members.seats.get_mut(lost) {
+        if let Some(info) = members.replicas.get_mut(lost) {
             // Its promotion may begin before anybody can notice the loss.
-            seat.voter = true;
+            info.voter = true;
         }
         let gone = members.voters().filter(|id| *id == lost || self.is_lost(id)).count();
-        members.seats.is_empty() || members.voters().count() - gone >= members.quorum()
+        members.replicas.is_empty() || members.voters().count() - gone >= members.quorum()
     }
 
     fn is_lost(&self, id: &ReplicaId) -> bool {
         self.place(id).is_none()
     }
 
-    fn change(&mut self, change: Change) {
+    fn change(&mut self, change: MembershipChange) {
         let token = self.token();
         let leader = self.target();
         self.tell(leader, Event::ChangeMembers { token, change });
@@ -223,7 +223,7 @@
         let members = replica.members().clone();
         let id = self.hosts[place].id.clone();
         let voters = members.voters().count();
-        if members.has(&id) {
+        if members.contains(&id) {
             // To remove a voter that lives while another's disk is gone is as if a third were lost;
             // nothing could be committed then (docs/AGREEMENT.md tells operators).
             let lost = self.views().iter().any(|view| view.voters().any(|id| self.is_lost(id)));
@@ -232,11 +232,15 @@
             }
             if voters > 3 || !members.is_voter(&id) {
                 let promote = self.rng.random_bool(0.3);
-                let change = if promote { Change::Promote(id) } else { Change::Remove(id) };
+                let change = if promote {
+                    MembershipChange::Promote(id)
+                } else {
+                    MembershipChange::Remove(id)
+                };
                 self.change(change);
             }
         } else if voters < self.plan.replicas + 1 {
-            self.change(Change::Add { id, address: String::new(), replaces: None });
+            self.change(MembershipChange::Add { id, address: String::new(), replaces: None });
         }
     }
 
@@ -245,13 +249,15 @@
         let leader = self.target();
         let Some(replica) = &self.hosts[leader].replica else { return };
         let members = replica.members().clone();
-        let Some(old) = members.seats.keys().find(|id| self.is_lost(id)).cloned() else { return };
+        let Some(old) = members.replicas.keys().find(|id| self.is_lost(id)).cloned() else {
+            return;
+        };
         let same = self.hosts.iter().find(|host| host.id.node == old.node);
         let Some(id) = same.map(|host| host.id.clone()) else { return };
-        let change = if members.has(&id) {
-            Change::Remove(old)
+        let change = if members.contains(&id) {
+            MembershipChange::Remove(old)
         } else {
-            Change::Add { id, address: String::new(), replaces: Some(old) }
+            MembershipChange::Add { id, address: String::new(), replaces: Some(old) }
         };
         self.change(change);
     }
--- a/components/agreement/tests/random/disk.rs
+++ b/components/agreement/tests/random/disk.rs
@@ -42,8 +42,8 @@
 
     /// Writes a snapshot and drops the entries that it covers.
     pub fn snapshot(&mut self, snapshot: Snapshot) {
-        let index = snapshot.meta.mark.index;
-        self.saved.entries.retain(|entry| entry.mark.index > index);
+        let index = snapshot.meta.last.index;
+        self.saved.entries.retain(|entry| entry.id.index > index);
         self.saved.snapshot = Some(snapshot);
     }
 }
@@ -57,7 +57,7 @@
         saved.snapshot = Some(snapshot);
     }
     if let Some(from) = write.truncate {
-        saved.entries.retain(|entry| entry.mark.index < from);
+        saved.entries.retain(|entry| entry.id.index < from);
     }
     saved.entries.extend(write.entries);
 }
@@ -72,8 +72,8 @@
 impl Chain {
     pub fn apply(&mut self, entry: &Entry) {
         let mut hasher = DefaultHasher::new();
-        (self.hash, entry.mark, label(&entry.payload)).hash(&mut hasher);
-        *self = Self { index: entry.mark.index, hash: hasher.finish() };
+        (self.hash, entry.id, label(&entry.payload)).hash(&mut hasher);
+        *self = Self { index: entry.id.index, hash: hasher.finish() };
     }
 
     /// Encodes the state, with padding so that it makes several pieces.
@@ -96,8 +96,8 @@
         Payload::Data(data) => u64::from_be_bytes(data[..8].try_into().unwrap()),
         Payload::Members(members) => {
             let mut hasher = DefaultHasher::new();
-            for (id, seat) in &members.seats {
-                (id, seat.voter).hash(&mut hasher);
+            for (id, info) in &members.replicas {
+                (id, info.voter).hash(&mut hasher);
             }
             hasher.finish()
         }
--- a/components/agreement/tests/random/judge.rs
+++ b/components/agreement/tests/random/judge.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::collections::HashSet;
 
-use chicoryford_agreement::Promise;
+use chicoryford_agreement::Invariant;
 use chicoryford_agreement::ReplicaId;
 use chicoryford_types::Epoch;
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Symptom {
     /// A replica found one of its own promises broken.
-    Promise(Promise),
+    Invariant(Invariant),
     /// Two state machines applied different entries at the same place.
     Diverged(u64),
     /// An acknowledged entry was unknown to a later leader.
@@ -50,9 +50,9 @@
         self.symptom.get_or_insert(symptom);
     }
 
-    pub fn promise(&mut self, promise: Promise) {
+    pub fn promise(&mut self, promise: Invariant) {
         if !self.overlook {
-            self.see(Symptom::Promise(promise));
+            self.see(Symptom::Invariant(promise));
         }
     }
 
--- a/components/agreement/tests/random/mutation.rs
+++ b/components/agreement/tests/random/mutation.rs
@@ -1,6 +1,6 @@
 //! The mutation check: each protection is switched off by itself, and the run must notice.
 
-use chicoryford_agreement::Promise;
+use chicoryford_agreement::Invariant;
 use chicoryford_agreement::Protections;
 use chicoryford_agreement::Role;
 
@@ -48,21 +48,21 @@
 fn notices_a_missing_pre_vote() {
     let off = Protections { pre_vote: false, ..Protections::default() };
     let (inside, _) = report("pre_vote", &plan(off));
-    assert_eq!(inside, Some(Symptom::Promise(Promise::QuietWhenCutOff)));
+    assert_eq!(inside, Some(Symptom::Invariant(Invariant::QuietWhenCutOff)));
 }
 
 #[test]
 fn notices_a_missing_check_of_the_quorum() {
     let off = Protections { check_quorum: false, ..Protections::default() };
     let (inside, _) = report("check_quorum", &plan(off));
-    assert_eq!(inside, Some(Symptom::Promise(Promise::LeadsOnlyWithQuorum)));
+    assert_eq!(inside, Some(Symptom::Invariant(Invariant::LeadsOnlyWithQuorum)));
 }
 
 #[test]
 fn notices_answers_before_the_sync() {
     let off = Protections { sync_first: false, ..Protections::default() };
     let (inside, outside) = report("sync_first", &plan(off));
-    assert_eq!(inside, Some(Symptom::Promise(Promise::SyncedFirst)));
+    assert_eq!(inside, Some(Symptom::Invariant(Invariant::SyncedFirst)));
     assert!(outside.is_some());
 }
 
@@ -70,7 +70,7 @@
 fn notices_a_promotion_before_the_log_is_held() {
     let off = Protections { catch_up: false, ..Protections::default() };
     let (inside, _) = report("catch_up", &plan(off));
-    assert_eq!(inside, Some(Symptom::Promise(Promise::VotersHoldLog)));
+    assert_eq!(inside, Some(Symptom::Invariant(Invariant::VotersHoldLog)));
 }
 
 #[test]
@@ -112,14 +112,14 @@
 fn notices_counting_for_entries_of_earlier_epochs() {
     let off = Protections { own_epoch: false, ..Protections::default() };
     let (inside, _) = report("own_epoch", &plan(off));
-    assert_eq!(inside, Some(Symptom::Promise(Promise::CountsOwnEpoch)));
+    assert_eq!(inside, Some(Symptom::Invariant(Invariant::CountsOwnEpoch)));
 }
 
 #[test]
 fn notices_two_changes_of_members_at_once() {
     let off = Protections { one_change: false, ..Protections::default() };
     let (inside, _) = report("one_change", &plan(off));
-    assert_eq!(inside, Some(Symptom::Promise(Promise::OneChange)));
+    assert_eq!(inside, Some(Symptom::Invariant(Invariant::OneChange)));
 }
 
 #[test]
--- a/components/agreement/tests/random/named.rs
+++ b/components/agreement/tests/random/named.rs
@@ -3,19 +3,19 @@
 use chicoryford_agreement::Action;
 use chicoryford_agreement::Body;
 use chicoryford_agreement::Entry;
+use chicoryford_agreement::EntryId;
 use chicoryford_agreement::Event;
 use chicoryford_agreement::Founder;
 use chicoryford_agreement::HardState;
-use chicoryford_agreement::Mark;
-use chicoryford_agreement::Members;
+use chicoryford_agreement::Membership;
 use chicoryford_agreement::Message;
 use chicoryford_agreement::Payload;
 use chicoryford_agreement::Protections;
 use chicoryford_agreement::Replica;
 use chicoryford_agreement::ReplicaId;
+use chicoryford_agreement::ReplicaInfo;
 use chicoryford_agreement::Role;
 use chicoryford_agreement::Saved;
-use chicoryford_agreement::Seat;
 use chicoryford_agreement::Settings;
 use chicoryford_types::Epoch;
 use chicoryford_types::Incarnation;
@@ -31,14 +31,14 @@
 }
 
 fn members(names: &[&str]) -> Payload {
-    let seat = Seat { voter: true, ..Seat::default() };
-    Payload::Members(Members { seats: names.iter().map(|n| (id(n), seat.clone())).collect() })
+    let info = ReplicaInfo { voter: true, ..ReplicaInfo::default() };
+    Payload::Members(Membership { replicas: names.iter().map(|n| (id(n), info.clone())).collect() })
 }
 
 /// Makes replica `a` of a log of members that are not known to be committed.
 fn replica(history: &[&[&str]]) -> Replica {
     let entry = |(place, names): (usize, &&[&str])| Entry {
-        mark: Mark { epoch: Epoch(1), index: place as u64 + 1 },
+        id: EntryId { epoch: Epoch(1), index: place as u64 + 1 },
         payload: members(names),
     };
     let entries = history.iter().enumerate().map(entry).collect();
@@ -94,7 +94,7 @@
     let founders = vec![founder("a"), founder("b")];
     let settings = Settings { id: id("a"), founders, ..Settings::default() };
     let mut a = Replica::new(settings, Saved::default(), 1);
-    a.handle(Millis(0), Event::Neighbours(vec!["d".into()]));
+    a.handle(Millis(0), Event::KnownNodes(vec!["d".into()]));
     let asked = a.handle(Millis(10), Event::Tick);
     assert_eq!(says(&asked, |body| *body == Body::Hello), 2);
     for (from, empty) in [("d", false), ("b", true)] {
@@ -180,7 +180,8 @@
         world.boot(place);
     }
     world.run_for(SHORTEST);
-    let leads = |host: &Host| host.replica.as_ref().is_some_and(|r| r.leads(host.clock(world.now)));
+    let leads =
+        |host: &Host| host.replica.as_ref().is_some_and(|r| r.holds_lease(host.clock(world.now)));
     let soon = world.hosts.iter().any(leads);
     world.run_for(2_000);
     assert_eq!(world.judge.symptom, None);
@@ -264,7 +265,7 @@
         let message = Message { from: id(from), to: id("a"), epoch: Epoch(1), body };
         a.handle(Millis(5), Event::Message(message));
     }
-    let body = Body::PreVote { next: Epoch(2), last: Mark { epoch: Epoch(1), index: 1 } };
+    let body = Body::PreVote { next: Epoch(2), last: EntryId { epoch: Epoch(1), index: 1 } };
     let message = Message { from: id("b"), to: id("a"), epoch: Epoch(1), body };
     let actions = a.handle(Millis(10), Event::Message(message));
     let refused = Body::PreVoteReply { next: Epoch(2), granted: false };
--- a/components/agreement/tests/random/world.rs
+++ b/components/agreement/tests/random/world.rs
@@ -169,11 +169,11 @@
             election_ms: 300,
             heartbeat_ms: 40,
             batch_entries: 8,
-            window: 4,
-            uncommitted: 200,
-            piece_bytes: 128,
-            tail: 20,
-            catch_up: 10,
+            max_in_flight: 4,
+            max_uncommitted: 200,
+            chunk_bytes: 128,
+            retained_entries: 20,
+            catch_up_entries: 10,
             protections: self.plan.protections,
             ..Settings::default()
         };
@@ -288,10 +288,10 @@
         let Some(replica) = &mut host.replica else { return };
         self.events += 1;
         let actions = replica.handle(clock, event);
-        if let Some(promise) = replica.last_broken() {
+        if let Some(promise) = replica.last_violation() {
             self.judge.promise(promise);
         }
-        let (epoch, leads) = (replica.epoch(), replica.leads(clock));
+        let (epoch, leads) = (replica.epoch(), replica.holds_lease(clock));
         let elected = replica.role() == Role::Leader && self.judge.lead(epoch, &host.id.clone());
         if elected || leads {
             self.check_leases(place, epoch, leads);
@@ -307,7 +307,7 @@
     fn check_leases(&mut self, place: usize, epoch: Epoch, leads: bool) {
         for (other, host) in self.hosts.iter().enumerate() {
             let Some(replica) = &host.replica else { continue };
-            let held = other != place && replica.leads(host.clock(self.now));
+            let held = other != place && replica.holds_lease(host.clock(self.now));
             if held && (leads || epoch >= replica.epoch()) {
                 let epoch = replica.epoch();
                 self.judge.see(Symptom::LeaseBroken(epoch));
@@ -366,20 +366,20 @@
             self.judge.committed(token);
         }
         if committed.token.is_some() {
-            self.judge.acknowledge(committed.entry.mark.index);
+            self.judge.acknowledge(committed.entry.id.index);
         }
     }
 
     fn take_snapshot(&mut self, place: usize) {
         let host = &self.hosts[place];
-        let taken = host.disk.saved.snapshot.as_ref().map_or(0, |s| s.meta.mark.index);
+        let taken = host.disk.saved.snapshot.as_ref().map_or(0, |s| s.meta.last.index);
         // Only what is synced can be in a snapshot that lets entries be dropped from the disk.
-        let synced = host.disk.saved.entries.last().map_or(0, |entry| entry.mark.index);
+        let synced = host.disk.saved.entries.last().map_or(0, |entry| entry.id.index);
         let due = host.chain.index >= taken + SNAPSHOT_EVERY && synced >= host.chain.index;
         let Some(replica) = host.replica.as_ref().filter(|_| due) else { return };
         let index = host.chain.index;
-        let Some(mark) = replica.mark(index) else { return };
-        let meta = SnapshotMeta { mark, members: replica.members_at(index) };
+        let Some(last) = replica.entry_id(index) else { return };
+        let meta = SnapshotMeta { last, members: replica.members_at(index) };
         let snapshot = Snapshot { meta, data: host.chain.encode() };
         self.hosts[place].disk.snapshot(snapshot.clone());
         self.tell(place, Event::SnapshotTaken(snapshot));
--- a/components/agreement/tests/single.rs
+++ b/components/agreement/tests/single.rs
@@ -37,7 +37,7 @@
     let mut found = Vec::new();
     for action in actions {
         if let Action::Commit(entries) = action {
-            found.extend(entries.iter().map(|c| (c.entry.mark.index, c.token)));
+            found.extend(entries.iter().map(|c| (c.entry.id.index, c.token)));
         }
     }
     found
@@ -59,8 +59,8 @@
 fn can_lead_alone_once_its_vote_is_synced() {
     let mut replica = alone();
     lead(&mut replica);
-    assert!(replica.leads(Millis(25)));
-    assert_eq!(replica.broken(), 0);
+    assert!(replica.holds_lease(Millis(25)));
+    assert_eq!(replica.violations(), 0);
 }
 
 #[test]
--- a/components/config/src/proposer.rs
+++ b/components/config/src/proposer.rs
@@ -9,9 +9,9 @@
 use chicoryford_kernel::registry::MissingService;
 use chicoryford_membership::Handle as Membership;
 use chicoryford_state::Command;
-use chicoryford_state::Renew;
-use chicoryford_state::Renewed;
 use chicoryford_state::Reply;
+use chicoryford_state::SessionRenewal;
+use chicoryford_state::SessionRenewalReply;
 use chicoryford_types::Code;
 use chicoryford_types::Failure;
 use chicoryford_types::Node;
@@ -209,13 +209,14 @@
     /// Asks all control processes at once to renew a session that nobody has. Only a leader whose
     /// lease holds answers that, so the answer proves a majority and costs no entry of the log.
     async fn has_leader(&self) -> bool {
-        let question = Renew { node: self.members.own().node, ..Renew::default() };
+        let question =
+            SessionRenewal { node: self.members.own().node, ..SessionRenewal::default() };
         let question = &question;
         let candidates = self.candidates();
         let mut asked: FuturesUnordered<_> = candidates
             .iter()
             .map(|(_, address)| {
-                self.client.call::<_, Renewed>(address, paths::RENEW, question, LOOKS)
+                self.client.call::<_, SessionRenewalReply>(address, paths::RENEW, question, LOOKS)
             })
             .collect();
         while let Some(answer) = asked.next().await {
--- a/components/config/src/store.rs
+++ b/components/config/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use chicoryford_state::Recent;
+use chicoryford_state::RecentChanges;
 use chicoryford_types::Change;
 use chicoryford_types::Config;
 use chicoryford_types::Delta;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     config: Arc<Config>,
-    recent: Recent,
+    recent: RecentChanges,
     digest: Option<Digest>,
 }
 
@@ -31,7 +31,7 @@
 impl Store {
     /// Starts from what the disk held.
     pub fn new(config: Config) -> Self {
-        let recent = Recent::at(config.at);
+        let recent = RecentChanges::at(config.at);
         Self { config: Arc::new(config), recent, digest: None }
     }
 
--- a/components/config/tests/store.rs
+++ b/components/config/tests/store.rs
@@ -7,7 +7,7 @@
 use chicoryford_config::disk::FILE;
 use chicoryford_config::store::Absorbed;
 use chicoryford_config::store::Store;
-use chicoryford_state::recent::RECENT;
+use chicoryford_state::recent::MAX_RECENT_CHANGES;
 use chicoryford_types::Change;
 use chicoryford_types::Config;
 use chicoryford_types::Delta;
@@ -57,7 +57,7 @@
 
 #[test]
 fn can_catch_up_by_snapshot_when_changes_are_no_longer_kept() {
-    let parent = parent(RECENT as u64 + 20, 5);
+    let parent = parent(MAX_RECENT_CHANGES as u64 + 20, 5);
     let mut child = Store::default();
     let delta = parent.delta_since(child.at());
     assert!(matches!(delta, Delta::Snapshot(_)));
--- a/components/control/examples/commits.rs
+++ b/components/control/examples/commits.rs
@@ -13,7 +13,7 @@
 use chicoryford_control::replica::Interval;
 use chicoryford_kernel::unix;
 use chicoryford_settings::ControlSettings;
-use chicoryford_state::Assigned;
+use chicoryford_state::AgentAssignment;
 use chicoryford_state::Command;
 use chicoryford_types::Digest;
 use chicoryford_types::IdempotencyKey;
@@ -38,7 +38,7 @@
         key: IdempotencyKey(format!("{}.{n}", unix().0)),
         digest: Digest::of(&n.to_be_bytes()),
         request: RequestId(1, n),
-        to: Assigned::default(),
+        to: AgentAssignment::default(),
     }
 }
 
--- a/components/control/examples/snapshot_pause.rs
+++ b/components/control/examples/snapshot_pause.rs
@@ -5,7 +5,7 @@
 
 use std::time::Instant;
 
-use chicoryford_state::Assigned;
+use chicoryford_state::AgentAssignment;
 use chicoryford_state::Command;
 use chicoryford_state::State;
 use chicoryford_types::Digest;
@@ -43,7 +43,7 @@
             key: IdempotencyKey(format!("{}.{n}", STAMP.0)),
             digest: Digest::of(&n.to_be_bytes()),
             request: RequestId(1, n),
-            to: Assigned::default(),
+            to: AgentAssignment::default(),
         };
         let at = Position { epoch: Epoch(1), revision: Revision(n + 1) };
         state.apply(at, STAMP, command);
--- a/components/control/src/apply.rs
+++ b/components/control/src/apply.rs
@@ -1,7 +1,7 @@
 //! Applies committed entries to the state and feeds its changes to this process.
 
 use chicoryford_agreement::Entry;
-use chicoryford_agreement::Mark;
+use chicoryford_agreement::EntryId;
 use chicoryford_agreement::Payload;
 use chicoryford_agreement::Snapshot;
 use chicoryford_config::Feed;
@@ -17,7 +17,7 @@
     /// The state.
     pub state: State,
     /// The last entry in it.
-    pub mark: Mark,
+    pub mark: EntryId,
     /// Bytes of commands applied since the last snapshot was begun.
     pub bytes: usize,
     feed: Option<Feed>,
@@ -26,7 +26,7 @@
 impl Applied {
     /// Starts from nothing; `feed` takes the changes of configuration, if there is one.
     pub fn new(feed: Option<Feed>) -> Self {
-        Self { state: State::default(), mark: Mark::default(), bytes: 0, feed }
+        Self { state: State::default(), mark: EntryId::default(), bytes: 0, feed }
     }
 
     /// Replaces the state by that of a snapshot.
@@ -35,7 +35,7 @@
     ///
     /// [`ContentError`] if another release wrote it.
     pub fn reset(&mut self, snapshot: &Snapshot) -> Result<(), ContentError> {
-        let mark = snapshot.meta.mark;
+        let mark = snapshot.meta.last;
         let state = rmp_serde::from_slice(&snapshot.data);
         self.state = state.map_err(|source| ContentError { index: mark.index, source })?;
         self.mark = mark;
@@ -53,7 +53,7 @@
     /// [`ContentError`] if another release wrote a command that this one does not know. To go on
     /// without it would make this replica's state differ from the others'.
     pub fn apply(&mut self, entry: Entry) -> Result<Option<Reply>, ContentError> {
-        let index = entry.mark.index;
+        let index = entry.id.index;
         let follows = index == self.mark.index + 1;
         if !follows {
             tracing::error!(event = "promise_broken", promise = "applied_in_order", index);
@@ -62,15 +62,15 @@
             Payload::Data(data) => {
                 self.bytes += data.len();
                 let body = Body::decode(&data).map_err(|source| ContentError { index, source })?;
-                Some(self.command(entry.mark, body))
+                Some(self.command(entry.id, body))
             }
             Payload::Empty | Payload::Members(_) => None,
         };
-        self.mark = entry.mark;
+        self.mark = entry.id;
         Ok(reply)
     }
 
-    fn command(&mut self, mark: Mark, body: Body) -> Reply {
+    fn command(&mut self, mark: EntryId, body: Body) -> Reply {
         let before = self.state.config.at;
         let at = Position { epoch: mark.epoch, revision: before.revision.next() };
         let reply = self.state.apply(at, body.stamp, body.command);
--- a/components/control/src/convert.rs
+++ b/components/control/src/convert.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use chicoryford_agreement as agreement;
-use chicoryford_agreement::Mark;
+use chicoryford_agreement::EntryId;
 use chicoryford_agreement::Payload;
 use chicoryford_agreement::ReplicaId;
 use chicoryford_agreement::SnapshotMeta;
@@ -21,13 +21,13 @@
 /// Gives an entry as it is stored.
 pub fn entry(from: &agreement::Entry) -> storage::Entry {
     let body = rmp_serde::to_vec_named(&from.payload).expect("payloads are plain data");
-    storage::Entry { index: from.mark.index, epoch: from.mark.epoch, body: body.into() }
+    storage::Entry { index: from.id.index, epoch: from.id.epoch, body: body.into() }
 }
 
 /// Gives a snapshot as it is stored.
 pub fn snapshot(from: &agreement::Snapshot) -> storage::Snapshot {
     let body = rmp_serde::to_vec_named(from).expect("snapshots are plain data");
-    let mark = from.meta.mark;
+    let mark = from.meta.last;
     storage::Snapshot { index: mark.index, epoch: mark.epoch, body: body.into() }
 }
 
@@ -51,7 +51,7 @@
 fn read_entry(from: storage::Entry) -> Result<agreement::Entry, ContentError> {
     let payload: Payload = rmp_serde::from_slice(&from.body)
         .map_err(|source| ContentError { index: from.index, source })?;
-    Ok(agreement::Entry { mark: Mark { epoch: from.epoch, index: from.index }, payload })
+    Ok(agreement::Entry { id: EntryId { epoch: from.epoch, index: from.index }, payload })
 }
 
 /// Joins the meta data and content of a snapshot.
--- a/components/control/src/handle.rs
+++ b/components/control/src/handle.rs
@@ -9,9 +9,9 @@
 use chicoryford_agreement::ReplicaId;
 use chicoryford_kernel::Sender;
 use chicoryford_state::Command;
-use chicoryford_state::Renew;
-use chicoryford_state::Renewed;
 use chicoryford_state::Reply;
+use chicoryford_state::SessionRenewal;
+use chicoryford_state::SessionRenewalReply;
 use chicoryford_types::Code;
 use chicoryford_types::Config;
 use chicoryford_types::Failure;
@@ -73,7 +73,7 @@
     /// Take messages of other replicas.
     Deliver(Envelope),
     /// Renew an entry's session.
-    Renew(Renew, Answer<Renewed>),
+    Renew(SessionRenewal, Answer<SessionRenewalReply>),
     /// Change the replicas.
     Reform(Reform, Answer<()>),
     /// Give the configuration as of a linearizable read.
@@ -119,7 +119,7 @@
     /// # Errors
     ///
     /// [`Refused`].
-    pub async fn renew(&self, renew: Renew) -> Result<Renewed, Refused> {
+    pub async fn renew(&self, renew: SessionRenewal) -> Result<SessionRenewalReply, Refused> {
         self.ask(|answer| Request::Renew(renew, answer)).await
     }
 
--- a/components/control/src/peers.rs
+++ b/components/control/src/peers.rs
@@ -131,7 +131,7 @@
 fn size(message: &Message) -> usize {
     match &message.body {
         Body::Append { entries, .. } => entries.iter().map(|e| e.payload.size()).sum(),
-        Body::Piece { data, .. } => data.len(),
+        Body::SnapshotChunk { data, .. } => data.len(),
         _ => 0,
     }
 }
--- a/components/control/src/replica.rs
+++ b/components/control/src/replica.rs
@@ -208,7 +208,7 @@
         for (node, address) in known {
             self.learned.entry(node).or_insert(address);
         }
-        self.tell(Event::Neighbours(nodes));
+        self.tell(Event::KnownNodes(nodes));
     }
 
     /// Tells whether this replica leads and surely no other does yet.
@@ -224,7 +224,7 @@
             }
             Report::Encoded(snapshot) => self.backlog.push_back(Job::Keep(snapshot)),
             Report::Kept(snapshot) => {
-                let index = snapshot.meta.mark.index;
+                let index = snapshot.meta.last.index;
                 self.storage.snapshot = self.storage.snapshot.max(index);
                 self.taking = None;
                 self.tell(Event::SnapshotTaken(snapshot));
@@ -256,7 +256,7 @@
             Action::Send(message) => self.send(message),
             Action::Commit(batch) => self.commit(batch)?,
             Action::ApplySnapshot(snapshot) => {
-                self.storage.snapshot = snapshot.meta.mark.index;
+                self.storage.snapshot = snapshot.meta.last.index;
                 self.applied.reset(&snapshot)?;
             }
             Action::Refuse { token, why } => {
@@ -309,7 +309,7 @@
     }
 
     fn send(&mut self, message: Message) {
-        let seat = self.replica.members().seats.get(&message.to);
+        let seat = self.replica.members().replicas.get(&message.to);
         let address = seat.map(|seat| &seat.address).or(self.learned.get(&message.to.node));
         let Some(address) = address.cloned() else { return };
         // A full ring drops the message as a network would; the replica repeats what matters.
@@ -350,7 +350,7 @@
             return;
         }
         let meta =
-            SnapshotMeta { mark: self.applied.mark, members: self.replica.members_at(index) };
+            SnapshotMeta { last: self.applied.mark, members: self.replica.members_at(index) };
         let state = Box::new(self.applied.state.clone());
         if self.rings.takes.offer(Take { meta, state }).is_ok() {
             self.taking = Some(index);
--- a/components/control/src/report.rs
+++ b/components/control/src/report.rs
@@ -7,7 +7,7 @@
 impl Driver {
     pub(crate) fn status(&self) -> Status {
         let status = self.replica.status();
-        let replicas = status.members.seats.iter().map(|(id, seat)| {
+        let replicas = status.members.replicas.iter().map(|(id, seat)| {
             let peer = status.peers.iter().find(|peer| peer.id == *id);
             ReplicaStatus {
                 node: id.node.clone(),
@@ -36,7 +36,7 @@
             lease_ms: status.lease_ms,
             received: 0,
             waiting: self.pending.len(),
-            broken: status.broken + state.broken(),
+            broken: status.violations + state.violations(),
             storage: self.storage.clone(),
         }
     }
--- a/components/control/src/restore.rs
+++ b/components/control/src/restore.rs
@@ -3,10 +3,10 @@
 use std::fs;
 use std::path::Path;
 
-use chicoryford_agreement::Mark;
-use chicoryford_agreement::Members;
+use chicoryford_agreement::EntryId;
+use chicoryford_agreement::Membership;
 use chicoryford_agreement::ReplicaId;
-use chicoryford_agreement::Seat;
+use chicoryford_agreement::ReplicaInfo;
 use chicoryford_agreement::SnapshotMeta;
 use chicoryford_storage::Disk;
 use chicoryford_storage::HardState;
@@ -72,11 +72,11 @@
         applied.reset(snapshot)?;
     }
     for entry in saved.entries {
-        if entry.mark.index > applied.mark.index {
+        if entry.id.index > applied.mark.index {
             applied.apply(entry)?;
         }
     }
-    if applied.mark == Mark::default() {
+    if applied.mark == EntryId::default() {
         return Err(StartError::NothingToRestore(from.to_owned()));
     }
     Ok(applied)
@@ -90,10 +90,10 @@
     kept: StorageSettings,
 ) -> Result<(), StartError> {
     let (mut storage, recovered) = Storage::open(to, kept, Disk::default())?;
-    let seat = Seat { address: address.to_owned(), voter: true, replaces: None };
-    let mut members = Members::default();
-    members.seats.insert(ReplicaId::new(node.clone(), recovered.identity), seat);
-    let meta = SnapshotMeta { mark: applied.mark, members };
+    let seat = ReplicaInfo { address: address.to_owned(), voter: true, replaces: None };
+    let mut members = Membership::default();
+    members.replicas.insert(ReplicaId::new(node.clone(), recovered.identity), seat);
+    let meta = SnapshotMeta { last: applied.mark, members };
     let data = rmp_serde::to_vec_named(&applied.state).expect("the state is plain data");
     let epoch = Epoch(applied.mark.epoch.0 + RAISE);
     storage.save_hard(&HardState { epoch, vote: None })?;
--- a/components/control/src/routes.rs
+++ b/components/control/src/routes.rs
@@ -9,9 +9,9 @@
 use chicoryford_kernel::registry::MissingService;
 use chicoryford_settings::Settings;
 use chicoryford_state::Command;
-use chicoryford_state::Renew;
-use chicoryford_state::Renewed;
 use chicoryford_state::Reply as StateReply;
+use chicoryford_state::SessionRenewal;
+use chicoryford_state::SessionRenewalReply;
 use chicoryford_types::Code;
 use chicoryford_types::Config;
 use chicoryford_types::Failure;
@@ -124,8 +124,8 @@
         self.forward(call, paths::PROPOSE, &command, refused).await
     }
 
-    async fn renew(&self, call: &Call) -> Result<Renewed, Failure> {
-        let renew: Renew = call.msgpack()?;
+    async fn renew(&self, call: &Call) -> Result<SessionRenewalReply, Failure> {
+        let renew: SessionRenewal = call.msgpack()?;
         let refused = match self.handle.renew(renew.clone()).await {
             Ok(renewed) => return Ok(renewed),
             Err(refused) => refused,
--- a/components/control/src/serve.rs
+++ b/components/control/src/serve.rs
@@ -1,7 +1,7 @@
 //! What the replica's duty does for the HTTP threads.
 
-use chicoryford_agreement::Change;
 use chicoryford_agreement::Event;
+use chicoryford_agreement::MembershipChange;
 use chicoryford_agreement::Message;
 use chicoryford_agreement::Proposal;
 use chicoryford_agreement::Refusal;
@@ -11,8 +11,8 @@
 use chicoryford_ledger::LedgerCommand;
 use chicoryford_ledger::LedgerReply;
 use chicoryford_state::Command;
-use chicoryford_state::Renew;
-use chicoryford_state::Renewed;
+use chicoryford_state::SessionRenewal;
+use chicoryford_state::SessionRenewalReply;
 use chicoryford_types::Code;
 use chicoryford_types::Failure;
 use chicoryford_types::Node;
@@ -89,7 +89,7 @@
         }
     }
 
-    fn renew(&mut self, renew: &Renew) -> Result<Renewed, Refused> {
+    fn renew(&mut self, renew: &SessionRenewal) -> Result<SessionRenewalReply, Refused> {
         // Only the lease tells that no other leader closes sessions at this moment.
         if !self.leads() {
             return Err(self.not_leader());
@@ -102,7 +102,7 @@
         let orphans = self.orphans();
         let audit = renew.audit.as_ref().filter(|_| held);
         let audited = audit.map(|audit| self.applied.state.ledger.audit(audit));
-        Ok(Renewed { held, lasts_ms: self.sessions.period(), orphans, audited })
+        Ok(SessionRenewalReply { held, lasts_ms: self.sessions.period(), orphans, audited })
     }
 
     fn orphans(&mut self) -> Vec<chicoryford_ledger::StepKey> {
@@ -134,17 +134,17 @@
         self.tell(Event::ChangeMembers { token, change });
     }
 
-    fn change(&self, reform: Reform) -> Option<Change> {
+    fn change(&self, reform: Reform) -> Option<MembershipChange> {
         match reform {
             Reform::Add { id, address, replaces } => {
                 let replaces = match replaces {
                     Some(node) => Some(self.find(&node)?),
                     None => None,
                 };
-                Some(Change::Add { id, address, replaces })
+                Some(MembershipChange::Add { id, address, replaces })
             }
-            Reform::Promote(node) => self.find(&node).map(Change::Promote),
-            Reform::Remove(node) => self.find(&node).map(Change::Remove),
+            Reform::Promote(node) => self.find(&node).map(MembershipChange::Promote),
+            Reform::Remove(node) => self.find(&node).map(MembershipChange::Remove),
             Reform::HandOver(_) => None,
         }
     }
@@ -152,7 +152,7 @@
     /// Finds the replica of a node; the oldest of its identities if it has several, since that
     /// is the one whose disk is lost.
     fn find(&self, node: &Node) -> Option<ReplicaId> {
-        self.replica.members().seats.keys().find(|id| id.node == *node).cloned()
+        self.replica.members().replicas.keys().find(|id| id.node == *node).cloned()
     }
 
     fn leader_address(&self) -> Option<String> {
@@ -160,7 +160,7 @@
         if leader == self.replica.id() {
             return None;
         }
-        self.replica.members().seats.get(leader).map(|seat| seat.address.clone())
+        self.replica.members().replicas.get(leader).map(|seat| seat.address.clone())
     }
 
     fn not_leader(&self) -> Refused {
@@ -187,10 +187,10 @@
             Refusal::StorageFailed => {
                 self.storage_failed(self.storage.failure.as_deref().unwrap_or_default())
             }
-            Refusal::ChangePending | Refusal::Behind | Refusal::WouldStall => {
+            Refusal::ChangePending | Refusal::NotCaughtUp | Refusal::WouldLoseQuorum => {
                 later(Code::Conflict).into()
             }
-            Refusal::BadChange => Failure::not_run(Code::BadRequest, detail).into(),
+            Refusal::InvalidChange => Failure::not_run(Code::BadRequest, detail).into(),
         }
     }
 }
--- a/components/control/src/snapshots.rs
+++ b/components/control/src/snapshots.rs
@@ -24,7 +24,7 @@
 pub fn run(mut takes: Receiver<Take>, reports: &Sender<Report>) {
     while let Some(Take { meta, state }) = takes.next_blocking() {
         let data = rmp_serde::to_vec_named(&*state).expect("the state is plain data");
-        tracing::info!(event = "snapshot_encoded", index = meta.mark.index, bytes = data.len());
+        tracing::info!(event = "snapshot_encoded", index = meta.last.index, bytes = data.len());
         if reports.send_blocking(Report::Encoded(convert::join(meta, data))).is_err() {
             return;
         }
--- a/components/control/src/start.rs
+++ b/components/control/src/start.rs
@@ -222,7 +222,7 @@
         founders: founders.to_vec(),
         election_ms: control.election_ms,
         heartbeat_ms: control.heartbeat_ms,
-        tail,
+        retained_entries: tail,
         ..agreement::Settings::default()
     }
 }
--- a/components/control/tests/replicas.rs
+++ b/components/control/tests/replicas.rs
@@ -11,9 +11,9 @@
 use chicoryford_kernel::Phase;
 use chicoryford_settings::ControlSettings;
 use chicoryford_state::Command;
-use chicoryford_state::Renew;
-use chicoryford_state::Renewed;
 use chicoryford_state::Reply;
+use chicoryford_state::SessionRenewal;
+use chicoryford_state::SessionRenewalReply;
 use chicoryford_storage::Disk;
 use chicoryford_types::Code;
 use chicoryford_types::Incarnation;
@@ -329,9 +329,9 @@
             let Reply::Session { session } = cluster.propose(leader, &open).await else {
                 panic!("no session")
             };
-            sessions.push(Renew { node, session, ..Renew::default() });
+            sessions.push(SessionRenewal { node, session, ..SessionRenewal::default() });
         }
-        let renew = async |renew: &Renew| -> Renewed {
+        let renew = async |renew: &SessionRenewal| -> SessionRenewalReply {
             let address = cluster.address((leader + 1) % 3);
             loop {
                 let answer = cluster.client.call(&address, paths::RENEW, renew, PATIENCE).await;
--- a/components/entry/src/run/at_most_once/answers.rs
+++ b/components/entry/src/run/at_most_once/answers.rs
@@ -1,6 +1,6 @@
 //! Answers and failures of claims as callers receive them.
 
-use chicoryford_state::Assigned;
+use chicoryford_state::AgentAssignment;
 use chicoryford_state::ClaimEnd;
 use chicoryford_state::Refusal;
 use chicoryford_types::Code;
@@ -13,8 +13,8 @@
 pub(super) const RETRY_MS: u64 = 1_000;
 
 /// Converts a pick to the agent assigned in a claim.
-pub(super) fn assigned(pick: &Pick) -> Assigned {
-    Assigned {
+pub(super) fn assigned(pick: &Pick) -> AgentAssignment {
+    AgentAssignment {
         endpoint: pick.endpoint.clone(),
         agent: pick.agent.clone(),
         incarnation: pick.incarnation,
--- a/components/entry/src/run/at_most_once/mod.rs
+++ b/components/entry/src/run/at_most_once/mod.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use chicoryford_state::Assigned;
+use chicoryford_state::AgentAssignment;
 use chicoryford_state::ClaimEnd;
 use chicoryford_state::Command;
 use chicoryford_state::Refusal;
@@ -57,7 +57,7 @@
 struct Holder {
     request: RequestId,
     attempt: Number,
-    to: Assigned,
+    to: AgentAssignment,
 }
 
 /// State of the call, which names the next action.
--- a/components/entry/src/run/at_most_once/outcome.rs
+++ b/components/entry/src/run/at_most_once/outcome.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use chicoryford_state::Assigned;
+use chicoryford_state::AgentAssignment;
 use chicoryford_state::ClaimEnd;
 use chicoryford_state::Command;
 use chicoryford_state::Refusal;
@@ -50,7 +50,7 @@
         key: key.clone(),
         request: Job::new_request_id(),
         after: NO_ATTEMPT,
-        to: Assigned::default(),
+        to: AgentAssignment::default(),
     };
     let unclaimed = |reply| {
         matches!(
--- a/components/entry/src/steps/session.rs
+++ b/components/entry/src/steps/session.rs
@@ -8,9 +8,9 @@
 use chicoryford_ledger::Audit;
 use chicoryford_ledger::StepKey;
 use chicoryford_state::Command;
-use chicoryford_state::Renew;
-use chicoryford_state::Renewed;
 use chicoryford_state::Reply;
+use chicoryford_state::SessionRenewal;
+use chicoryford_state::SessionRenewalReply;
 use chicoryford_types::Millis;
 use chicoryford_wire::paths;
 
@@ -135,8 +135,8 @@
     context: &Context,
     session: u64,
     audit: Option<Audit>,
-) -> Option<(Renewed, Millis)> {
-    let request = Renew { node: context.node.clone(), session, audit };
+) -> Option<(SessionRenewalReply, Millis)> {
+    let request = SessionRenewal { node: context.node.clone(), session, audit };
     let members = context.members.view();
     for member in members.present().filter(|member| member.roles.control) {
         let sent = context.now();
--- a/components/entry/tests/at_most_once.rs
+++ b/components/entry/tests/at_most_once.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use bytes::Bytes;
-use chicoryford_state::Assigned;
+use chicoryford_state::AgentAssignment;
 use chicoryford_state::Command;
 use chicoryford_types::Code;
 use chicoryford_types::Digest;
@@ -52,7 +52,7 @@
         key: IdempotencyKey::from(key),
         digest: Digest::of(&content),
         request: RequestId(1, 1),
-        to: Assigned {
+        to: AgentAssignment {
             endpoint: Endpoint::from("endpoint-0"),
             agent: Node::from("agent-0"),
             incarnation: Incarnation(1),
--- a/components/entry/tests/support/mod.rs
+++ b/components/entry/tests/support/mod.rs
@@ -20,9 +20,9 @@
 use chicoryford_settings::Settings;
 use chicoryford_state::Base;
 use chicoryford_state::Command;
-use chicoryford_state::Renew;
-use chicoryford_state::Renewed;
 use chicoryford_state::Reply as StateReply;
+use chicoryford_state::SessionRenewal;
+use chicoryford_state::SessionRenewalReply;
 use chicoryford_state::State;
 use chicoryford_types::ChangeId;
 use chicoryford_types::Class;
@@ -226,12 +226,12 @@
         let at = Position { epoch: Epoch(1), ..Position::default() };
         let mut state = self.state.lock().unwrap();
         let reply = state.apply(at, chicoryford_kernel::unix(), command);
-        assert_eq!(state.broken(), 0);
+        assert_eq!(state.violations(), 0);
         self.config.send_replace(Arc::new(state.config.clone()));
         reply
     }
 
-    fn renew(&self, renew: Renew) -> Renewed {
+    fn renew(&self, renew: SessionRenewal) -> SessionRenewalReply {
         let held = self.state.lock().unwrap().session(renew.session).is_some();
         let orphans = match self.apply(Command::Ledger(Box::new(LedgerCommand::Orphans))) {
             StateReply::Ledger(reply) => match *reply {
@@ -242,7 +242,7 @@
         };
         let ledger = &self.state.lock().unwrap().ledger;
         let audited = renew.audit.as_ref().map(|audit| ledger.audit(audit));
-        Renewed { held, lasts_ms: 5_000, orphans, audited }
+        SessionRenewalReply { held, lasts_ms: 5_000, orphans, audited }
     }
 }
 
--- a/components/node/src/leader/mod.rs
+++ b/components/node/src/leader/mod.rs
@@ -261,7 +261,7 @@
 
     fn control_addresses(&self) -> BTreeSet<SocketAddr> {
         let members = self.context.replica.status().members;
-        members.seats.values().filter_map(|seat| seat.address.parse().ok()).collect()
+        members.replicas.values().filter_map(|seat| seat.address.parse().ok()).collect()
     }
 
     /// Broadcasts the addresses of the control processes.
--- a/components/node/src/members.rs
+++ b/components/node/src/members.rs
@@ -5,7 +5,7 @@
 use std::rc::Weak;
 use std::time::Duration;
 
-use chicoryford_agreement::Change;
+use chicoryford_agreement::MembershipChange;
 use chicoryford_agreement::Refusal;
 use chicoryford_agreement::ReplicaId;
 use chicoryford_agreement::Status;
@@ -32,13 +32,13 @@
 /// Adds a replica to the members.
 pub async fn join(leader: &Rc<Leader>, id: ReplicaId) -> Answer {
     let status = leader.context.replica.status();
-    if status.members.has(&id) {
+    if status.members.contains(&id) {
         return Answer::Done;
     }
     let replaces = member_to_replace(&status, &id);
     let address = id.node.to_string();
     let named = replaces.as_ref().map(ToString::to_string).unwrap_or_default();
-    let change = Change::Add { id: id.clone(), address, replaces };
+    let change = MembershipChange::Add { id: id.clone(), address, replaces };
     let done = leader.context.replica.change(change).await;
     let outcome = done.as_ref().map_or_else(ToString::to_string, |_| "added".to_owned());
     tracing::info!(event = "replica_joins", replica = %id, replaces = named, outcome);
@@ -53,7 +53,7 @@
 /// Returns the member that a new replica replaces: the previous replica on its VM, or a lost voter
 /// that no other replica replaces yet.
 fn member_to_replace(status: &Status, id: &ReplicaId) -> Option<ReplicaId> {
-    let seats = &status.members.seats;
+    let seats = &status.members.replicas;
     let before = seats.keys().find(|other| other.node == id.node && *other != id);
     let is_replaced = |other: &ReplicaId| {
         seats.values().any(|seat| !seat.voter && seat.replaces.as_ref() == Some(other))
@@ -75,7 +75,7 @@
         let Some(leader) = leader.upgrade() else { return };
         let status = leader.context.replica.status();
         let Some(id) = member_to_remove(&status) else { continue };
-        let done = leader.context.replica.change(Change::Remove(id.clone())).await;
+        let done = leader.context.replica.change(MembershipChange::Remove(id.clone())).await;
         let outcome = done.map_or_else(|why| why.to_string(), |_| "removed".to_owned());
         tracing::info!(event = "replica_removed", replica = %id, outcome);
         leader.broadcast_controls();
--- a/components/node/src/replica.rs
+++ b/components/node/src/replica.rs
@@ -16,11 +16,11 @@
 use bytes::Bytes;
 use chicoryford_agreement as agreement;
 use chicoryford_agreement::Action;
-use chicoryford_agreement::Change;
 use chicoryford_agreement::Committed;
+use chicoryford_agreement::EntryId;
 use chicoryford_agreement::Event;
 use chicoryford_agreement::Founder;
-use chicoryford_agreement::Mark;
+use chicoryford_agreement::MembershipChange;
 use chicoryford_agreement::Payload;
 use chicoryford_agreement::Proposal;
 use chicoryford_agreement::Refusal;
@@ -110,7 +110,7 @@
     /// The epoch of the newest leader whose commands were applied here, and how far its clock is
     /// ahead of this VM's.
     clock_offset: Cell<Option<(Epoch, i64)>>,
-    applied: Cell<Mark>,
+    applied: Cell<EntryId>,
     jobs: Sender<Job>,
     backlog: RefCell<VecDeque<Job>>,
     peers: Peers,
@@ -148,10 +148,10 @@
         let id = ReplicaId::new(Node::from(own.to_string().as_str()), recovered.identity);
         let saved = convert::saved(recovered)?;
         let mut state = State::default();
-        let mut applied = Mark::default();
+        let mut applied = EntryId::default();
         if let Some(snapshot) = &saved.snapshot {
             state = rmp_serde::from_slice(&snapshot.data)?;
-            applied = snapshot.meta.mark;
+            applied = snapshot.meta.last;
         }
         let founders = founders.iter().map(|address| Founder {
             node: Node::from(address.to_string().as_str()),
@@ -162,7 +162,7 @@
             founders: founders.collect(),
             election_ms: ELECTION_MS,
             heartbeat_ms: HEARTBEAT_MS,
-            tail: LOG_TAIL_ENTRIES,
+            retained_entries: LOG_TAIL_ENTRIES,
             ..agreement::Settings::default()
         };
         let replica = Replica::new(settings, saved, rand::random());
@@ -220,7 +220,7 @@
     /// Returns whether this replica leads and holds a valid lease, so that no other replica can
     /// lead.
     pub fn leads(&self) -> bool {
-        self.replica.borrow().leads(clock::now())
+        self.replica.borrow().holds_lease(clock::now())
     }
 
     /// Subscribes to this replica's leadership; the value is the epoch in which it leads.
@@ -302,7 +302,7 @@
     /// # Errors
     ///
     /// [`Refusal`] if this change is not possible now.
-    pub async fn change(&self, change: Change) -> Result<Done, Refusal> {
+    pub async fn change(&self, change: MembershipChange) -> Result<Done, Refusal> {
         let token = self.new_token();
         let (waiter, answer) = oneshot::channel();
         self.proposals.borrow_mut().insert(token, waiter);
@@ -331,7 +331,7 @@
             Report::Encoded(snapshot) => self.backlog.borrow_mut().push_back(Job::Keep(snapshot)),
             Report::Kept(snapshot) => {
                 self.taking_snapshot.set(false);
-                self.snapshot_index.set(self.snapshot_index.get().max(snapshot.meta.mark.index));
+                self.snapshot_index.set(self.snapshot_index.get().max(snapshot.meta.last.index));
                 self.handle_event(Event::SnapshotTaken(snapshot));
             }
             Report::Failed(error) => {
@@ -386,9 +386,9 @@
 
     fn apply_committed(&self, committed: Committed) {
         let Committed { entry, token } = committed;
-        self.applied.set(entry.mark);
+        self.applied.set(entry.id);
         let done = match entry.payload {
-            Payload::Data(data) => self.apply(entry.mark, &data),
+            Payload::Data(data) => self.apply(entry.id, &data),
             Payload::Empty | Payload::Members(_) => Done::Changed,
         };
         let waiter = token.and_then(|token| self.proposals.borrow_mut().remove(&token));
@@ -398,7 +398,7 @@
         }
     }
 
-    fn apply(&self, mark: Mark, data: &Bytes) -> Done {
+    fn apply(&self, mark: EntryId, data: &Bytes) -> Done {
         self.bytes_since_snapshot.set(self.bytes_since_snapshot.get() + data.len());
         let stamped: Stamped = match rmp_serde::from_slice(data) {
             Ok(stamped) => stamped,
@@ -428,8 +428,8 @@
                 self.failed.send_replace(true);
             }
         }
-        self.applied.set(snapshot.meta.mark);
-        self.snapshot_index.set(snapshot.meta.mark.index);
+        self.applied.set(snapshot.meta.last);
+        self.snapshot_index.set(snapshot.meta.last.index);
         self.bytes_since_snapshot.set(0);
     }
 
@@ -458,14 +458,14 @@
         self.taking_snapshot.set(true);
         self.bytes_since_snapshot.set(0);
         let members = self.replica.borrow().members_at(applied.index);
-        let meta = SnapshotMeta { mark: applied, members };
+        let meta = SnapshotMeta { last: applied, members };
         // Cloning is cheap because steps and results are reference-counted. Encoding takes long and
         // would delay heartbeats on this thread.
         let state = self.state.borrow().clone();
         let encoded_reports = self.encoded_reports.clone();
         drop(std::thread::spawn(move || {
             let data = rmp_serde::to_vec(&state).expect("the state is plain data");
-            tracing::info!(event = "snapshot_encoded", index = meta.mark.index, bytes = data.len());
+            tracing::info!(event = "snapshot_encoded", index = meta.last.index, bytes = data.len());
             let _ = encoded_reports.send_blocking(Report::Encoded(convert::join(meta, data)));
         }));
     }
--- a/components/state/examples/measure-state.rs
+++ b/components/state/examples/measure-state.rs
@@ -12,7 +12,7 @@
 use chicoryford_ledger::Record;
 use chicoryford_ledger::StepKey;
 use chicoryford_ledger::StepSpec;
-use chicoryford_state::Assigned;
+use chicoryford_state::AgentAssignment;
 use chicoryford_state::Base;
 use chicoryford_state::ClaimEnd;
 use chicoryford_state::Command;
@@ -88,7 +88,7 @@
         key: IdempotencyKey(format!("{}.{number:016x}", NOW.0 + number % 1_000)),
         digest: Digest::of(&number.to_be_bytes()),
         request: RequestId(number, number),
-        to: Assigned { agent: Node::from("agent-17"), ..Assigned::default() },
+        to: AgentAssignment { agent: Node::from("agent-17"), ..AgentAssignment::default() },
     }
 }
 
--- a/components/state/src/claims.rs
+++ b/components/state/src/claims.rs
@@ -17,16 +17,16 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::command::Assigned;
+use crate::command::AgentAssignment;
 use crate::command::ClaimEnd;
 use crate::command::Refusal;
 use crate::command::Reply;
 use crate::key::issued;
 
 /// Milliseconds for which a key may be used after its issue.
-pub const CLAIM_MS: u64 = 60 * 60 * 1_000;
+pub const CLAIM_WINDOW_MS: u64 = 60 * 60 * 1_000;
 /// Milliseconds by which a key's time of issue may lie ahead of the leader's clock.
-pub const CLAIM_AHEAD_MS: u64 = 5 * 60 * 1_000;
+pub const MAX_KEY_CLOCK_SKEW_MS: u64 = 5 * 60 * 1_000;
 /// Claims that are kept at most; past it new ones are refused, which is truly "not run".
 pub const CLAIMS: usize = 100_000;
 /// Bytes of stored answers at most.
@@ -49,7 +49,7 @@
     digest: Digest,
     attempt: Attempt,
     request: RequestId,
-    to: Assigned,
+    to: AgentAssignment,
     end: Option<ClaimEnd>,
 }
 
@@ -71,7 +71,7 @@
         workspace: Workspace,
         key: IdempotencyKey,
         digest: Digest,
-        by: (RequestId, Assigned),
+        by: (RequestId, AgentAssignment),
     ) -> Reply {
         self.expire(now);
         let key = match self.key(now, workspace, key) {
@@ -98,7 +98,7 @@
         workspace: Workspace,
         key: IdempotencyKey,
         after: Attempt,
-        by: (RequestId, Assigned),
+        by: (RequestId, AgentAssignment),
     ) -> Reply {
         self.expire(now);
         let claim = match self.find(now, workspace, key) {
@@ -151,8 +151,8 @@
 
     fn key(&self, now: Unix, workspace: Workspace, key: IdempotencyKey) -> Result<Key, Refusal> {
         let issued = issued(key.as_str()).ok_or(Refusal::KeyExpired)?;
-        let is_old = issued.0.saturating_add(CLAIM_MS) <= now.0;
-        let is_ahead = issued.0 > now.0.saturating_add(CLAIM_AHEAD_MS);
+        let is_old = issued.0.saturating_add(CLAIM_WINDOW_MS) <= now.0;
+        let is_ahead = issued.0 > now.0.saturating_add(MAX_KEY_CLOCK_SKEW_MS);
         if is_old || is_ahead {
             return Err(Refusal::KeyExpired);
         }
@@ -172,7 +172,7 @@
     /// Forgets claims whose keys are refused from now on.
     fn expire(&mut self, now: Unix) {
         while let Some(first) = self.held.first_entry()
-            && first.key().0.0.saturating_add(CLAIM_MS) <= now.0
+            && first.key().0.0.saturating_add(CLAIM_WINDOW_MS) <= now.0
         {
             self.bytes -= first.remove().end.as_ref().map_or(0, size);
         }
@@ -180,11 +180,11 @@
 }
 
 impl Claim {
-    fn is_by(&self, by: &(RequestId, Assigned)) -> bool {
+    fn is_by(&self, by: &(RequestId, AgentAssignment)) -> bool {
         self.request == by.0 && self.to == by.1
     }
 
-    fn answer(&self, digest: Digest, by: &(RequestId, Assigned)) -> Reply {
+    fn answer(&self, digest: Digest, by: &(RequestId, AgentAssignment)) -> Reply {
         if self.digest != digest {
             return Refusal::KeyReused.into();
         }
--- a/components/state/src/command.rs
+++ b/components/state/src/command.rs
@@ -39,7 +39,7 @@
 
 /// Which agent runs an attempt of a call that may not be repeated.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Assigned {
+pub struct AgentAssignment {
     /// The endpoint.
     pub endpoint: Endpoint,
     /// Its agent.
@@ -159,7 +159,7 @@
         /// The request that claims; the same request claiming again is granted again.
         request: RequestId,
         /// Which agent is to run it.
-        to: Assigned,
+        to: AgentAssignment,
     },
     /// Moves a claim to another agent after its last attempt certainly did not run.
     Reassign {
@@ -172,7 +172,7 @@
         /// The attempt that did not run; the claim must still stand at it.
         after: Attempt,
         /// Which agent is to run it.
-        to: Assigned,
+        to: AgentAssignment,
     },
     /// Ends a claim.
     Settle {
@@ -257,7 +257,7 @@
         /// The attempt that it stands at.
         attempt: Attempt,
         /// Which agent runs it.
-        to: Assigned,
+        to: AgentAssignment,
     },
     /// The claim has ended.
     Ended(ClaimEnd),
--- a/components/state/src/lib.rs
+++ b/components/state/src/lib.rs
@@ -17,14 +17,14 @@
 pub mod weights;
 
 pub use changes::change_id;
-pub use command::Assigned;
+pub use command::AgentAssignment;
 pub use command::Base;
 pub use command::ClaimEnd;
 pub use command::Command;
 pub use command::Refusal;
 pub use command::Reply;
 pub use machine::State;
-pub use recent::Recent;
-pub use session::Renew;
-pub use session::Renewed;
+pub use recent::RecentChanges;
+pub use session::SessionRenewal;
+pub use session::SessionRenewalReply;
 pub use sessions::Session;
--- a/components/state/src/machine.rs
+++ b/components/state/src/machine.rs
@@ -16,7 +16,7 @@
 use crate::command::Command;
 use crate::command::Refusal;
 use crate::command::Reply;
-use crate::recent::Recent;
+use crate::recent::RecentChanges;
 use crate::sessions::Sessions;
 use crate::suspects::Suspects;
 use crate::templates::Histories;
@@ -33,8 +33,8 @@
     pub ledger: Ledger,
     /// Promises found broken by this replica since it started; zero unless there is a fault.
     #[serde(skip)]
-    pub broken: u64,
-    pub(crate) recent: Recent,
+    pub violations: u64,
+    pub(crate) recent: RecentChanges,
     pub(crate) window: ChangeWindow,
     pub(crate) histories: Histories,
     pub(crate) claims: Claims,
@@ -73,8 +73,8 @@
     }
 
     /// Counts the promises that this replica found broken; zero unless there is a fault.
-    pub fn broken(&self) -> u64 {
-        self.broken + self.ledger.broken
+    pub fn violations(&self) -> u64 {
+        self.violations + self.ledger.broken
     }
 
     /// Puts a change of configuration in force as the next revision and gives its position.
@@ -91,7 +91,7 @@
     }
 
     pub(crate) fn break_promise(&mut self, promise: &str) {
-        self.broken += 1;
+        self.violations += 1;
         tracing::error!(event = "promise_broken", promise, at = %self.config.at);
     }
 
--- a/components/state/src/recent.rs
+++ b/components/state/src/recent.rs
@@ -14,17 +14,17 @@
 use serde::Serialize;
 
 /// Changes kept for deltas; a follower that missed more is given a snapshot.
-pub const RECENT: usize = 4_096;
+pub const MAX_RECENT_CHANGES: usize = 4_096;
 
-/// The last accepted changes, bounded by [`RECENT`].
+/// The last accepted changes, bounded by [`MAX_RECENT_CHANGES`].
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
-pub struct Recent {
+pub struct RecentChanges {
     /// A follower at or beyond this position can be given a delta.
     floor: Position,
     changes: VecDeque<(Position, Change)>,
 }
 
-impl Recent {
+impl RecentChanges {
     /// Starts anew from a snapshot at `at`, before which no change is known.
     pub fn at(at: Position) -> Self {
         Self { floor: at, changes: VecDeque::new() }
@@ -33,7 +33,7 @@
     /// Keeps a change that was just applied.
     pub fn push(&mut self, at: Position, change: Change) {
         self.changes.push_back((at, change));
-        if self.changes.len() > RECENT
+        if self.changes.len() > MAX_RECENT_CHANGES
             && let Some((dropped, _)) = self.changes.pop_front()
         {
             self.floor = dropped;
--- a/components/state/src/session.rs
+++ b/components/state/src/session.rs
@@ -9,7 +9,7 @@
 
 /// An entry renews its session with the leader.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
-pub struct Renew {
+pub struct SessionRenewal {
     /// The entry.
     pub node: Node,
     /// Its session.
@@ -21,7 +21,7 @@
 
 /// What the leader answers to a renewal.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
-pub struct Renewed {
+pub struct SessionRenewalReply {
     /// Whether the session still holds. If not, the entry must stop its steps at once and open
     /// a new session.
     pub held: bool,
--- a/components/state/tests/random/replicas.rs
+++ b/components/state/tests/random/replicas.rs
@@ -7,7 +7,7 @@
 use chicoryford_ledger::Record;
 use chicoryford_ledger::StepKey;
 use chicoryford_ledger::StepSpec;
-use chicoryford_state::Assigned;
+use chicoryford_state::AgentAssignment;
 use chicoryford_state::Base;
 use chicoryford_state::ClaimEnd;
 use chicoryford_state::Command;
@@ -90,7 +90,7 @@
         if encode(&self.first) != encode(&self.second) {
             return Err("replicas differ".to_owned());
         }
-        match self.first.broken() + self.second.broken() {
+        match self.first.violations() + self.second.violations() {
             0 => Ok(()),
             broken => Err(format!("{broken} promises broken")),
         }
@@ -108,7 +108,7 @@
         if first != second {
             return Err(format!("answers differ: {first:?} and {second:?}"));
         }
-        if self.first.broken() > 0 {
+        if self.first.violations() > 0 {
             return Err("a promise is broken".to_owned());
         }
         self.follow();
@@ -340,8 +340,8 @@
     Template { workspace, title: format!("content {content}"), ..Template::default() }
 }
 
-fn assigned(agent: u8) -> Assigned {
-    Assigned { agent: Node(format!("a{agent}")), ..Assigned::default() }
+fn assigned(agent: u8) -> AgentAssignment {
+    AgentAssignment { agent: Node(format!("a{agent}")), ..AgentAssignment::default() }
 }
 
 fn end_of(kind: u8) -> ClaimEnd {
--- a/components/wire/src/paths.rs
+++ b/components/wire/src/paths.rs
@@ -42,7 +42,7 @@
 /// Asks a control process for the highest epoch that it knows.
 pub const EPOCH: &str = "/peer/v1/epoch";
 
-/// Renews an entry's session with the leader (`chicoryford_state::Renew`).
+/// Renews an entry's session with the leader (`chicoryford_state::SessionRenewal`).
 pub const RENEW: &str = "/peer/v1/renew";
 
 /// Has an entry hold a sample's bytes (`chicoryford_bodies::message::Put`).
