--- a/components/agreement/examples/cost.rs
+++ b/components/agreement/examples/cost.rs
@@ -1,5 +1,5 @@
-//! Measures what a committed entry costs: processor time of all replicas together, messages and
-//! bytes between them, at 3, 5 and 7 replicas, with proposals in batches and one by one.
+//! Measures the cost of a committed entry: CPU time of all replicas together, and messages and
+//! bytes between them, with 3, 5 and 7 replicas and proposals in batches and one by one.
 //!
 //! `cargo run --release -p chicoryford-agreement --example cost -- [seed]`
 
@@ -29,7 +29,7 @@
 const SNAPSHOT_EVERY: u64 = 8_192;
 
 #[derive(Default)]
-struct Count {
+struct Counters {
     messages: u64,
     bytes: u64,
     committed: u64,
@@ -41,7 +41,7 @@
     queue: VecDeque<Message>,
     synced: Vec<Option<u64>>,
     now: Millis,
-    count: Count,
+    counters: Counters,
 }
 
 fn main() {
@@ -57,17 +57,17 @@
 fn measure(replicas: usize, batch: u64, seed: u64) {
     let mut group = Group::new(replicas, seed);
     let leader = group.elect();
-    group.count = Count::default();
+    group.counters = Counters::default();
     let start = Instant::now();
     let mut next = 0;
     while next < ENTRIES {
         let proposals = (next..next + batch).map(proposal).collect();
-        group.tell(leader, Event::Propose(proposals));
-        group.settle();
+        group.handle_event(leader, Event::Propose(proposals));
+        group.deliver_all();
         next += batch;
     }
     let ns = start.elapsed().as_nanos() as u64;
-    let Count { messages, bytes, committed, syncs } = group.count;
+    let Counters { messages, bytes, committed, syncs } = group.counters;
     println!(
         "replicas={replicas} batch={batch} ns_an_entry={} messages_an_entry={:.3} \
          bytes_an_entry={:.0} syncs_an_entry={:.3}",
@@ -90,23 +90,29 @@
             address: format!("{name}.example:7100"),
         };
         let founders: Vec<Founder> = names.iter().map(founder).collect();
-        let replica = |(place, name): (usize, &String)| {
+        let replica = |(index, name): (usize, &String)| {
             let id = ReplicaId::new(name.as_str(), Incarnation(1));
             let settings = Settings { id, founders: founders.clone(), ..Settings::default() };
-            Replica::new(settings, Saved::default(), seed + place as u64)
+            Replica::new(settings, Saved::default(), seed + index as u64)
         };
         let replicas = names.iter().enumerate().map(replica).collect();
         let synced = vec![None; count];
-        Self { replicas, queue: VecDeque::new(), synced, now: Millis(0), count: Count::default() }
+        Self {
+            replicas,
+            queue: VecDeque::new(),
+            synced,
+            now: Millis(0),
+            counters: Counters::default(),
+        }
     }
 
     fn elect(&mut self) -> usize {
         loop {
             self.now = self.now + 20;
-            for place in 0..self.replicas.len() {
-                self.tell(place, Event::Tick);
+            for index in 0..self.replicas.len() {
+                self.handle_event(index, Event::Tick);
             }
-            self.settle();
+            self.deliver_all();
             let leads = |r: &Replica| r.role() == Role::Leader && r.holds_lease(self.now);
             if let Some(leader) = self.replicas.iter().position(leads) {
                 return leader;
@@ -114,12 +120,12 @@
         }
     }
 
-    fn settle(&mut self) {
+    fn deliver_all(&mut self) {
         loop {
-            for place in 0..self.replicas.len() {
-                if let Some(write) = self.synced[place].take() {
-                    self.count.syncs += 1;
-                    self.tell(place, Event::Synced { write });
+            for index in 0..self.replicas.len() {
+                if let Some(write) = self.synced[index].take() {
+                    self.counters.syncs += 1;
+                    self.handle_event(index, Event::Synced { write });
                 }
             }
             let Some(message) = self.queue.pop_front() else {
@@ -130,44 +136,44 @@
             };
             let to = self.replicas.iter().position(|replica| replica.id().node == message.to.node);
             if let Some(to) = to {
-                self.tell(to, Event::Message(message));
+                self.handle_event(to, Event::Message(message));
             }
         }
     }
 
-    fn tell(&mut self, place: usize, event: Event) {
-        let actions = self.replicas[place].handle(self.now, event);
+    fn handle_event(&mut self, index: usize, event: Event) {
+        let actions = self.replicas[index].handle(self.now, event);
         for action in actions {
             match action {
-                Action::Persist(write) => self.synced[place] = Some(write.number),
+                Action::Persist(write) => self.synced[index] = Some(write.number),
                 Action::Send(message) => {
-                    self.count.messages += 1;
-                    self.count.bytes += size(&message);
+                    self.counters.messages += 1;
+                    self.counters.bytes += size(&message);
                     self.queue.push_back(message);
                 }
                 Action::Commit(entries) => {
                     let own = entries.iter().filter(|committed| committed.token.is_some());
-                    self.count.committed += own.count() as u64;
-                    self.compact(place);
+                    self.counters.committed += own.count() as u64;
+                    self.compact(index);
                 }
                 _ => {}
             }
         }
     }
 
-    fn compact(&mut self, place: usize) {
-        let replica = &self.replicas[place];
+    fn compact(&mut self, index: usize) {
+        let replica = &self.replicas[index];
         let status = replica.status();
         if status.commit < status.snapshot.index + SNAPSHOT_EVERY {
             return;
         }
         let Some(last) = replica.entry_id(status.commit) else { return };
         let meta = SnapshotMeta { last, members: replica.members_at(last.index) };
-        self.tell(place, Event::SnapshotTaken(Snapshot { meta, data: Bytes::new() }));
+        self.handle_event(index, Event::SnapshotTaken(Snapshot { meta, data: Bytes::new() }));
     }
 }
 
-/// Gives the bytes of a message as MessagePack.
+/// Returns the size of a message as MessagePack in bytes.
 fn size(message: &Message) -> u64 {
     rmp_serde::to_vec_named(message).map_or(0, |bytes| bytes.len() as u64)
 }
--- a/components/agreement/src/action.rs
+++ b/components/agreement/src/action.rs
@@ -1,4 +1,4 @@
-//! What a replica wants done.
+//! The actions that a replica requests from its caller.
 
 use chicoryford_types::Epoch;
 use thiserror::Error;
@@ -10,47 +10,47 @@
 use crate::saved::Snapshot;
 use crate::saved::Write;
 
-/// Why a proposal, change or read was refused.
+/// Why a proposal, membership change or read was refused.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum Refusal {
-    /// This replica does not lead. Nothing was done.
-    #[error("this replica does not lead")]
+    /// This replica is not the leader. Nothing was done.
+    #[error("this replica is not the leader")]
     NotLeader {
-        /// Who leads, as far as this replica knows.
+        /// The leader, if this replica knows one.
         leader: Option<ReplicaId>,
     },
-    /// This replica lost its leadership before the entry was committed: it may yet be committed
-    /// or be lost. For a read, nothing was done.
-    #[error("leadership was lost; the entry may yet be committed")]
+    /// This replica lost its leadership before the entry was committed; the entry may still be
+    /// committed or be lost. For a read, nothing was done.
+    #[error("leadership was lost; the entry may still be committed")]
     Unknown {
-        /// Who leads, as far as this replica knows.
+        /// The leader, if this replica knows one.
         leader: Option<ReplicaId>,
     },
-    /// Too much is uncommitted already. Nothing was done.
-    #[error("too much is uncommitted")]
+    /// Too many entries are uncommitted. Nothing was done.
+    #[error("too many entries are uncommitted")]
     Full,
     /// Leadership is being handed over. Nothing was done.
     #[error("leadership is being handed over")]
     HandingOver,
-    /// This replica's disk failed. Nothing was done.
+    /// The disk of this replica failed. Nothing was done.
     #[error("the disk of this replica failed")]
     StorageFailed,
-    /// Another change of the members is not yet committed. Nothing was done.
-    #[error("another change of the members is in progress")]
+    /// Another membership change is not yet committed. Nothing was done.
+    #[error("another membership change is in progress")]
     ChangePending,
-    /// The replica to promote does not yet hold enough of the log. Nothing was done.
+    /// The replica to promote has not caught up with the log. Nothing was done.
     #[error("the replica has not caught up")]
     NotCaughtUp,
-    /// Too few of the voters that the change would leave are alive. Nothing was done.
+    /// Too few of the voters that would remain after the change are alive. Nothing was done.
     #[error("too few of the voters that would remain are alive")]
     WouldLoseQuorum,
-    /// The change makes no sense for the present members. Nothing was done.
-    #[error("the change does not fit the members")]
+    /// The change does not apply to the current members. Nothing was done.
+    #[error("the change does not apply to the current members")]
     InvalidChange,
 }
 
 impl Refusal {
-    /// Tells whether what was refused certainly does not happen.
+    /// Returns whether the refused request is certain not to take effect.
     pub fn is_final(&self) -> bool {
         !matches!(self, Self::Unknown { .. })
     }
@@ -61,48 +61,48 @@
 pub struct Committed {
     /// The entry.
     pub entry: Entry,
-    /// The token, if the entry was proposed here and is now to be answered.
+    /// The token of the proposal, if the entry was proposed at this replica and must be answered.
     pub token: Option<Token>,
 }
 
-/// What a replica wants done, in order.
+/// An action that a replica requests. Actions are carried out in order.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Writes something to disk. Writes are carried out in order; one sync may serve several,
-    /// after which [`crate::Event::Synced`] names the last of them.
+    /// Writes to disk. Writes are carried out in order. One sync may cover several writes;
+    /// [`crate::Event::Synced`] then reports the last of them.
     Persist(Write),
-    /// Sends a message. It may be lost; nothing waits for it.
+    /// Sends a message. Delivery is not guaranteed and nothing waits for it.
     Send(Message),
-    /// Applies entries to the state machine, in order and without gaps.
+    /// Applies committed entries to the state machine, in order and without gaps.
     Commit(Vec<Committed>),
-    /// Replaces the state machine's state. The snapshot is also in the [`Write`] before it.
+    /// Replaces the state of the state machine. The preceding [`Write`] contains the same snapshot.
     ApplySnapshot(Snapshot),
-    /// Answers that something is refused.
+    /// Answers a request with a refusal.
     Refuse {
-        /// What.
+        /// The refused request.
         token: Token,
-        /// Why.
-        why: Refusal,
+        /// The reason.
+        reason: Refusal,
     },
-    /// Answers a read: a state machine that has applied what was committed before this action
+    /// Answers a read. A state machine that has applied everything committed before this action
     /// gives a linearizable answer.
     ReadReady {
-        /// Which read.
+        /// The read.
         token: Token,
-        /// The entry up to which the state machine must have applied.
+        /// The index up to which the state machine must have applied entries.
         index: u64,
     },
-    /// This replica leads, and everything committed in earlier epochs was handed to the state
+    /// This replica is the leader. Everything committed in earlier epochs was passed to the state
     /// machine before this action.
     BecameLeader {
         /// The epoch.
         epoch: Epoch,
     },
-    /// This replica does not lead, or not yet.
+    /// This replica is not the leader, or not yet ready to act as one.
     BecameFollower {
         /// The epoch.
         epoch: Epoch,
-        /// Who leads, if that is known.
+        /// The leader, if known.
         leader: Option<ReplicaId>,
     },
 }
--- a/components/agreement/src/append.rs
+++ b/components/agreement/src/append.rs
@@ -1,4 +1,4 @@
-//! The follower's side of appending.
+//! Log replication: the follower's side.
 
 use chicoryford_types::Epoch;
 
@@ -8,15 +8,16 @@
 use crate::invariant::Invariant;
 use crate::message::Body;
 use crate::replica::Replica;
-use crate::restart::Since;
+use crate::restart::SinceStart;
 use crate::status::Role;
 
 impl Replica {
-    /// Follows the leader of an epoch that is at least as high; tells whether it may be.
+    /// Follows the leader of an epoch that is not lower than the current one. Returns whether the
+    /// message may be processed.
     pub(crate) fn follow(&mut self, from: &ReplicaId, epoch: Epoch) -> bool {
         let same = epoch == self.hard.epoch;
-        let other = self.leader.as_ref().is_some_and(|leader| leader != from);
-        let rival = same && (self.role == Role::Leader || other);
+        let other_leader = self.leader.as_ref().is_some_and(|leader| leader != from);
+        let rival = same && (self.role == Role::Leader || other_leader);
         self.check(!rival, Invariant::OneLeader);
         if rival {
             return false;
@@ -24,9 +25,9 @@
         if !same || self.role != Role::Follower || self.leader.is_none() {
             self.become_follower(epoch, Some(from.clone()));
         }
-        self.heard = self.now;
-        self.restart.since = Since::Leader;
-        self.draw_deadline();
+        self.leader_contact = self.now;
+        self.restart.since_start = SinceStart::LeaderSeen;
+        self.reset_election_deadline();
         true
     }
 
@@ -40,22 +41,22 @@
     ) {
         self.round = self.round.max(round);
         let base = self.log.base().index;
-        if prev.index >= base && !self.log.has(prev) {
-            let conflict = Some(self.log.candidate(prev));
+        if prev.index >= base && !self.log.contains(prev) {
+            let conflict = Some(self.log.find_match(prev));
             self.reply_append(from, conflict);
             return;
         }
         let last = prev.index + entries.len() as u64;
-        // What lies at or before the base is committed, and so equal.
+        // Entries at or before the base are committed and therefore equal.
         for entry in entries.into_iter().filter(|entry| entry.id.index > base) {
-            self.take_entry(entry);
+            self.append_entry(entry);
         }
         self.verified = self.verified.max(last.max(base));
         self.commit_to(commit.min(self.verified));
         self.reply_append(from, None);
     }
 
-    fn take_entry(&mut self, entry: Entry) {
+    fn append_entry(&mut self, entry: Entry) {
         let index = entry.id.index;
         match self.log.get(index) {
             Some(own) if own.id == entry.id => {
@@ -70,24 +71,24 @@
         }
     }
 
-    /// Tells the leader how much of its log is on disk here.
+    /// Reports to the leader how much of its log is on disk here.
     fn reply_append(&mut self, to: ReplicaId, conflict: Option<EntryId>) {
         let body = Body::AppendReply { round: self.round, matched: self.matched(), conflict };
         self.send(to, body);
     }
 
     fn matched(&mut self) -> u64 {
-        let counted =
+        let limit =
             if self.settings.protections.sync_first { self.durable.index } else { u64::MAX };
-        let matched = self.verified.min(counted);
+        let matched = self.verified.min(limit);
         self.check(matched <= self.durable.index, Invariant::SyncedFirst);
         matched
     }
 
-    /// Takes word from the disk: lets go of what waited for it, and counts it.
-    pub(crate) fn synced(&mut self, write: u64) {
+    /// Records that writes are synced and acknowledges the votes and entries that waited for it.
+    pub(crate) fn on_synced(&mut self, write: u64) {
         let before = self.durable.index;
-        self.durable.sync(write);
+        self.durable.mark_synced(write);
         if self.durable.hard == self.hard {
             self.count_own_vote();
         }
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Tells the leader, if there is one, how much of its log is on disk here.
+    /// Reports to the leader, if there is one, how much of its log is on disk here.
     pub(crate) fn reply_append_to_leader(&mut self) {
         if let Some(leader) = self.leader.clone() {
             self.reply_append(leader, None);
--- a/components/agreement/src/bootstrap.rs
+++ b/components/agreement/src/bootstrap.rs
@@ -1,15 +1,17 @@
-//! The first start of a deployment.
+//! The bootstrap of a deployment.
 //!
 //! The founders' settings name nodes, but voters are nodes with the incarnations of their data
-//! folders. The founder that is first by name writes the first entry, the members, after every
-//! other has told its incarnation and that its disk is empty. The others wait to be sent it.
+//! folders. The founder whose name sorts first writes the first log entry, which contains the
+//! members, after every other founder has reported its incarnation and that its disk is empty. The
+//! other founders wait to receive that entry.
 //!
-//! Without the question a founder whose disk is lost later, and which starts with the settings
-//! of the first day, would found a second deployment beside the first. It would show as two
-//! leaders that do not know each other. As any other founder that has a vote, an epoch or an
-//! entry says so, and all must answer, that takes the loss of every founder's disk. It may come to
-//! that when other replicas took the founders' places one by one, so the other control processes
-//! that gossip knows are asked as well, and one that is not empty is enough to forbid it.
+//! Without this request, a founder that loses its disk later and starts with its original settings
+//! would bootstrap a second deployment next to the first one. Operators would see two leaders that
+//! are unaware of each other. All founders must reply, and one with a vote, an epoch or an entry
+//! prevents the bootstrap, so a second deployment could only arise if every founder lost its disk.
+//! That can happen after other replicas have replaced the founders one by one, so the other control
+//! processes known from gossip are asked as well, and a single one that is not empty prevents the
+//! bootstrap.
 
 use std::collections::BTreeSet;
 
@@ -26,24 +28,24 @@
 use crate::replica::Replica;
 
 impl Replica {
-    /// Tells whether nothing was ever written here.
+    /// Returns whether this replica has never written any state.
     pub(crate) fn is_empty(&self) -> bool {
         let never = self.hard.epoch.0 == 0 && self.hard.vote.is_none();
         never && self.log.last() == EntryId::default()
     }
 
-    /// Asks the other founders, if this one is to write the first entry.
-    pub(crate) fn seek_founders(&mut self) {
+    /// Asks the other founders, if this one is responsible for the first entry.
+    pub(crate) fn contact_founders(&mut self) {
         if !self.is_empty() || !self.is_first_founder() {
             return;
         }
-        self.found();
-        if !self.is_empty() || self.now < self.deadline {
+        self.try_bootstrap();
+        if !self.is_empty() || self.now < self.election_deadline {
             return;
         }
-        self.deadline = self.now + self.settings.heartbeat_ms;
+        self.election_deadline = self.now + self.settings.heartbeat_ms;
         let founders = self.settings.founders.iter().map(|founder| founder.node.clone());
-        let nodes: BTreeSet<Node> = founders.chain(self.neighbours.iter().cloned()).collect();
+        let nodes: BTreeSet<Node> = founders.chain(self.known_nodes.iter().cloned()).collect();
         for node in nodes {
             if node != self.settings.id.node {
                 self.send(ReplicaId { node, ..ReplicaId::default() }, Body::Hello);
@@ -62,16 +64,17 @@
     }
 
     pub(crate) fn on_hello_reply(&mut self, from: ReplicaId, empty: bool) {
-        self.founders.retain(|id, _| id.node != from.node);
-        self.founders.insert(from, empty);
+        self.founder_replies.retain(|id, _| id.node != from.node);
+        self.founder_replies.insert(from, empty);
         if self.is_empty() && self.is_first_founder() {
-            self.found();
+            self.try_bootstrap();
         }
     }
 
-    /// Writes the first entry if all founders are known and empty.
-    fn found(&mut self) {
-        if self.founders.values().any(|empty| !empty) {
+    /// Writes the first entry if the identities of all founders are known and their disks are
+    /// empty.
+    fn try_bootstrap(&mut self) {
+        if self.founder_replies.values().any(|empty| !empty) {
             return;
         }
         let mut members = Membership::default();
@@ -84,14 +87,14 @@
         tracing::info!(event = "founded", replicas = members.replicas.len());
         let id = EntryId { index: 1, ..EntryId::default() };
         self.push(Entry { id, payload: Payload::Members(members) });
-        self.deadline = self.now;
+        self.election_deadline = self.now;
     }
 
     fn founder_id(&self, founder: &Founder) -> Option<ReplicaId> {
         if founder.node == self.settings.id.node {
             return Some(self.settings.id.clone());
         }
-        let found = self.founders.iter().find(|(id, _)| id.node == founder.node);
+        let found = self.founder_replies.iter().find(|(id, _)| id.node == founder.node);
         found.filter(|(_, empty)| **empty).map(|(id, _)| id.clone())
     }
 }
--- a/components/agreement/src/check.rs
+++ b/components/agreement/src/check.rs
@@ -1,4 +1,4 @@
-//! Promises that are checked after every event.
+//! Invariant checks after every event, and the status report.
 
 use crate::invariant::Invariant;
 use crate::replica::Replica;
@@ -8,20 +8,21 @@
 
 impl Replica {
     pub(crate) fn check_invariants(&mut self) {
-        let kept = self.commit <= self.log.last().index;
-        self.check(kept, Invariant::CommittedStays);
+        let holds = self.commit <= self.log.last().index;
+        self.check(holds, Invariant::CommittedStays);
         if self.role == Role::Leader {
-            let heard = self.now.since(self.contact()) < self.settings.min_election_ms();
-            self.check(heard, Invariant::LeadsOnlyWithQuorum);
+            let has_quorum =
+                self.now.since(self.quorum_contact()) < self.settings.min_election_ms();
+            self.check(has_quorum, Invariant::LeadsOnlyWithQuorum);
         }
     }
 
-    /// Gives how the replica stands.
+    /// Returns the status of the replica.
     pub fn status(&self) -> Status {
-        let lease = self.lead.as_ref().map_or(0, |lead| lead.lease.since(self.now));
+        let lease = self.leader_state.as_ref().map_or(0, |lead| lead.lease_until.since(self.now));
         Status {
             id: self.settings.id.clone(),
-            role: self.shown_role(),
+            role: self.reported_role(),
             epoch: self.hard.epoch,
             leader: self.leader.clone(),
             members: self.members().clone(),
@@ -36,20 +37,20 @@
         }
     }
 
-    fn shown_role(&self) -> Role {
-        let unborn = self.role == Role::Follower && self.members().replicas.is_empty();
-        if unborn { Role::Uninitialized } else { self.role }
+    fn reported_role(&self) -> Role {
+        let uninitialized = self.role == Role::Follower && self.members().replicas.is_empty();
+        if uninitialized { Role::Uninitialized } else { self.role }
     }
 
     fn peer_statuses(&self) -> Vec<PeerStatus> {
-        let Some(lead) = &self.lead else { return Vec::new() };
+        let Some(lead) = &self.leader_state else { return Vec::new() };
         let peers = lead.peers.iter();
         peers
             .map(|(id, peer)| PeerStatus {
                 id: id.clone(),
                 matched: peer.matched,
-                silent_ms: self.now.since(peer.heard),
-                snapshot: peer.transfer.is_some(),
+                silent_ms: self.now.since(peer.last_contact),
+                snapshot: peer.snapshot.is_some(),
             })
             .collect()
     }
--- a/components/agreement/src/election.rs
+++ b/components/agreement/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, votes, stepping down.
+//! Elections: pre-vote, votes and stepping down.
 
 use chicoryford_types::Epoch;
 use chicoryford_types::Millis;
@@ -8,38 +8,39 @@
 use crate::invariant::Invariant;
 use crate::message::Body;
 use crate::replica::Replica;
-use crate::restart::Since;
+use crate::restart::SinceStart;
 use crate::saved::HardState;
 use crate::status::Role;
 
 impl Replica {
-    /// Tells whether a leader was heard so lately that no other may be elected.
+    /// Returns whether contact with a leader is so recent that no other may be elected.
     ///
-    /// A leader's lease is counted from the sending of a heartbeat and is shorter than this,
-    /// which is counted from its receipt, so a replica that refuses votes meanwhile keeps any
-    /// other from being elected before the lease ends.
-    pub(crate) fn hears_leader(&self) -> bool {
-        let last = if self.role == Role::Leader { self.contact() } else { self.heard };
-        let none_left = self.restart.since == Since::Together;
-        !none_left && !self.is_empty() && self.now.since(last) < self.settings.min_election_ms()
+    /// A lease is counted from the sending of a heartbeat and is shorter than this period, which is
+    /// counted from its receipt. A replica that refuses votes during this period therefore prevents
+    /// the election of another leader before the lease ends.
+    pub(crate) fn has_recent_leader(&self) -> bool {
+        let last =
+            if self.role == Role::Leader { self.quorum_contact() } else { self.leader_contact };
+        let all_restarted = self.restart.since_start == SinceStart::AllRestarted;
+        !all_restarted && !self.is_empty() && self.now.since(last) < self.settings.min_election_ms()
     }
 
-    /// Tells whether this replica votes by the members that are committed or by any since.
+    /// Returns whether this replica is a voter in the committed membership or in any later one.
     ///
-    /// A leader that is about to leave may be the only one with the entries that a majority needs
-    /// before any other can be elected. If it did not stand because its own log already says that
-    /// it left, nobody could win.
-    pub(crate) fn may_stand(&self) -> bool {
-        let settled = self.changes.iter().rposition(|(index, _)| *index <= self.commit);
-        let open = &self.changes[settled.unwrap_or(0)..];
-        open.iter().any(|(_, members)| members.is_voter(&self.settings.id))
+    /// A leader that is about to leave may be the only replica with the entries that a majority
+    /// needs before any other can be elected. If it did not campaign because its own log already
+    /// contains its removal, no replica could win.
+    pub(crate) fn can_campaign(&self) -> bool {
+        let committed = self.memberships.iter().rposition(|(index, _)| *index <= self.commit);
+        let candidates = &self.memberships[committed.unwrap_or(0)..];
+        candidates.iter().any(|(_, members)| members.is_voter(&self.settings.id))
     }
 
-    /// Stands for election: asks first whether it could be won.
+    /// Starts an election with a pre-vote, which asks whether an election could be won.
     ///
-    /// A replica that is cut off would otherwise raise its epoch again and again, and depose a
-    /// leader that works when it comes back.
-    pub(crate) fn stand(&mut self) {
+    /// Without it, an isolated replica would raise its epoch again and again and depose a working
+    /// leader when it reconnects.
+    pub(crate) fn start_election(&mut self) {
         if !self.settings.protections.pre_vote {
             self.campaign(false);
             return;
@@ -48,8 +49,8 @@
         self.leader = None;
         self.granted.clear();
         self.granted.insert(self.settings.id.clone());
-        self.draw_deadline();
-        if self.is_granted() {
+        self.reset_election_deadline();
+        if self.has_vote_majority() {
             self.campaign(false);
             return;
         }
@@ -59,17 +60,17 @@
         }
     }
 
-    /// Starts an election in a new epoch.
-    pub(crate) fn campaign(&mut self, handed: bool) {
-        let reaches = self.reaches_quorum();
-        self.check(handed || reaches, Invariant::QuietWhenCutOff);
+    /// Requests votes in a new epoch.
+    pub(crate) fn campaign(&mut self, leadership_transfer: bool) {
+        let reachable = self.is_quorum_reachable();
+        self.check(leadership_transfer || reachable, Invariant::QuietWhenCutOff);
         let vote = Some(self.settings.id.clone());
-        self.set_hard(HardState { epoch: self.hard.epoch.next(), vote });
+        self.set_hard_state(HardState { epoch: self.hard.epoch.next(), vote });
         self.role = Role::Candidate;
         self.forget_leader();
         self.granted.clear();
-        self.draw_deadline();
-        let body = Body::Vote { last: self.log.last(), handed };
+        self.reset_election_deadline();
+        let body = Body::Vote { last: self.log.last(), leadership_transfer };
         for id in self.other_voters() {
             self.send_synced(id, body.clone());
         }
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Counts the vote for itself, once it is on disk.
+    /// Counts the candidate's own vote once it is on disk.
     pub(crate) fn count_own_vote(&mut self) {
         if self.role == Role::Candidate {
             self.granted.insert(self.settings.id.clone());
@@ -87,16 +88,16 @@
     }
 
     fn count_votes(&mut self) {
-        if self.role == Role::Candidate && self.is_granted() {
+        if self.role == Role::Candidate && self.has_vote_majority() {
             self.become_leader();
         }
     }
 
-    fn is_granted(&self) -> bool {
+    fn has_vote_majority(&self) -> bool {
         self.members().has_majority(|id| self.granted.contains(id))
     }
 
-    fn reaches_quorum(&self) -> bool {
+    fn is_quorum_reachable(&self) -> bool {
         let window = 2 * self.settings.election_ms;
         self.members().has_majority(|id| {
             let heard = self.contacts.get(id);
@@ -108,13 +109,13 @@
         self.members().voters().filter(|id| **id != self.settings.id).cloned().collect()
     }
 
-    /// Sets what must be remembered of elections.
-    fn set_hard(&mut self, hard: HardState) {
+    /// Updates the election state that must be persisted.
+    fn set_hard_state(&mut self, hard: HardState) {
         self.check(hard.epoch >= self.hard.epoch, Invariant::EpochGrows);
         let same = hard.epoch == self.hard.epoch;
-        let kept = !same || self.hard.vote.is_none() || self.hard.vote == hard.vote;
-        self.check(kept, Invariant::OneVote);
-        self.write.hard = Some(hard.clone());
+        let holds = !same || self.hard.vote.is_none() || self.hard.vote == hard.vote;
+        self.check(holds, Invariant::OneVote);
+        self.pending_write.hard = Some(hard.clone());
         self.hard = hard;
     }
 
@@ -122,55 +123,63 @@
         self.leader = None;
         self.verified = 0;
         self.round = 0;
-        self.incoming = None;
+        self.incoming_snapshot = None;
     }
 
-    /// Follows a leader, or waits for one, in an epoch that is at least as high.
+    /// Becomes a follower of `leader`, or waits for a leader, in an epoch that is not lower than
+    /// the current one.
     pub(crate) fn become_follower(&mut self, epoch: Epoch, leader: Option<ReplicaId>) {
         if epoch > self.hard.epoch {
-            self.set_hard(HardState { epoch, vote: None });
+            self.set_hard_state(HardState { epoch, vote: None });
             self.forget_leader();
         }
         self.check(epoch == self.hard.epoch, Invariant::EpochGrows);
         self.role = Role::Follower;
         self.granted.clear();
         self.leader = leader;
-        self.draw_deadline();
-        self.end_leading();
+        self.reset_election_deadline();
+        self.clear_leader_state();
     }
 
     pub(crate) fn on_pre_vote(&mut self, from: ReplicaId, next: Epoch, last: EntryId) {
-        let held = self.settings.protections.vote_hold && self.hears_leader();
-        let granted = !held && next > self.hard.epoch && self.is_enough(last);
+        let withheld = self.settings.protections.vote_hold && self.has_recent_leader();
+        let granted = !withheld && next > self.hard.epoch && self.is_log_up_to_date(last);
         self.send(from, Body::PreVoteReply { next, granted });
     }
 
     pub(crate) fn on_pre_vote_reply(&mut self, from: ReplicaId, next: Epoch, granted: bool) {
-        let asked = self.role == Role::PreCandidate && next == self.hard.epoch.next();
-        // What was granted before the process was stopped tells nothing of now.
-        let late = self.now >= self.deadline;
-        if !asked || !granted || late {
+        let pending = self.role == Role::PreCandidate && next == self.hard.epoch.next();
+        // A reply that arrives after the deadline, for example after the process was suspended,
+        // says nothing about the current state.
+        let late = self.now >= self.election_deadline;
+        if !pending || !granted || late {
             return;
         }
         self.granted.insert(from);
-        if self.is_granted() {
+        if self.has_vote_majority() {
             self.campaign(false);
         }
     }
 
-    pub(crate) fn on_vote(&mut self, from: ReplicaId, epoch: Epoch, last: EntryId, handed: bool) {
-        let held = self.settings.protections.vote_hold && self.hears_leader();
-        if held && !handed {
+    pub(crate) fn on_vote(
+        &mut self,
+        from: ReplicaId,
+        epoch: Epoch,
+        last: EntryId,
+        leadership_transfer: bool,
+    ) {
+        let withheld = self.settings.protections.vote_hold && self.has_recent_leader();
+        if withheld && !leadership_transfer {
             return;
         }
         if epoch > self.hard.epoch {
             self.become_follower(epoch, None);
         }
         let free = self.hard.vote.is_none() || self.hard.vote.as_ref() == Some(&from);
-        let granted = epoch == self.hard.epoch && free && self.is_enough(last);
+        let granted = epoch == self.hard.epoch && free && self.is_log_up_to_date(last);
         if granted && self.hard.vote.is_none() {
-            self.set_hard(HardState { epoch, vote: Some(from.clone()) });
-            self.draw_deadline();
+            self.set_hard_state(HardState { epoch, vote: Some(from.clone()) });
+            self.reset_election_deadline();
         }
         self.send_synced(from, Body::VoteReply { granted });
     }
@@ -182,33 +191,33 @@
         }
     }
 
-    fn is_enough(&self, last: EntryId) -> bool {
+    fn is_log_up_to_date(&self, last: EntryId) -> bool {
         !self.settings.protections.log_check || last >= self.log.last()
     }
 
-    pub(crate) fn on_campaign_now(&mut self, from: &ReplicaId, epoch: Epoch) {
-        let led = epoch == self.hard.epoch && self.leader.as_ref() == Some(from);
-        if led && self.role == Role::Follower && self.may_stand() {
+    pub(crate) fn on_timeout_now(&mut self, from: &ReplicaId, epoch: Epoch) {
+        let from_leader = epoch == self.hard.epoch && self.leader.as_ref() == Some(from);
+        if from_leader && self.role == Role::Follower && self.can_campaign() {
             self.campaign(true);
         }
     }
 
-    /// Gives when a majority was last heard, as a leader counts it.
-    pub(crate) fn contact(&self) -> Millis {
-        let Some(lead) = &self.lead else { return Millis::default() };
+    /// Returns the time of the leader's last contact with a majority.
+    pub(crate) fn quorum_contact(&self) -> Millis {
+        let Some(lead) = &self.leader_state else { return Millis::default() };
         self.members().majority_value(|id| {
-            let heard = lead.peers.get(id).map(|peer| peer.heard);
+            let heard = lead.peers.get(id).map(|peer| peer.last_contact);
             if *id == self.settings.id { self.now } else { heard.unwrap_or_default() }
         })
     }
 
-    /// Steps down if no majority was heard within the shortest election timeout.
+    /// Steps down if there was no contact with a majority within the shortest election timeout.
     ///
-    /// A leader that is cut off, or whose process stood still, would otherwise go on believing
-    /// that it leads while another does. It would show as two leaders in the state dumps.
+    /// A leader that is isolated, or whose process was suspended, would otherwise continue to
+    /// report itself as leader while another one leads, and the state dumps would show two leaders.
     pub(crate) fn check_quorum(&mut self) {
-        let on = self.settings.protections.check_quorum && self.role == Role::Leader;
-        if on && self.now.since(self.contact()) >= self.settings.min_election_ms() {
+        let enabled = self.settings.protections.check_quorum && self.role == Role::Leader;
+        if enabled && self.now.since(self.quorum_contact()) >= self.settings.min_election_ms() {
             tracing::warn!(event = "leader_without_quorum", epoch = %self.hard.epoch);
             self.become_follower(self.hard.epoch, None);
         }
--- a/components/agreement/src/entry.rs
+++ b/components/agreement/src/entry.rs
@@ -7,32 +7,36 @@
 
 use crate::identity::Membership;
 
-/// The place of an entry: two logs that hold an entry with the same mark are equal up to it.
+/// Identifies an entry by epoch and index. Two logs that contain an entry with the same identifier
+/// are equal up to that entry.
 ///
-/// Marks are ordered by epoch first; the log with the greater last mark knows more.
+/// Identifiers are ordered by epoch first. Of two logs, the one with the greater last identifier is
+/// more up to date.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
 pub struct EntryId {
-    /// The epoch whose leader made the entry.
+    /// The epoch of the leader that created the entry.
     pub epoch: Epoch,
-    /// The entry's number, counted from one without gaps.
+    /// The index of the entry, starting at one, without gaps.
     pub index: u64,
 }
 
-/// What an entry carries.
+/// The content of an entry.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum Payload {
-    /// Nothing; a new leader commits it to learn what is committed.
+    /// No content. A new leader commits such an entry to find out which earlier entries are
+    /// committed.
     Empty,
-    /// A command of the state machine.
+    /// A command for the state machine.
     Data(Bytes),
-    /// The members from this entry on, in force at each replica as soon as it is in its log.
+    /// The members from this entry on. Each replica uses them as soon as the entry is in its log,
+    /// committed or not.
     Members(Membership),
 }
 
 impl Payload {
-    /// Gives the bytes of a command, none for the others.
+    /// Returns the size of a command in bytes, zero for other payloads.
     pub fn size(&self) -> usize {
         match self {
             Self::Data(data) => data.len(),
@@ -44,9 +48,9 @@
 /// An entry of the log.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Entry {
-    /// Its place.
+    /// The identifier of the entry.
     #[serde(rename = "mark")]
     pub id: EntryId,
-    /// What it carries.
+    /// The content of the entry.
     pub payload: Payload,
 }
--- a/components/agreement/src/event.rs
+++ b/components/agreement/src/event.rs
@@ -1,4 +1,4 @@
-//! What a replica is told.
+//! The events that a caller passes to a replica.
 
 use bytes::Bytes;
 use chicoryford_types::Node;
@@ -7,78 +7,78 @@
 use crate::message::Message;
 use crate::saved::Snapshot;
 
-/// Recognises a proposal, change or read in its answer. Its asker draws it, unique while the
-/// replica lives; it never leaves the process.
+/// Identifies a proposal, membership change or read in its answer. The requester draws it, unique
+/// during the lifetime of the replica. It never leaves the process.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Token(pub u64);
 
-/// A command that somebody wants committed.
+/// A command to be committed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Proposal {
-    /// Comes back in the answer.
+    /// Identifies the answer.
     pub token: Token,
     /// The command.
     pub data: Bytes,
 }
 
-/// A change of the members; one at a time is in progress (docs/AGREEMENT.md).
+/// A membership change. Only one can be in progress at a time (docs/AGREEMENT.md).
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MembershipChange {
-    /// Adds a replica as a non-voter. The leader promotes it by itself once it has caught up.
+    /// Adds a replica as a non-voter. The leader promotes it once it has caught up.
     Add {
         /// The replica.
         id: ReplicaId,
-        /// Where its node answers HTTP.
+        /// The HTTP address of its node.
         address: String,
-        /// A lost replica whose place it takes: removed just before the promotion.
+        /// The lost replica that it replaces, which is removed just before the promotion.
         replaces: Option<ReplicaId>,
     },
-    /// Makes a voter of a non-voter that has caught up.
+    /// Promotes a non-voter that has caught up to a voter.
     Promote(ReplicaId),
     /// Removes a replica.
     Remove(ReplicaId),
 }
 
-/// What a replica is told.
+/// An event for a replica.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed. Tell it about every 20 ms, whatever else happens.
+    /// Time has passed. Expected about every 20 ms, whatever other events occur.
     Tick,
-    /// A message came.
+    /// A message was received.
     Message(Message),
-    /// Commands to be committed. Each is answered by [`crate::Action::Commit`] or
+    /// Commands to commit. Each is answered by [`crate::Action::Commit`] or
     /// [`crate::Action::Refuse`].
     Propose(Vec<Proposal>),
-    /// Everything up to the [`crate::Write`] of this number is on disk and synced.
+    /// All writes up to the [`crate::Write`] of this number are synced.
     Synced {
-        /// The number.
+        /// The number of the write.
         write: u64,
     },
-    /// The state machine took a snapshot at an entry that was committed to it, and the snapshot
-    /// is on disk and synced. Entries up to it may then be dropped from the disk.
+    /// The state machine took a snapshot at an entry that was committed to it, and the snapshot is
+    /// synced. Entries up to it may then be deleted from the disk.
     SnapshotTaken(Snapshot),
-    /// A linearizable read is wanted; answered by [`crate::Action::ReadReady`] or
+    /// Requests a linearizable read, answered by [`crate::Action::ReadReady`] or
     /// [`crate::Action::Refuse`].
     Read {
-        /// Comes back in the answer.
+        /// Identifies the answer.
         token: Token,
     },
-    /// A change of the members is wanted; answered as a proposal is.
+    /// Requests a membership change, answered like a proposal.
     ChangeMembers {
-        /// Comes back in the answer.
+        /// Identifies the answer.
         token: Token,
         /// The change.
         change: MembershipChange,
     },
-    /// Leadership is to be handed over, to this replica or to the one that is closest behind.
+    /// Requests a hand-over of leadership.
     HandOver {
-        /// The replica.
+        /// The new leader. `None` selects the voter with the most complete log.
         to: Option<ReplicaId>,
     },
-    /// Other control processes that are known, by gossip or otherwise, besides the founders. They
-    /// are asked before a deployment is founded.
+    /// Control processes other than the founders, known from gossip or otherwise. They are asked
+    /// before a deployment is bootstrapped.
     KnownNodes(Vec<Node>),
-    /// A write or sync failed. After that nothing on the disk can be trusted until it is read
-    /// anew, so the replica takes no part until its process restarts.
+    /// A write or sync failed. The content of the disk cannot be trusted until it is read again, so
+    /// the replica stays inactive until its process restarts.
     StorageFailed,
 }
--- a/components/agreement/src/identity.rs
+++ b/components/agreement/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who the replicas are.
+//! Identities of replicas and the set of members.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,19 +10,19 @@
 
 /// Identifies a replica: a node together with the incarnation of its data folder.
 ///
-/// A node whose disk was lost comes back with a new folder and hence as another replica. If it
-/// came back as the same one, it would vote and acknowledge as if it remembered what it had
-/// promised, and two leaders of one epoch or a lost entry could follow.
+/// A node that lost its disk returns with a new folder and therefore as a different replica. Under
+/// the old identity it would vote and acknowledge as if it still had its earlier votes and entries,
+/// which could lead to two leaders in one epoch or to a lost entry.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct ReplicaId {
     /// The node.
     pub node: Node,
-    /// The incarnation of its data folder, drawn when the folder is made and kept in it.
+    /// The incarnation of its data folder, drawn when the folder is created and stored in it.
     pub incarnation: Incarnation,
 }
 
 impl ReplicaId {
-    /// Joins a node and the incarnation of its data folder.
+    /// Creates the identity of a node with the given incarnation of its data folder.
     pub fn new(node: impl Into<Node>, incarnation: Incarnation) -> Self {
         Self { node: node.into(), incarnation }
     }
@@ -34,62 +34,63 @@
     }
 }
 
-/// One of the nodes with which a deployment first starts.
+/// A node that takes part in the bootstrap of a deployment.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Founder {
     /// The node.
     pub node: Node,
-    /// Where it answers HTTP.
+    /// The HTTP address of the node.
     pub address: String,
 }
 
-/// The place of a replica among the members.
+/// The membership data of a replica.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct ReplicaInfo {
-    /// Where its node answers HTTP.
+    /// The HTTP address of its node.
     pub address: String,
-    /// Whether it votes and is counted; one that does not is still catching up.
+    /// Whether it votes and counts towards the quorum. A non-voter is still catching up.
     pub voter: bool,
-    /// The replica whose place it takes once it has caught up.
+    /// The replica that it replaces once it has caught up.
     #[serde(default)]
     pub replaces: Option<ReplicaId>,
 }
 
-/// The members of the agreement.
+/// The members of the consensus group.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Membership {
-    /// The seats, by replica, as pairs because not every codec has maps with structured keys.
+    /// The members by identity. Serialized as pairs because not every codec supports maps with
+    /// structured keys.
     #[serde(with = "pairs", rename = "seats")]
     pub replicas: BTreeMap<ReplicaId, ReplicaInfo>,
 }
 
 impl Membership {
-    /// Tells whether a replica votes.
+    /// Returns whether a replica is a voter.
     pub fn is_voter(&self, id: &ReplicaId) -> bool {
         self.replicas.get(id).is_some_and(|info| info.voter)
     }
 
-    /// Tells whether a replica has a seat.
+    /// Returns whether a replica is a member.
     pub fn contains(&self, id: &ReplicaId) -> bool {
         self.replicas.contains_key(id)
     }
 
-    /// Gives the voters.
+    /// Returns the voters.
     pub fn voters(&self) -> impl Iterator<Item = &ReplicaId> {
         self.replicas.iter().filter(|(_, info)| info.voter).map(|(id, _)| id)
     }
 
-    /// Gives how many voters make a majority.
+    /// Returns the number of voters that make a majority.
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// Tells whether a majority of the voters passes a test.
-    pub fn has_majority(&self, pass: impl Fn(&ReplicaId) -> bool) -> bool {
-        self.voters().filter(|id| pass(id)).count() >= self.quorum()
+    /// Returns whether a majority of the voters satisfies a predicate.
+    pub fn has_majority(&self, predicate: impl Fn(&ReplicaId) -> bool) -> bool {
+        self.voters().filter(|id| predicate(id)).count() >= self.quorum()
     }
 
-    /// Gives the greatest value that a majority of the voters has reached.
+    /// Returns the greatest value that a majority of the voters has reached.
     pub fn majority_value<T: Ord + Default>(&self, value: impl Fn(&ReplicaId) -> T) -> T {
         let mut values: Vec<T> = self.voters().map(value).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
@@ -109,15 +110,15 @@
 
     pub fn serialize<S: Serializer>(
         replicas: &BTreeMap<ReplicaId, ReplicaInfo>,
-        to: S,
+        serializer: S,
     ) -> Result<S::Ok, S::Error> {
-        to.collect_seq(replicas.iter())
+        serializer.collect_seq(replicas.iter())
     }
 
     pub fn deserialize<'a, D: Deserializer<'a>>(
-        from: D,
+        deserializer: D,
     ) -> Result<BTreeMap<ReplicaId, ReplicaInfo>, D::Error> {
-        let pairs = Vec::<(ReplicaId, ReplicaInfo)>::deserialize(from)?;
+        let pairs = Vec::<(ReplicaId, ReplicaInfo)>::deserialize(deserializer)?;
         Ok(pairs.into_iter().collect())
     }
 }
--- a/components/agreement/src/invariant.rs
+++ b/components/agreement/src/invariant.rs
@@ -1,47 +1,48 @@
-//! The promises that a replica checks of itself, in every build.
+//! Invariants that a replica checks at run time, in every build.
 //!
-//! A broken promise is a fault of this program, or a disk or clock that lies. It is logged as
-//! `event = "promise_broken"` and counted; a proving run fails on the first.
+//! A violation indicates a bug in this program, or a faulty disk or clock. It is logged as `event =
+//! "promise_broken"` and counted. Randomised test runs fail at the first one.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::identity::ReplicaId;
 
-/// What is promised.
+/// The invariants.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Invariant {
-    /// An epoch has one leader, as far as this replica sees.
+    /// An epoch has at most one leader, as far as this replica sees.
     OneLeader,
-    /// Logs that share a mark are equal up to it.
+    /// Logs that share an entry identifier are equal up to that entry.
     LogMatching,
     /// The committed part of the log never shrinks.
     CommitGrows,
     /// A committed entry is never removed or replaced.
     CommittedStays,
-    /// A replica votes for one candidate an epoch.
+    /// A replica votes for at most one candidate per epoch.
     OneVote,
-    /// A replica's epoch never goes back.
+    /// A replica's epoch never decreases.
     EpochGrows,
-    /// A replica that is cut off does not raise the epoch, by which it would depose a leader
-    /// that works when it comes back.
+    /// An isolated replica does not raise the epoch. Otherwise it would depose a working leader
+    /// when it reconnects.
     QuietWhenCutOff,
-    /// A leader that hears no majority stops believing that it leads.
+    /// A leader without contact to a majority steps down.
     LeadsOnlyWithQuorum,
     /// A replica acknowledges and counts only what is on disk.
     SyncedFirst,
-    /// A replica becomes a voter only once it holds the log.
+    /// A replica becomes a voter only after it has caught up with the log.
     VotersHoldLog,
-    /// Members change one seat at a time, and no two changes are uncommitted at once.
+    /// Each membership change adds or removes at most one voter, and at most one change is
+    /// uncommitted.
     OneChange,
     /// A leader counts acknowledgements only for entries of its own epoch.
     CountsOwnEpoch,
-    /// Entries are numbered without gaps.
+    /// Indexes of entries have no gaps.
     NoGaps,
 }
 
-/// Counts broken promises.
+/// Counts invariant violations.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Violations {
     pub count: u64,
@@ -49,7 +50,7 @@
 }
 
 impl Violations {
-    /// Counts and logs a broken promise unless it was kept.
+    /// Records and logs a violation unless the invariant holds.
     pub fn check(&mut self, holds: bool, invariant: Invariant, id: &ReplicaId) {
         if holds {
             return;
--- a/components/agreement/src/lib.rs
+++ b/components/agreement/src/lib.rs
@@ -1,8 +1,9 @@
-//! The replicated log's decisions: elections, leases, appending, membership.
+//! The consensus protocol of the replicated log: elections, leases, replication, membership
+//! changes.
 //!
-//! A [`Replica`] is a pure state machine: events and readings of the monotonic clock go in,
-//! actions come out. The duties of the control role keep its disk and carry its messages.
-//! docs/AGREEMENT.md tells why it is built so and how it is proved.
+//! A [`Replica`] is a deterministic state machine without I/O: events and readings of the monotonic
+//! clock go in, actions come out. The tasks of the control role persist its log and deliver its
+//! messages. docs/AGREEMENT.md explains the design and how it is tested.
 
 pub mod action;
 mod append;
--- a/components/agreement/src/log.rs
+++ b/components/agreement/src/log.rs
@@ -1,4 +1,4 @@
-//! The log as a replica holds it in memory.
+//! The in-memory log of a replica.
 
 use std::collections::VecDeque;
 
@@ -7,7 +7,7 @@
 use crate::entry::Entry;
 use crate::entry::EntryId;
 
-/// The entries after some mark, without gaps.
+/// The entries that follow a base entry, without gaps.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     base: EntryId,
@@ -15,22 +15,22 @@
 }
 
 impl Log {
-    /// Holds entries that follow `base`.
+    /// Creates a log of entries that follow `base`.
     pub fn new(base: EntryId, entries: Vec<Entry>) -> Self {
         Self { base, entries: entries.into() }
     }
 
-    /// Gives the mark before the first entry.
+    /// Returns the identifier of the entry before the first one.
     pub fn base(&self) -> EntryId {
         self.base
     }
 
-    /// Gives the mark of the last entry.
+    /// Returns the identifier of the last entry.
     pub fn last(&self) -> EntryId {
         self.entries.back().map_or(self.base, |entry| entry.id)
     }
 
-    /// Gives the epoch of an entry, none if it is no longer or not yet there.
+    /// Returns the epoch of an entry, `None` if the entry is compacted or not yet in the log.
     pub fn epoch(&self, index: u64) -> Option<Epoch> {
         if index == self.base.index {
             return Some(self.base.epoch);
@@ -38,23 +38,23 @@
         self.get(index).map(|entry| entry.id.epoch)
     }
 
-    /// Gives the mark at an index.
+    /// Returns the identifier of the entry at an index.
     pub fn entry_id(&self, index: u64) -> Option<EntryId> {
         self.epoch(index).map(|epoch| EntryId { epoch, index })
     }
 
-    /// Tells whether the entry with this mark is in the log or just before it.
-    pub fn has(&self, id: EntryId) -> bool {
+    /// Returns whether the entry is in the log or is the base.
+    pub fn contains(&self, id: EntryId) -> bool {
         self.epoch(id.index) == Some(id.epoch)
     }
 
-    /// Gives an entry.
+    /// Returns the entry at an index.
     pub fn get(&self, index: u64) -> Option<&Entry> {
-        let place = index.checked_sub(self.base.index + 1)?;
-        self.entries.get(usize::try_from(place).ok()?)
+        let offset = index.checked_sub(self.base.index + 1)?;
+        self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Gives the entries of a range of indexes that are there.
+    /// Returns the entries of an index range, both ends included, as far as they are in the log.
     pub fn range(&self, from: u64, to: u64) -> impl DoubleEndedIterator<Item = &Entry> {
         let len = self.entries.len();
         let skip = from.saturating_sub(self.base.index + 1) as usize;
@@ -63,7 +63,7 @@
         self.entries.range(skip.min(end)..end)
     }
 
-    /// Adds an entry that follows the last.
+    /// Appends an entry that follows the last one.
     pub fn push(&mut self, entry: Entry) {
         self.entries.push_back(entry);
     }
@@ -74,7 +74,7 @@
         self.entries.truncate(keep);
     }
 
-    /// Forgets the entries up to an index.
+    /// Removes the entries up to an index.
     pub fn compact(&mut self, to: u64) {
         while self.entries.front().is_some_and(|entry| entry.id.index <= to) {
             if let Some(entry) = self.entries.pop_front() {
@@ -83,16 +83,17 @@
         }
     }
 
-    /// Starts anew after a mark.
+    /// Removes all entries and sets a new base.
     pub fn reset(&mut self, base: EntryId) {
         self.base = base;
         self.entries.clear();
     }
 
-    /// Gives the last place at or before `mark` at which an equal entry may be: its epoch is not
-    /// greater. Whole epochs are skipped, so that logs that differ by thousands of entries are
-    /// compared in a few messages. Gives the zero mark if such a place is no longer kept.
-    pub fn candidate(&self, id: EntryId) -> EntryId {
+    /// Returns the last entry at or before `id` whose epoch is not greater than that of `id`, and
+    /// which may therefore be equal in both logs. Skips whole epochs, so that logs that differ by
+    /// thousands of entries are compared in a few messages. Returns the zero identifier if that
+    /// entry is compacted.
+    pub fn find_match(&self, id: EntryId) -> EntryId {
         let mut index = id.index.min(self.last().index);
         while let Some(own) = self.entry_id(index) {
             if own.epoch <= id.epoch {
--- a/components/agreement/src/membership.rs
+++ b/components/agreement/src/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the members, one seat at a time.
+//! Membership changes, at most one voter at a time.
 
 use crate::action::Refusal;
 use crate::entry::Payload;
@@ -12,28 +12,29 @@
 
 impl Replica {
     pub(crate) fn change_members(&mut self, token: Token, change: MembershipChange) {
-        if let Some(why) = self.why_not() {
-            self.refuse(token, why);
+        if let Some(reason) = self.proposal_refusal() {
+            self.refuse(token, reason);
             return;
         }
         if self.is_changing() {
             self.refuse(token, Refusal::ChangePending);
             return;
         }
-        match self.plan(change) {
+        match self.plan_change(change) {
             Ok(members) => self.set_members(members, Some(token)),
-            Err(why) => self.refuse(token, why),
+            Err(reason) => self.refuse(token, reason),
         }
     }
 
-    /// Tells whether no change may begin: another is not yet committed, or the epoch's first
-    /// entry is not, so that one of an earlier epoch might be under way without being known.
+    /// Returns whether a membership change is in progress: the last one is not yet committed, or
+    /// the first entry of the epoch is not, so that a change of an earlier epoch might still be
+    /// uncommitted.
     fn is_changing(&self) -> bool {
-        let last = self.changes.last().map_or(0, |(index, _)| *index);
+        let last = self.memberships.last().map_or(0, |(index, _)| *index);
         self.settings.protections.one_change && (last > self.commit || !self.is_ready())
     }
 
-    fn plan(&self, change: MembershipChange) -> Result<Membership, Refusal> {
+    fn plan_change(&self, change: MembershipChange) -> Result<Membership, Refusal> {
         let mut members = self.members().clone();
         match change {
             MembershipChange::Add { id, address, replaces } => {
@@ -61,29 +62,35 @@
         Ok(members)
     }
 
-    /// A replica that votes before it holds the log is counted in the quorum but cannot help to
-    /// make one: if another is lost then, nothing can be committed until it has caught up.
+    /// Refuses the promotion of a replica that lacks entries. Such a voter would raise the quorum
+    /// without being able to contribute to it: if another voter failed, nothing could be committed
+    /// until the new one has caught up.
     fn check_caught_up(&self, id: &ReplicaId) -> Result<(), Refusal> {
-        let on = self.settings.protections.catch_up;
-        if on && !self.has_caught_up(id) { Err(Refusal::NotCaughtUp) } else { Ok(()) }
+        let enabled = self.settings.protections.catch_up;
+        if enabled && !self.has_caught_up(id) { Err(Refusal::NotCaughtUp) } else { Ok(()) }
     }
 
     fn has_caught_up(&self, id: &ReplicaId) -> bool {
-        let Some(peer) = self.lead.as_ref().and_then(|lead| lead.peers.get(id)) else {
+        let Some(peer) = self.leader_state.as_ref().and_then(|lead| lead.peers.get(id)) else {
             return false;
         };
-        let close =
+        let caught_up =
             peer.matched > 0 && peer.matched + self.settings.catch_up_entries >= self.commit;
-        close && self.is_live(id)
+        caught_up && self.is_live(id)
     }
 
     fn is_live(&self, id: &ReplicaId) -> bool {
-        let heard = self.lead.as_ref().and_then(|lead| lead.peers.get(id)).map(|peer| peer.heard);
-        let lately = heard.is_some_and(|at| self.now.since(at) < self.settings.min_election_ms());
-        *id == self.settings.id || lately
+        let heard = self
+            .leader_state
+            .as_ref()
+            .and_then(|lead| lead.peers.get(id))
+            .map(|peer| peer.last_contact);
+        let recent = heard.is_some_and(|at| self.now.since(at) < self.settings.min_election_ms());
+        *id == self.settings.id || recent
     }
 
-    /// The change itself needs a majority of the new voters, so they must be alive.
+    /// Refuses a change whose new voters lack a live majority, because the change itself must be
+    /// committed by that majority.
     fn check_live(&self, members: &Membership) -> Result<(), Refusal> {
         let live = members.has_majority(|id| self.is_live(id));
         if live { Ok(()) } else { Err(Refusal::WouldLoseQuorum) }
@@ -100,26 +107,27 @@
         let before = self.members();
         let ids = before.replicas.keys().chain(members.replicas.keys());
         let differs = |id: &&ReplicaId| before.is_voter(id) != members.is_voter(id);
-        let mut moved: Vec<&ReplicaId> = ids.filter(differs).collect();
-        moved.sort();
-        moved.dedup();
-        let settled = self.changes.last().is_none_or(|(index, _)| *index <= self.commit);
-        let one = moved.len() <= 1 && settled;
-        let added = moved.into_iter().filter(|id| members.is_voter(id));
-        let held = added.into_iter().all(|id| self.has_caught_up(id));
-        self.check(one, Invariant::OneChange);
-        self.check(held, Invariant::VotersHoldLog);
+        let mut changed: Vec<&ReplicaId> = ids.filter(differs).collect();
+        changed.sort();
+        changed.dedup();
+        let committed = self.memberships.last().is_none_or(|(index, _)| *index <= self.commit);
+        let single = changed.len() <= 1 && committed;
+        let added = changed.into_iter().filter(|id| members.is_voter(id));
+        let caught_up = added.into_iter().all(|id| self.has_caught_up(id));
+        self.check(single, Invariant::OneChange);
+        self.check(caught_up, Invariant::VotersHoldLog);
     }
 
-    /// Carries on with replacements: a non-voter that has caught up takes its place, by itself, so
-    /// that one command replaces a lost replica, also when the leader changes in between.
+    /// Continues replacements: removes the lost replica and promotes its replacement once that has
+    /// caught up. A single command thus replaces a lost replica, even if the leader changes in
+    /// between.
     pub(crate) fn advance_members(&mut self) {
-        let waits = self.is_ready() && !self.is_changing() && self.why_not().is_none();
-        if !waits {
+        let ready = self.is_ready() && !self.is_changing() && self.proposal_refusal().is_none();
+        if !ready {
             return;
         }
         let Some(change) = self.next_change() else { return };
-        if let Ok(members) = self.plan(change) {
+        if let Ok(members) = self.plan_change(change) {
             self.set_members(members, None);
         }
     }
@@ -130,8 +138,8 @@
             let replaced = info.replaces.as_ref().filter(|old| members.contains(old));
             match replaced {
                 Some(old) if info.voter => return Some(MembershipChange::Remove(old.clone())),
-                // The lost one goes first: among four that live the quorum is three, while with
-                // the lost one still counted it would be four of six.
+                // The lost replica is removed first: with four live voters left the quorum is
+                // three, whereas with the lost one still counted it would be four of six.
                 Some(old) if self.may_promote(id) && *old != self.settings.id => {
                     return Some(MembershipChange::Remove(old.clone()));
                 }
@@ -148,12 +156,13 @@
         !self.settings.protections.catch_up || self.has_caught_up(id)
     }
 
-    /// A leader that was removed leads until its removal is committed, and then hands over.
-    pub(crate) fn leave_if_removed(&mut self) {
-        let last = self.changes.last().map_or(0, |(index, _)| *index);
+    /// Steps down a leader that was removed once its removal is committed, and hands over
+    /// leadership.
+    pub(crate) fn step_down_if_removed(&mut self) {
+        let last = self.memberships.last().map_or(0, |(index, _)| *index);
         let removed = last <= self.commit && !self.members().is_voter(&self.settings.id);
         if removed {
-            self.send_campaign_now();
+            self.send_timeout_now();
             self.become_follower(self.hard.epoch, None);
         }
     }
--- a/components/agreement/src/message.rs
+++ b/components/agreement/src/message.rs
@@ -1,7 +1,8 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 //!
-//! Messages may be lost, doubled, delayed and reordered. Every one carries the sender's epoch and
-//! both identities; one for another incarnation of the receiver's data folder is dropped.
+//! Messages may be lost, duplicated, delayed and reordered. Each message contains the sender's
+//! epoch and the identities of sender and receiver. A message to another incarnation of the
+//! receiver's data folder is dropped.
 
 use bytes::Bytes;
 use chicoryford_types::Epoch;
@@ -16,112 +17,115 @@
 /// A message.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Message {
-    /// Who sends it.
+    /// The sender.
     pub from: ReplicaId,
-    /// Who is to have it; incarnation zero while the founders do not know each other yet.
+    /// The receiver. Its incarnation is zero while the founders do not know each other's.
     pub to: ReplicaId,
     /// The sender's epoch.
     pub epoch: Epoch,
-    /// What it says.
+    /// The content.
     pub body: Body,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum Body {
-    /// Would you vote for me in the next epoch?
+    /// Asks whether the receiver would vote for the sender in the next epoch.
     PreVote {
         /// The epoch that the sender would start.
         next: Epoch,
-        /// The last entry of its log.
+        /// The last entry of the sender's log.
         last: EntryId,
     },
-    /// The answer to a `PreVote`.
+    /// The reply to a `PreVote`.
     PreVoteReply {
         /// The epoch that was asked about.
         next: Epoch,
-        /// Whether the sender would.
+        /// Whether the sender would vote for the receiver.
         granted: bool,
     },
-    /// Vote for me in this epoch.
+    /// Requests a vote in the sender's epoch.
     Vote {
         /// The last entry of the sender's log.
         last: EntryId,
-        /// Whether the present leader asked for this election, so that its being heard is no
-        /// reason to refuse.
-        handed: bool,
+        /// Whether the current leader requested this election. If so, recent contact with that
+        /// leader is no reason to refuse.
+        #[serde(rename = "handed")]
+        leadership_transfer: bool,
     },
-    /// The answer to a `Vote`.
+    /// The reply to a `Vote`.
     VoteReply {
-        /// Whether the sender voted for the receiver; if so, that is on its disk.
+        /// Whether the sender voted for the receiver. A granted vote is on the sender's disk.
         granted: bool,
     },
-    /// The leader's entries, or a heartbeat if there are none.
+    /// Entries from the leader, or a heartbeat if there are none.
     Append {
-        /// The entry before the first.
+        /// The entry that precedes the first one.
         prev: EntryId,
         /// The entries.
         entries: Vec<Entry>,
-        /// The last entry that the leader knows to be committed.
+        /// The index of the last entry that the leader has committed.
         commit: u64,
-        /// Counts the leader's rounds of heartbeats in this epoch.
+        /// The number of the leader's heartbeat round in this epoch.
         round: u64,
     },
-    /// The answer to an `Append`, or word that more is on disk now.
+    /// The reply to an `Append`, also sent when more entries are synced.
     AppendReply {
         /// The round of the `Append`.
         round: u64,
-        /// The log up to here is equal to the leader's, and on disk.
+        /// The index up to which the log equals the leader's and is on disk.
         matched: u64,
-        /// Set if the entry before the first was missing or different: a place at or before
-        /// which the logs may be equal.
+        /// Set if the preceding entry was missing or different: an entry at or before which the
+        /// logs may be equal.
         conflict: Option<EntryId>,
     },
-    /// A piece of a snapshot, for a replica that needs entries that are no longer kept.
+    /// A chunk of a snapshot, for a replica that needs entries that are no longer in the leader's
+    /// log.
     #[serde(rename = "Piece")]
     SnapshotChunk {
-        /// What the snapshot stands for.
+        /// The log position and the members of the snapshot.
         meta: SnapshotMeta,
-        /// The bytes of the whole snapshot.
+        /// The size of the whole snapshot in bytes.
         total: u64,
-        /// Where the piece begins.
+        /// The offset of the chunk in bytes.
         offset: u64,
-        /// The piece.
+        /// The bytes of the chunk.
         data: Bytes,
-        /// The leader's round, as in `Append`.
+        /// The leader's heartbeat round, as in `Append`.
         round: u64,
     },
-    /// The answer to a `Piece`.
+    /// The reply to a `SnapshotChunk`.
     #[serde(rename = "PieceReply")]
     SnapshotChunkReply {
-        /// The last entry in the snapshot.
+        /// The last entry that the snapshot covers.
         #[serde(rename = "mark")]
         last: EntryId,
-        /// The bytes that the sender holds of it.
+        /// The number of bytes of the snapshot that the sender has received.
         received: u64,
-        /// The round of the `Piece`.
+        /// The round of the `SnapshotChunk`.
         round: u64,
     },
-    /// Start an election at once: the leader hands over.
+    /// Requests that the receiver starts an election at once, because the leader hands over.
     #[serde(rename = "CampaignNow")]
     TimeoutNow,
-    /// A founder with an empty disk asks who the others are.
+    /// A founder with an empty disk asks for the identities of the other founders.
     Hello,
-    /// The answer to a `Hello`: the sender's identity is in the message.
+    /// The reply to a `Hello`. The sender's identity is in the message header.
     HelloReply {
-        /// Whether the sender never voted, saw no epoch and holds no entry.
+        /// Whether the sender never voted, saw no epoch and has no entries.
         empty: bool,
     },
-    /// I have just started; have you?
+    /// The sender has just started and asks whether the receiver has, too.
     Restarted {
-        /// Tells the sender's process from its earlier ones.
+        /// A random number that distinguishes the sender's process from its earlier ones.
         number: u64,
     },
-    /// The answer to a `Restarted`.
+    /// The reply to a `Restarted`.
     RestartedReply {
-        /// The number of the question.
+        /// The number from the `Restarted` message.
         number: u64,
-        /// Whether the sender has heard no leader since it started, and has not led.
+        /// Whether the sender has had no contact with a leader since it started, and has not led
+        /// itself.
         too: bool,
     },
 }
--- a/components/agreement/src/progress.rs
+++ b/components/agreement/src/progress.rs
@@ -1,4 +1,4 @@
-//! How far another replica is, as the leader knows it.
+//! The leader's replication progress for another replica.
 
 use std::collections::VecDeque;
 
@@ -6,98 +6,100 @@
 
 use crate::saved::Snapshot;
 
-/// How far another replica is.
+/// The replication progress of one replica.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
-    /// The entry up to which it holds the log on disk.
+    /// The index up to which its log is on disk and equals the leader's.
     pub matched: u64,
-    /// The next entry to send.
+    /// The index of the next entry to send.
     pub next: u64,
-    /// Whether it is not yet known where its log departs from the leader's. One message is then
-    /// under way at a time, so that a guess that is wrong costs one message and not a window.
+    /// Whether the point at which its log diverges from the leader's is still unknown. Only one
+    /// message is then in flight, so that a wrong guess costs one message instead of a whole
+    /// window.
     pub probing: bool,
-    /// The last entries of the messages under way.
-    pub flying: VecDeque<u64>,
-    /// When it last got further, or was last sent to with nothing under way.
-    pub moved: Millis,
-    /// When it was last heard in this epoch.
-    pub heard: Millis,
-    /// The last round of heartbeats that it answered.
+    /// The index of the last entry of each message in flight.
+    pub in_flight: VecDeque<u64>,
+    /// The time of its last progress, or of a send with nothing else in flight.
+    pub last_progress: Millis,
+    /// The time of the last contact in this epoch.
+    pub last_contact: Millis,
+    /// The last heartbeat round that it answered.
     pub round: u64,
-    /// The commit index that it was last told.
-    pub told: u64,
-    /// The snapshot that is on its way to it.
-    pub transfer: Option<Transfer>,
+    /// The commit index last sent to it.
+    pub sent_commit: u64,
+    /// The snapshot transfer in progress.
+    pub snapshot: Option<SnapshotTransfer>,
 }
 
-/// A snapshot on its way. The whole transfer is of one snapshot, also when a newer one is taken
-/// meanwhile, or a replica behind a slow link would start again and again.
+/// A snapshot transfer. It continues with the same snapshot even if a newer one is taken meanwhile;
+/// otherwise a replica behind a slow link would start over again and again.
 #[derive(Clone, Debug)]
-pub(crate) struct Transfer {
+pub(crate) struct SnapshotTransfer {
     pub snapshot: Snapshot,
-    /// The bytes that the receiver said it holds.
+    /// The bytes that the receiver has acknowledged.
     pub acked: u64,
     /// The bytes that were sent.
     pub sent: u64,
-    /// The round in which it last started again. An answer to a piece from then on tells what the
-    /// receiver holds now, also if that is less than before because it restarted.
+    /// The heartbeat round in which the transfer last started or was resumed. A reply to a chunk
+    /// from then on reports what the receiver has now, which may be less than before if it
+    /// restarted.
     pub round: u64,
 }
 
 impl Progress {
-    /// Starts with nothing known.
+    /// Creates the progress of a replica of which nothing is known.
     pub fn new(next: u64, now: Millis) -> Self {
         Self {
             matched: 0,
             next,
             probing: true,
-            flying: VecDeque::new(),
-            moved: now,
-            heard: now,
+            in_flight: VecDeque::new(),
+            last_progress: now,
+            last_contact: now,
             round: 0,
-            told: 0,
-            transfer: None,
+            sent_commit: 0,
+            snapshot: None,
         }
     }
 
-    /// Notes that the replica holds the log up to `index` on disk.
-    pub fn reach(&mut self, index: u64, now: Millis) {
+    /// Records that the log of the replica up to `index` is on its disk.
+    pub fn advance_matched(&mut self, index: u64, now: Millis) {
         if index <= self.matched {
             return;
         }
         self.matched = index;
-        self.moved = now;
+        self.last_progress = now;
         self.probing = false;
         self.next = self.next.max(index + 1);
-        while self.flying.front().is_some_and(|last| *last <= index) {
-            self.flying.pop_front();
+        while self.in_flight.front().is_some_and(|last| *last <= index) {
+            self.in_flight.pop_front();
         }
-        if self.transfer.as_ref().is_some_and(|t| t.snapshot.meta.last.index <= index) {
-            self.transfer = None;
+        if self.snapshot.as_ref().is_some_and(|t| t.snapshot.meta.last.index <= index) {
+            self.snapshot = None;
         }
     }
 
-    /// Goes back to probe, from `next` or from what is known to match.
-    pub fn probe(&mut self, next: u64) {
+    /// Returns to probing, from `next` or from the end of the known match.
+    pub fn start_probing(&mut self, next: u64) {
         self.next = next.max(self.matched + 1);
         self.probing = true;
-        self.flying.clear();
+        self.in_flight.clear();
     }
 
-    /// Notes that a message up to `last` was sent.
-    pub fn sent(&mut self, last: u64, now: Millis) {
-        if self.flying.is_empty() {
-            self.moved = now;
+    /// Records that a message with entries up to `last` was sent.
+    pub fn record_sent(&mut self, last: u64, now: Millis) {
+        if self.in_flight.is_empty() {
+            self.last_progress = now;
         }
-        self.flying.push_back(last);
+        self.in_flight.push_back(last);
         if !self.probing {
             self.next = last + 1;
         }
     }
 
-    /// Tells whether another message with entries may be sent.
-    pub fn has_room(&self, window: usize) -> bool {
-        let room = if self.probing { 1 } else { window };
-        self.flying.len() < room
+    /// Returns whether another message with entries may be sent.
+    pub fn has_room(&self, max_in_flight: usize) -> bool {
+        let limit = if self.probing { 1 } else { max_in_flight };
+        self.in_flight.len() < limit
     }
 }
--- a/components/agreement/src/read.rs
+++ b/components/agreement/src/read.rs
@@ -1,35 +1,36 @@
 //! Linearizable reads.
 //!
-//! A leader that was replaced without knowing would answer from the past. Before it answers, a
-//! majority therefore confirms a round of heartbeats that was sent after the read came.
+//! A leader that was replaced without noticing would answer with stale state. Before it answers, a
+//! majority must therefore confirm a heartbeat round that was started after the read was received.
 
 use crate::action::Action;
 use crate::event::Token;
-use crate::leader::Read;
+use crate::leader::PendingRead;
 use crate::replica::Replica;
 
 impl Replica {
     pub(crate) fn read(&mut self, token: Token) {
         let index = self.is_ready().then_some(self.commit);
-        match &mut self.lead {
-            Some(lead) => lead.reads.push(Read { token, index, round: None }),
+        match &mut self.leader_state {
+            Some(lead) => lead.pending_reads.push(PendingRead { token, index, round: None }),
             None => self.refuse_not_leader(token),
         }
     }
 
-    /// Starts a round for reads that have none, one round at a time, so that many reads share
-    /// one, and answers those that are confirmed.
+    /// Starts a heartbeat round for reads that have none, and answers those that are confirmed.
+    /// Only one round for reads is in flight at a time, so that many reads share it.
     pub(crate) fn advance_reads(&mut self) {
         let (ready, commit) = (self.is_ready(), self.commit);
-        let Some(lead) = &mut self.lead else { return };
-        if !ready || lead.reads.is_empty() {
+        let Some(lead) = &mut self.leader_state else { return };
+        if !ready || lead.pending_reads.is_empty() {
             return;
         }
-        let busy = lead.reads.iter().filter_map(|read| read.round).max() > Some(lead.confirmed);
-        let waits = lead.reads.iter().any(|read| read.round.is_none());
-        if waits && !busy {
+        let in_flight = lead.pending_reads.iter().filter_map(|read| read.round).max()
+            > Some(lead.confirmed_round);
+        let unassigned = lead.pending_reads.iter().any(|read| read.round.is_none());
+        if unassigned && !in_flight {
             let round = lead.round + 1;
-            for read in lead.reads.iter_mut().filter(|read| read.round.is_none()) {
+            for read in lead.pending_reads.iter_mut().filter(|read| read.round.is_none()) {
                 read.round = Some(round);
                 read.index.get_or_insert(commit);
             }
@@ -40,17 +41,17 @@
 
     fn answer_reads(&mut self) {
         let confirm = self.settings.protections.read_confirm;
-        let alone = self.members().quorum() == 1;
-        let Some(lead) = &mut self.lead else { return };
-        let confirmed = if alone || !confirm { lead.round } else { lead.confirmed };
-        let (done, left) = std::mem::take(&mut lead.reads)
+        let single = self.members().quorum() == 1;
+        let Some(lead) = &mut self.leader_state else { return };
+        let confirmed = if single || !confirm { lead.round } else { lead.confirmed_round };
+        let (done, left) = std::mem::take(&mut lead.pending_reads)
             .into_iter()
             .partition(|read| read.round.is_some_and(|round| round <= confirmed));
-        lead.reads = left;
-        let done: Vec<Read> = done;
+        lead.pending_reads = left;
+        let done: Vec<PendingRead> = done;
         for read in done {
             let index = read.index.unwrap_or(self.commit);
-            self.out.push(Action::ReadReady { token: read.token, index });
+            self.actions.push(Action::ReadReady { token: read.token, index });
         }
     }
 }
--- a/components/agreement/src/receive.rs
+++ b/components/agreement/src/receive.rs
@@ -1,4 +1,4 @@
-//! Sorting of messages by what they say.
+//! Dispatch of received messages.
 
 use chicoryford_types::Epoch;
 
@@ -9,10 +9,10 @@
 use crate::status::Role;
 
 impl Replica {
-    /// Takes a message.
+    /// Processes a received message.
     pub(crate) fn receive(&mut self, message: Message) {
         let Message { from, to, epoch, body } = message;
-        if !self.is_for_me(&to, &body) {
+        if !self.is_addressed_here(&to, &body) {
             return;
         }
         self.contacts.insert(from.clone(), self.now);
@@ -20,24 +20,30 @@
             Body::Hello => self.on_hello(from),
             Body::HelloReply { empty } => self.on_hello_reply(from, empty),
             Body::PreVote { next, last } => self.on_pre_vote(from, next, last),
-            Body::Vote { last, handed } => self.on_vote(from, epoch, last, handed),
-            Body::Append { .. } | Body::SnapshotChunk { .. } => self.receive_led(from, epoch, body),
+            Body::Vote { last, leadership_transfer } => {
+                self.on_vote(from, epoch, last, leadership_transfer)
+            }
+            Body::Append { .. } | Body::SnapshotChunk { .. } => {
+                self.receive_from_leader(from, epoch, body)
+            }
             Body::Restarted { number } => self.on_restarted(from, number),
             Body::RestartedReply { number, too } => self.on_restarted_reply(from, number, too),
-            Body::TimeoutNow => self.on_campaign_now(&from, epoch),
+            Body::TimeoutNow => self.on_timeout_now(&from, epoch),
             _ => self.receive_reply(from, epoch, body),
         }
     }
 
-    /// A message for an earlier incarnation of this node's folder is not for this replica: what
-    /// the earlier one knew is lost, and an answer would be counted as if it were not. Whether it
-    /// has restarted is asked of the node, whatever its incarnation.
-    fn is_for_me(&self, to: &ReplicaId, body: &Body) -> bool {
+    /// Returns whether a message is addressed to this replica.
+    ///
+    /// A message for an earlier incarnation of this node's data folder is not: the state of that
+    /// incarnation is lost, and a reply would count as if it still existed. `Hello` and `Restarted`
+    /// are addressed to the node, whatever its incarnation.
+    fn is_addressed_here(&self, to: &ReplicaId, body: &Body) -> bool {
         let hello = matches!(body, Body::Hello | Body::Restarted { .. });
         to.node == self.settings.id.node && (hello || *to == self.settings.id)
     }
 
-    fn receive_led(&mut self, from: ReplicaId, epoch: Epoch, body: Body) {
+    fn receive_from_leader(&mut self, from: ReplicaId, epoch: Epoch, body: Body) {
         if epoch < self.hard.epoch {
             self.send(from, Body::AppendReply { round: 0, matched: 0, conflict: None });
             return;
@@ -61,7 +67,7 @@
             self.become_follower(epoch, None);
             return;
         }
-        // A refused pre-vote may come from an epoch that is lower than the asker's.
+        // A pre-vote may be refused from an epoch that is lower than the sender's.
         if let Body::PreVoteReply { next, granted } = body {
             self.on_pre_vote_reply(from, next, granted);
             return;
--- a/components/agreement/src/saved.rs
+++ b/components/agreement/src/saved.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps on its disk.
+//! The persistent state of a replica.
 
 use bytes::Bytes;
 use chicoryford_types::Epoch;
@@ -10,56 +10,57 @@
 use crate::identity::Membership;
 use crate::identity::ReplicaId;
 
-/// What a replica must remember of elections.
+/// The persistent election state of a replica.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct HardState {
     /// The highest epoch that it has seen.
     pub epoch: Epoch,
-    /// For whom it voted in that epoch.
+    /// The candidate that it voted for in that epoch.
     pub vote: Option<ReplicaId>,
 }
 
-/// What a snapshot stands for.
+/// The log position and members of a snapshot.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct SnapshotMeta {
-    /// The last entry that is in it.
+    /// The last entry that the snapshot covers.
     #[serde(rename = "mark")]
     pub last: EntryId,
-    /// The members at that entry.
+    /// The members as of that entry.
     pub members: Membership,
 }
 
 /// A snapshot of the state machine.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Snapshot {
-    /// What it stands for.
+    /// The log position and members.
     pub meta: SnapshotMeta,
-    /// The encoded state.
+    /// The encoded state of the state machine.
     pub data: Bytes,
 }
 
-/// What was found on disk at the start. The default is an empty data folder.
+/// The state read from disk at startup. The default is an empty data folder.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Saved {
-    /// What it remembers of elections.
+    /// The election state.
     pub hard: HardState,
     /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
-    /// The entries after the snapshot, without gaps; entries that are in it may come before.
+    /// The entries after the snapshot, without gaps. They may be preceded by entries that the
+    /// snapshot covers.
     pub entries: Vec<Entry>,
 }
 
-/// Something to write to disk. The parts are carried out in the order of the fields.
+/// A write to disk. Its parts are carried out in the order of the fields.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Write {
-    /// Counts the writes from one.
+    /// The sequence number of the write, starting at one.
     pub number: u64,
-    /// What to remember of elections, if it changed.
+    /// The election state, if it changed.
     pub hard: Option<HardState>,
-    /// A snapshot that takes the place of all entries.
+    /// A snapshot that replaces all entries.
     pub snapshot: Option<Snapshot>,
-    /// Removes the entries from this index on.
+    /// The index from which entries are removed.
     pub truncate: Option<u64>,
-    /// Entries to add at the end.
+    /// Entries to append.
     pub entries: Vec<Entry>,
 }
--- a/components/agreement/src/settings.rs
+++ b/components/agreement/src/settings.rs
@@ -1,39 +1,40 @@
-//! How a replica behaves.
+//! Settings of a replica.
 
 use crate::identity::Founder;
 use crate::identity::ReplicaId;
 
-/// How a replica behaves. All durations are milliseconds on the monotonic clock.
+/// Settings of a replica. All durations are in milliseconds on the monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This replica.
+    /// The identity of this replica.
     pub id: ReplicaId,
-    /// The nodes with which the deployment first starts, this one included; empty for a replica
-    /// that joins those that already run.
+    /// The nodes that bootstrap the deployment, including this one. Empty for a replica that joins
+    /// an existing deployment.
     pub founders: Vec<Founder>,
-    /// The longest time without word from a leader before an election. The shortest is half of
-    /// it: each replica draws its own, so that they seldom stand against each other.
+    /// The longest time without contact from a leader before an election starts. The shortest is
+    /// half of it. Each replica draws its own timeout in that range, so that split votes are rare.
     pub election_ms: u64,
-    /// The time between a leader's heartbeats.
+    /// The interval between a leader's heartbeats.
     pub heartbeat_ms: u64,
-    /// The part of the shortest election timeout for which a lease holds, in percent. What is
-    /// missing to a hundred is the margin for clocks that run at different speeds.
+    /// The duration of a lease in percent of the shortest election timeout. The remainder is the
+    /// margin for clocks that run at different speeds.
     pub lease_percent: u64,
-    /// Bytes of entries in one message, except that one entry always fits.
+    /// Maximum bytes of entries in one message. A single larger entry is still sent.
     pub batch_bytes: usize,
-    /// Entries in one message.
+    /// Maximum number of entries in one message.
     pub batch_entries: usize,
-    /// Messages with entries that may be under way to one replica.
+    /// Maximum number of unacknowledged messages with entries to one replica.
     pub max_in_flight: usize,
-    /// Entries that may be uncommitted at the leader before it refuses more.
+    /// Maximum number of uncommitted entries at the leader before it refuses proposals.
     pub max_uncommitted: usize,
-    /// Bytes of one piece of a snapshot.
+    /// Maximum bytes of snapshot data in one message.
     pub chunk_bytes: usize,
-    /// Entries that are kept in memory behind a snapshot, for replicas that are a little behind.
+    /// Entries that are kept in memory after they are covered by a snapshot, so that replicas that
+    /// lag only slightly need no snapshot.
     pub retained_entries: u64,
-    /// A non-voter has caught up when it lacks at most this many entries.
+    /// A non-voter counts as caught up when it lacks at most this many committed entries.
     pub catch_up_entries: u64,
-    /// What guards the promises.
+    /// The safety checks of the protocol.
     #[doc(hidden)]
     pub protections: Protections,
 }
@@ -59,41 +60,43 @@
 }
 
 impl Settings {
-    /// Gives the shortest election timeout: for this long after word from a leader a replica
-    /// votes for nobody else.
+    /// Returns the shortest election timeout in milliseconds. After contact from a leader, a
+    /// replica votes for no other candidate during this time.
     pub fn min_election_ms(&self) -> u64 {
         (self.election_ms / 2).max(1)
     }
 
-    /// Gives how long a lease lasts from the sending of the heartbeat that a majority answered.
+    /// Returns the duration of a lease in milliseconds, counted from the sending of the heartbeat
+    /// that a majority acknowledged.
     pub fn lease_ms(&self) -> u64 {
         self.min_election_ms() * self.lease_percent / 100
     }
 }
 
-/// What guards the promises. The proof switches these off one at a time and must notice; no
-/// settings file reaches them.
+/// The safety checks of the protocol. Mutation tests disable them one at a time and must detect the
+/// difference. They are not reachable from any settings file.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Protections {
-    /// Asks whether an election could be won before raising the epoch.
+    /// Runs a pre-vote before raising the epoch.
     pub pre_vote: bool,
-    /// Steps down when a majority was not heard within the shortest election timeout.
+    /// The leader steps down when it had no contact with a majority within the shortest election
+    /// timeout.
     pub check_quorum: bool,
-    /// Acknowledges and counts nothing before it is synced.
+    /// Acknowledges and counts entries and votes only after they are synced.
     pub sync_first: bool,
-    /// Promotes only non-voters that have caught up.
+    /// Promotes non-voters only after they have caught up.
     pub catch_up: bool,
-    /// Refuses votes while a leader is heard.
+    /// Refuses votes while there is recent contact with a leader.
     pub vote_hold: bool,
-    /// Votes at once after a start only if all have started together.
+    /// After a start, votes without delay only if all replicas have restarted.
     pub all_restarted: bool,
-    /// Votes only for candidates whose log holds at least as much.
+    /// Votes only for candidates whose log is at least as up to date.
     pub log_check: bool,
-    /// Counts acknowledgements only for entries of the leader's own epoch.
+    /// Commits by counting acknowledgements only for entries of the leader's own epoch.
     pub own_epoch: bool,
-    /// Allows one change of the members at a time.
+    /// Allows only one membership change at a time.
     pub one_change: bool,
-    /// Confirms by a majority that the leader still leads before it answers a read.
+    /// Confirms leadership with a majority before answering a read.
     pub read_confirm: bool,
 }
 
--- a/components/agreement/src/status.rs
+++ b/components/agreement/src/status.rs
@@ -1,4 +1,4 @@
-//! How a replica stands, for the state dump and for operators.
+//! The status of a replica, for the state dump and for operators.
 
 use chicoryford_types::Epoch;
 use serde::Deserialize;
@@ -9,68 +9,68 @@
 use crate::identity::ReplicaId;
 use crate::invariant::Invariant;
 
-/// What a replica does at present.
+/// The current role of a replica.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// It has an empty disk and looks for the other founders, or waits to be added.
+    /// Has an empty disk and contacts the other founders, or waits to be added.
     #[default]
     #[serde(rename = "unborn")]
     Uninitialized,
-    /// It follows, or waits for a leader.
+    /// Follows a leader, or waits for one.
     Follower,
-    /// It asks whether it could win an election.
+    /// Runs a pre-vote.
     PreCandidate,
-    /// It stands for election.
+    /// Requests votes.
     Candidate,
-    /// It leads.
+    /// Leads.
     Leader,
-    /// Its disk failed; it takes no part.
+    /// Inactive because its disk failed.
     Failed,
 }
 
-/// How far another replica is, as the leader knows it.
+/// The replication progress of another replica, as recorded by the leader.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct PeerStatus {
     /// The replica.
     pub id: ReplicaId,
-    /// The entry up to which it holds the log on disk.
+    /// The index up to which its log is on disk.
     pub matched: u64,
-    /// Milliseconds since it was last heard.
+    /// Milliseconds since the last contact.
     pub silent_ms: u64,
-    /// Whether it is being sent a snapshot.
+    /// Whether a snapshot transfer to it is in progress.
     pub snapshot: bool,
 }
 
-/// How a replica stands.
+/// The status of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Status {
     /// The replica.
     pub id: ReplicaId,
-    /// What it does.
+    /// Its role.
     pub role: Role,
     /// Its epoch.
     pub epoch: Epoch,
-    /// Who leads, as far as it knows.
+    /// The leader, if the replica knows one.
     pub leader: Option<ReplicaId>,
-    /// The members as its log has them.
+    /// The members according to its log.
     pub members: Membership,
     /// The last entry of its log.
     pub last: EntryId,
-    /// The last entry known to be committed.
+    /// The index of the last entry known to be committed.
     pub commit: u64,
-    /// The last entry that is on its disk.
+    /// The index of the last entry that is on its disk.
     pub durable: u64,
-    /// The last entry in its snapshot.
+    /// The last entry covered by its snapshot.
     pub snapshot: EntryId,
-    /// Milliseconds for which its lease still holds, if it leads.
+    /// Remaining milliseconds of its lease, if it leads.
     pub lease_ms: u64,
     /// The other replicas, if it leads.
     pub peers: Vec<PeerStatus>,
-    /// How many promises were broken here.
+    /// The number of invariant violations in this process.
     #[serde(rename = "broken")]
     pub violations: u64,
-    /// The last of them.
+    /// The last violation.
     #[serde(rename = "last_broken")]
     pub last_violation: Option<Invariant>,
 }
--- a/components/agreement/tests/random/judge.rs
+++ b/components/agreement/tests/random/checker.rs
@@ -1,4 +1,4 @@
-//! Checks over all replicas together, which no replica could make by itself.
+//! Checks across all replicas, which no single replica can make.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -7,35 +7,35 @@
 use chicoryford_agreement::ReplicaId;
 use chicoryford_types::Epoch;
 
-use crate::disk::Chain;
+use crate::disk::HashChain;
 
-/// What was seen to go wrong.
+/// An observed failure.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Symptom {
-    /// A replica found one of its own promises broken.
+    /// A replica reported an invariant violation.
     Invariant(Invariant),
-    /// Two state machines applied different entries at the same place.
+    /// Two state machines applied different entries at the same index.
     Diverged(u64),
-    /// An acknowledged entry was unknown to a later leader.
+    /// An acknowledged entry was missing at a later leader.
     AcknowledgedLost { acked: u64, leader: u64 },
     /// Two replicas led in the same epoch.
     TwoLeaders(Epoch),
-    /// A replica was elected while the lease of another held.
+    /// A replica was elected while another one held a lease.
     LeaseBroken(Epoch),
-    /// A read was answered from before an acknowledgement that preceded it.
+    /// A read was answered with state from before an acknowledgement that preceded the read.
     StaleRead { index: u64, acked: u64 },
-    /// An entry was committed after its proposer was told that it was not done.
+    /// An entry was committed although its proposer had been told that it was refused.
     FalseRefusal(u64),
-    /// All faults were healed, and still nothing could be committed.
+    /// No entry could be committed after all faults were healed.
     Stuck,
 }
 
-/// What all replicas together have done.
+/// The combined history of all replicas.
 #[derive(Default)]
-pub struct Judge {
+pub struct Checker {
     pub symptom: Option<Symptom>,
-    /// Whether broken promises are overlooked, to see what they lead to.
-    pub overlook: bool,
+    /// Whether reported invariant violations are ignored, to see their external effects.
+    pub ignore_invariants: bool,
     pub acked: u64,
     pub acks: u64,
     pub reads: u64,
@@ -45,23 +45,23 @@
     asked: HashMap<u64, u64>,
 }
 
-impl Judge {
-    pub fn see(&mut self, symptom: Symptom) {
+impl Checker {
+    pub fn report(&mut self, symptom: Symptom) {
         self.symptom.get_or_insert(symptom);
     }
 
-    pub fn promise(&mut self, promise: Invariant) {
-        if !self.overlook {
-            self.see(Symptom::Invariant(promise));
+    pub fn invariant_violated(&mut self, invariant: Invariant) {
+        if !self.ignore_invariants {
+            self.report(Symptom::Invariant(invariant));
         }
     }
 
-    pub fn apply(&mut self, chain: Chain) {
-        let place = chain.index as usize - 1;
-        match self.chains.get(place) {
-            None if place == self.chains.len() => self.chains.push(chain.hash),
+    pub fn apply(&mut self, chain: HashChain) {
+        let position = chain.index as usize - 1;
+        match self.chains.get(position) {
+            None if position == self.chains.len() => self.chains.push(chain.hash),
             Some(hash) if *hash == chain.hash => {}
-            _ => self.see(Symptom::Diverged(chain.index)),
+            _ => self.report(Symptom::Diverged(chain.index)),
         }
     }
 
@@ -72,7 +72,7 @@
 
     pub fn committed(&mut self, token: u64) {
         if self.refused.contains(&token) {
-            self.see(Symptom::FalseRefusal(token));
+            self.report(Symptom::FalseRefusal(token));
         }
     }
 
@@ -80,12 +80,12 @@
         self.refused.insert(token);
     }
 
-    /// Notes a new leader; tells whether its epoch is new.
-    pub fn lead(&mut self, epoch: Epoch, id: &ReplicaId) -> bool {
+    /// Records a leader and returns whether its epoch is new.
+    pub fn record_leader(&mut self, epoch: Epoch, id: &ReplicaId) -> bool {
         match self.leaders.get(&epoch) {
             Some(known) if known == id => false,
             Some(_) => {
-                self.see(Symptom::TwoLeaders(epoch));
+                self.report(Symptom::TwoLeaders(epoch));
                 false
             }
             None => {
@@ -99,21 +99,21 @@
         self.leaders.len()
     }
 
-    pub fn ready(&mut self, commit: u64) {
+    pub fn leader_ready(&mut self, commit: u64) {
         if commit < self.acked {
-            self.see(Symptom::AcknowledgedLost { acked: self.acked, leader: commit });
+            self.report(Symptom::AcknowledgedLost { acked: self.acked, leader: commit });
         }
     }
 
-    pub fn ask(&mut self, token: u64) {
+    pub fn read_requested(&mut self, token: u64) {
         self.asked.insert(token, self.acked);
     }
 
-    pub fn answer(&mut self, token: u64, index: u64) {
+    pub fn read_answered(&mut self, token: u64, index: u64) {
         self.reads += 1;
         let acked = self.asked.remove(&token).unwrap_or_default();
         if index < acked {
-            self.see(Symptom::StaleRead { index, acked });
+            self.report(Symptom::StaleRead { index, acked });
         }
     }
 }
--- a/components/agreement/tests/random/disk.rs
+++ b/components/agreement/tests/random/disk.rs
@@ -1,4 +1,4 @@
-//! A disk that forgets what was not synced, and the state machine that lives above it.
+//! A simulated disk that loses unsynced writes, and the state machine of a replica.
 
 use std::collections::VecDeque;
 use std::hash::DefaultHasher;
@@ -12,35 +12,35 @@
 use chicoryford_agreement::Snapshot;
 use chicoryford_agreement::Write;
 
-/// A disk: what is synced, and what is not yet.
+/// A disk: the synced state and the unsynced writes.
 #[derive(Clone, Default)]
 pub struct Disk {
     pub saved: Saved,
-    pub waiting: VecDeque<Write>,
+    pub unsynced: VecDeque<Write>,
 }
 
 impl Disk {
-    /// Syncs everything; gives the number of the last write.
+    /// Syncs all writes and returns the number of the last one.
     pub fn sync(&mut self) -> Option<u64> {
-        let last = self.waiting.back().map(|write| write.number);
-        self.keep(usize::MAX);
+        let last = self.unsynced.back().map(|write| write.number);
+        self.apply_writes(usize::MAX);
         last
     }
 
-    /// Crashes: some of the first unsynced writes may have reached the disk, the others did not.
-    pub fn crash(&mut self, reached: usize) {
-        self.keep(reached);
-        self.waiting.clear();
+    /// Simulates a crash: the first `written` unsynced writes are on disk, the others are lost.
+    pub fn crash(&mut self, written: usize) {
+        self.apply_writes(written);
+        self.unsynced.clear();
     }
 
-    fn keep(&mut self, count: usize) {
-        let count = count.min(self.waiting.len());
-        for write in self.waiting.drain(..count) {
+    fn apply_writes(&mut self, count: usize) {
+        let count = count.min(self.unsynced.len());
+        for write in self.unsynced.drain(..count) {
             apply(&mut self.saved, write);
         }
     }
 
-    /// Writes a snapshot and drops the entries that it covers.
+    /// Writes a snapshot and removes the entries that it covers.
     pub fn snapshot(&mut self, snapshot: Snapshot) {
         let index = snapshot.meta.last.index;
         self.saved.entries.retain(|entry| entry.id.index > index);
@@ -62,21 +62,21 @@
     saved.entries.extend(write.entries);
 }
 
-/// The state of a state machine: a hash over everything that it applied, in order.
+/// The state of a state machine: a hash over all applied entries in order.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Chain {
+pub struct HashChain {
     pub index: u64,
     pub hash: u64,
 }
 
-impl Chain {
+impl HashChain {
     pub fn apply(&mut self, entry: &Entry) {
         let mut hasher = DefaultHasher::new();
-        (self.hash, entry.id, label(&entry.payload)).hash(&mut hasher);
+        (self.hash, entry.id, payload_hash(&entry.payload)).hash(&mut hasher);
         *self = Self { index: entry.id.index, hash: hasher.finish() };
     }
 
-    /// Encodes the state, with padding so that it makes several pieces.
+    /// Encodes the state, padded so that a snapshot takes several chunks.
     pub fn encode(&self) -> Bytes {
         let mut data = Vec::from(self.index.to_be_bytes());
         data.extend(self.hash.to_be_bytes());
@@ -90,7 +90,7 @@
     }
 }
 
-fn label(payload: &Payload) -> u64 {
+fn payload_hash(payload: &Payload) -> u64 {
     match payload {
         Payload::Empty => 0,
         Payload::Data(data) => u64::from_be_bytes(data[..8].try_into().unwrap()),
--- a/components/agreement/tests/random/chaos.rs
+++ b/components/agreement/tests/random/faults.rs
@@ -1,4 +1,4 @@
-//! Clients, operators and faults, drawn from the run's seed.
+//! Clients, operators and faults, driven by the seed of the run.
 
 use bytes::Bytes;
 use chicoryford_agreement::Event;
@@ -11,18 +11,18 @@
 use chicoryford_agreement::Token;
 use rand::Rng;
 
-use crate::world::Host;
-use crate::world::What;
-use crate::world::World;
+use crate::simulation::Host;
+use crate::simulation::SimEvent;
+use crate::simulation::Simulation;
 
-impl World {
+impl Simulation {
     fn token(&mut self) -> Token {
         self.token += 1;
         Token(self.token)
     }
 
-    /// Finds replicas that believe that they lead, or else any.
-    fn target(&mut self) -> usize {
+    /// Returns a replica that considers itself leader, or else any replica.
+    fn pick_leader(&mut self) -> usize {
         let leads =
             |p: &usize| self.hosts[*p].replica.as_ref().is_some_and(|r| r.role() == Role::Leader);
         let leaders: Vec<usize> = (0..self.hosts.len()).filter(leads).collect();
@@ -33,17 +33,17 @@
     }
 
     pub fn client(&mut self) {
-        let place = self.target();
+        let node = self.pick_leader();
         if self.rng.random_ratio(1, 4) {
             let token = self.token();
-            self.judge.ask(token.0);
-            self.tell(place, Event::Read { token });
+            self.checker.read_requested(token.0);
+            self.handle_event(node, Event::Read { token });
         } else {
             let proposals = (0..self.rng.random_range(1..4)).map(|_| self.proposal()).collect();
-            self.tell(place, Event::Propose(proposals));
+            self.handle_event(node, Event::Propose(proposals));
         }
         let pause = self.rng.random_range(2..30);
-        self.at(pause, What::Client);
+        self.schedule(pause, SimEvent::Client);
     }
 
     fn proposal(&mut self) -> Proposal {
@@ -52,57 +52,59 @@
     }
 
     pub fn fault(&mut self) {
-        let place = self.rng.random_range(0..self.hosts.len());
-        if self.plan.herd > 0 && self.rng.random_ratio(self.plan.herd, 100) {
+        let node = self.rng.random_range(0..self.hosts.len());
+        if self.plan.crash_all_percent > 0
+            && self.rng.random_ratio(self.plan.crash_all_percent, 100)
+        {
             self.crash_all();
         }
         match self.rng.random_range(0..28) {
-            0..3 => self.isolate(place),
+            0..3 => self.isolate(node),
             3 => self.isolate_leader(),
             4..6 => self.split(),
-            6 => self.cut_one_way(place),
-            7..11 => self.cuts.clear(),
-            11..13 => self.crash_for_a_while(place),
+            6 => self.block_outgoing_links(node),
+            7..11 => self.blocked_links.clear(),
+            11..13 => self.crash_and_restart(node),
             13 => self.crash_many(),
-            14 => self.lose_a_disk(place),
-            15..17 => self.freeze(place),
+            14 => self.lose_a_disk(node),
+            15..17 => self.freeze(node),
             17 => {
-                let leader = self.target();
+                let leader = self.pick_leader();
                 self.freeze(leader);
             }
-            18 => self.fail_storage(place),
+            18 => self.fail_storage(node),
             19 => {
-                let leader = self.target();
-                let to = self.rng.random_bool(0.5).then(|| self.hosts[place].id.clone());
-                self.tell(leader, Event::HandOver { to });
+                let leader = self.pick_leader();
+                let to = self.rng.random_bool(0.5).then(|| self.hosts[node].id.clone());
+                self.handle_event(leader, Event::HandOver { to });
             }
-            20 => self.loss = self.rng.random_range(0..=3 * self.plan.loss),
-            21..23 => self.change_a_member(place),
-            23..27 => self.cut_pair(place),
+            20 => self.loss_percent = self.rng.random_range(0..=3 * self.plan.loss_percent),
+            21..23 => self.change_a_member(node),
+            23..27 => self.block_link_to_leader(node),
             _ => self.replace_lost(),
         }
-        let pause = self.rng.random_range(1..=2 * self.plan.calm);
-        self.at(pause, What::Fault);
+        let pause = self.rng.random_range(1..=2 * self.plan.fault_interval_ms);
+        self.schedule(pause, SimEvent::Fault);
     }
 
-    /// Stops all replicas; each is back within moments, some of them before a lease would end.
+    /// Stops all replicas. Each restarts within 120 ms, some of them before a lease would end.
     fn crash_all(&mut self) {
-        for place in 0..self.hosts.len() {
-            self.crash(place);
+        for node in 0..self.hosts.len() {
+            self.crash(node);
             let ms = self.rng.random_range(1..120);
-            self.at(ms, What::Restart(place));
+            self.schedule(ms, SimEvent::Restart(node));
         }
     }
 
-    pub fn isolate(&mut self, place: usize) {
+    pub fn isolate(&mut self, node: usize) {
         for other in 0..self.hosts.len() {
-            self.cuts.insert((place, other));
-            self.cuts.insert((other, place));
+            self.blocked_links.insert((node, other));
+            self.blocked_links.insert((other, node));
         }
     }
 
     fn isolate_leader(&mut self) {
-        let leader = self.target();
+        let leader = self.pick_leader();
         self.isolate(leader);
     }
 
@@ -111,71 +113,71 @@
         for from in 0..side.len() {
             for to in 0..side.len() {
                 if side[from] != side[to] {
-                    self.cuts.insert((from, to));
+                    self.blocked_links.insert((from, to));
                 }
             }
         }
     }
 
-    fn cut_one_way(&mut self, place: usize) {
+    fn block_outgoing_links(&mut self, node: usize) {
         for other in 0..self.hosts.len() {
-            self.cuts.insert((place, other));
+            self.blocked_links.insert((node, other));
         }
     }
 
-    /// One network path fails, perhaps in one direction only: a follower does not hear a leader
-    /// that all others hear.
-    fn cut_pair(&mut self, place: usize) {
-        let leader = self.target();
-        self.cuts.insert((leader, place));
+    /// Blocks the link between a leader and one replica, possibly in one direction only, so that a
+    /// follower has no contact with a leader that all others can reach.
+    fn block_link_to_leader(&mut self, node: usize) {
+        let leader = self.pick_leader();
+        self.blocked_links.insert((leader, node));
         if self.rng.random() {
-            self.cuts.insert((place, leader));
+            self.blocked_links.insert((node, leader));
         }
     }
 
-    fn crash_for_a_while(&mut self, place: usize) {
-        self.crash(place);
+    fn crash_and_restart(&mut self, node: usize) {
+        self.crash(node);
         let pause = self.rng.random_range(1..1_500);
-        self.at(pause, What::Restart(place));
+        self.schedule(pause, SimEvent::Restart(node));
     }
 
-    /// A data centre loses power: several stop at once.
+    /// Simulates the power loss of a data centre: several replicas stop at once.
     fn crash_many(&mut self) {
-        for place in 0..self.hosts.len() {
+        for node in 0..self.hosts.len() {
             if self.rng.random_bool(0.7) {
-                self.crash_for_a_while(place);
+                self.crash_and_restart(node);
             }
         }
     }
 
-    /// A process is stopped and comes back with its clock far ahead.
-    fn freeze(&mut self, place: usize) {
-        self.hosts[place].frozen = true;
+    /// Suspends a process, which resumes with its clock far ahead.
+    fn freeze(&mut self, node: usize) {
+        self.hosts[node].frozen = true;
         let pause = self.rng.random_range(50..2_500);
-        self.at(pause, What::Thaw(place));
+        self.schedule(pause, SimEvent::Thaw(node));
     }
 
-    fn fail_storage(&mut self, place: usize) {
-        self.tell(place, Event::StorageFailed);
-        self.crash_for_a_while(place);
+    fn fail_storage(&mut self, node: usize) {
+        self.handle_event(node, Event::StorageFailed);
+        self.crash_and_restart(node);
     }
 
-    /// Loses a disk, unless more would then be lost than the agreement withstands.
-    fn lose_a_disk(&mut self, place: usize) {
-        let lost = self.hosts[place].id.clone();
-        let bearable = self.views().iter().all(|members| self.withstands(members, &lost));
-        // Founders that are all empty again found anew, unless they are told of the others.
+    /// Deletes a disk, unless the group could not tolerate that many lost disks.
+    fn lose_a_disk(&mut self, node: usize) {
+        let lost = self.hosts[node].id.clone();
+        let tolerable = self.views().iter().all(|members| self.tolerates_loss(members, &lost));
+        // If all founders are empty, they bootstrap again unless they are told of other nodes.
         let founder =
-            |host: &Host| host.founds && host.id != lost && host.disk.saved.hard.epoch.0 > 0;
-        let bearable = bearable && self.hosts.iter().any(founder);
-        if bearable {
-            self.lose_disk(place);
+            |host: &Host| host.is_founder && host.id != lost && host.disk.saved.hard.epoch.0 > 0;
+        let tolerable = tolerable && self.hosts.iter().any(founder);
+        if tolerable {
+            self.lose_disk(node);
             let pause = self.rng.random_range(1..500);
-            self.at(pause, What::Restart(place));
+            self.schedule(pause, SimEvent::Restart(node));
         }
     }
 
-    /// Gives the members as each replica has them, in memory or on disk.
+    /// Returns the members as each replica has them, in memory and on disk.
     fn views(&self) -> Vec<Membership> {
         let mut views: Vec<Membership> = Vec::new();
         for host in &self.hosts {
@@ -196,10 +198,10 @@
         members.unwrap_or_default()
     }
 
-    fn withstands(&self, members: &Membership, lost: &ReplicaId) -> bool {
+    fn tolerates_loss(&self, members: &Membership, lost: &ReplicaId) -> bool {
         let mut members = members.clone();
         if let Some(info) = members.replicas.get_mut(lost) {
-            // Its promotion may begin before anybody can notice the loss.
+            // Its promotion may begin before any replica can detect the loss.
             info.voter = true;
         }
         let gone = members.voters().filter(|id| *id == lost || self.is_lost(id)).count();
@@ -207,25 +209,26 @@
     }
 
     fn is_lost(&self, id: &ReplicaId) -> bool {
-        self.place(id).is_none()
+        self.find_host(id).is_none()
     }
 
     fn change(&mut self, change: MembershipChange) {
         let token = self.token();
-        let leader = self.target();
-        self.tell(leader, Event::ChangeMembers { token, change });
+        let leader = self.pick_leader();
+        self.handle_event(leader, Event::ChangeMembers { token, change });
     }
 
-    /// An operator adds, promotes or removes a replica.
-    fn change_a_member(&mut self, place: usize) {
-        let leader = self.target();
+    /// Simulates an operator who adds, promotes or removes a replica.
+    fn change_a_member(&mut self, node: usize) {
+        let leader = self.pick_leader();
         let Some(replica) = &self.hosts[leader].replica else { return };
         let members = replica.members().clone();
-        let id = self.hosts[place].id.clone();
+        let id = self.hosts[node].id.clone();
         let voters = members.voters().count();
         if members.contains(&id) {
-            // To remove a voter that lives while another's disk is gone is as if a third were lost;
-            // nothing could be committed then (docs/AGREEMENT.md tells operators).
+            // Removing a live voter while the disk of another one is lost is equivalent to losing a
+            // third replica: nothing could be committed any more (docs/AGREEMENT.md instructs
+            // operators).
             let lost = self.views().iter().any(|view| view.voters().any(|id| self.is_lost(id)));
             if lost && members.is_voter(&id) {
                 return;
@@ -244,9 +247,9 @@
         }
     }
 
-    /// An operator replaces a replica whose disk was lost.
+    /// Simulates an operator who replaces a replica whose disk was lost.
     pub fn replace_lost(&mut self) {
-        let leader = self.target();
+        let leader = self.pick_leader();
         let Some(replica) = &self.hosts[leader].replica else { return };
         let members = replica.members().clone();
         let Some(old) = members.replicas.keys().find(|id| self.is_lost(id)).cloned() else {
--- a/components/agreement/tests/random/main.rs
+++ b/components/agreement/tests/random/main.rs
@@ -1,11 +1,11 @@
-//! Randomised runs of several replicas (docs/AGREEMENT.md tells how to run longer ones).
+//! Randomised simulations of several replicas (docs/AGREEMENT.md describes how to run longer ones).
 
-mod chaos;
+mod checker;
 mod disk;
-mod judge;
+mod faults;
 mod mutation;
-mod named;
-mod world;
+mod regressions;
+mod simulation;
 
 use std::env;
 
@@ -13,68 +13,76 @@
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 
-use crate::world::Plan;
-use crate::world::World;
+use crate::simulation::Plan;
+use crate::simulation::Simulation;
 
 const SEED: u64 = 2_026;
 const EVENTS: u64 = 1_200_000;
-const RUN: u64 = 50_000;
+const RUN_EVENTS: u64 = 50_000;
 
 impl Arbitrary for Plan {
     fn arbitrary(g: &mut Gen) -> Self {
         Self {
             seed: u64::arbitrary(g),
             replicas: *g.choose(&[3, 3, 5, 5, 7]).unwrap(),
-            events: RUN,
-            loss: *g.choose(&[0, 2, 6]).unwrap(),
-            calm: *g.choose(&[60, 250, 1_000]).unwrap(),
+            max_events: RUN_EVENTS,
+            loss_percent: *g.choose(&[0, 2, 6]).unwrap(),
+            fault_interval_ms: *g.choose(&[60, 250, 1_000]).unwrap(),
             ..Self::default()
         }
     }
 }
 
-fn number(name: &str, default: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-fn keeps_its_promises(plan: Plan) -> bool {
-    let mut world = World::new(plan);
-    world.run();
-    let judge = &world.judge;
+fn upholds_invariants(plan: Plan) -> bool {
+    let mut sim = Simulation::new(plan);
+    sim.run();
+    let checker = &sim.checker;
     println!(
         "seed={} replicas={} loss={} calm={} events={} acks={} reads={} leaders={} symptom={:?}",
-        world.plan.seed,
-        world.plan.replicas,
-        world.plan.loss,
-        world.plan.calm,
-        world.events,
-        judge.acks,
-        judge.reads,
-        judge.leaders(),
-        judge.symptom,
+        sim.plan.seed,
+        sim.plan.replicas,
+        sim.plan.loss_percent,
+        sim.plan.fault_interval_ms,
+        sim.events,
+        checker.acks,
+        checker.reads,
+        checker.leaders(),
+        checker.symptom,
     );
-    if judge.symptom.is_some() {
-        world.show();
+    if checker.symptom.is_some() {
+        sim.show();
     }
-    judge.symptom.is_none()
+    checker.symptom.is_none()
 }
 
-/// Runs one plan again: `CHICORYFORD_PLAN=seed,replicas,loss,calm`.
+/// Repeats a single plan: `CHICORYFORD_PLAN=seed,replicas,loss,calm`.
 #[test]
-fn keeps_its_promises_in_the_plan_asked_for() {
+fn upholds_invariants_in_the_requested_plan() {
     let Ok(text) = env::var("CHICORYFORD_PLAN") else { return };
     let numbers: Vec<u64> = text.split(',').map(|part| part.parse().unwrap()).collect();
-    let [seed, replicas, loss, calm] = numbers[..] else { panic!("seed,replicas,loss,calm") };
-    let (replicas, loss) = (replicas as usize, loss as u32);
-    assert!(keeps_its_promises(Plan { seed, replicas, loss, calm, ..Plan::default() }));
+    let [seed, replicas, loss, fault_interval_ms] = numbers[..] else {
+        panic!("CHICORYFORD_PLAN must be seed,replicas,loss,calm")
+    };
+    let (replicas, loss_percent) = (replicas as usize, loss as u32);
+    assert!(upholds_invariants(Plan {
+        seed,
+        replicas,
+        loss_percent,
+        fault_interval_ms,
+        ..Plan::default()
+    }));
 }
 
 #[test]
-fn keeps_its_promises_in_randomised_runs() {
-    let seed = number("CHICORYFORD_SEED", SEED);
-    let runs = number("CHICORYFORD_EVENTS", EVENTS).div_ceil(RUN);
+fn upholds_invariants_in_randomised_runs() {
+    let seed = env_number("CHICORYFORD_SEED", SEED);
+    let runs = env_number("CHICORYFORD_EVENTS", EVENTS).div_ceil(RUN_EVENTS);
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, seed))
         .tests(runs)
-        .quickcheck(keeps_its_promises as fn(Plan) -> bool);
+        .quickcheck(upholds_invariants as fn(Plan) -> bool);
 }
--- a/components/agreement/tests/single.rs
+++ b/components/agreement/tests/single.rs
@@ -1,4 +1,4 @@
-//! A replica by itself.
+//! Tests of a deployment with a single replica.
 
 use bytes::Bytes;
 use chicoryford_agreement::Action;
@@ -15,7 +15,7 @@
 use chicoryford_types::Incarnation;
 use chicoryford_types::Millis;
 
-fn alone() -> Replica {
+fn single_replica() -> Replica {
     let founder = Founder { node: "a".into(), address: "a:1".to_owned() };
     let id = ReplicaId::new("a", Incarnation(7));
     let settings = Settings { id, founders: vec![founder], ..Settings::default() };
@@ -52,12 +52,12 @@
         }
         write = write_number(&actions).unwrap_or(write);
     }
-    panic!("a replica by itself does not lead");
+    panic!("a single replica is not elected");
 }
 
 #[test]
 fn can_lead_alone_once_its_vote_is_synced() {
-    let mut replica = alone();
+    let mut replica = single_replica();
     lead(&mut replica);
     assert!(replica.holds_lease(Millis(25)));
     assert_eq!(replica.violations(), 0);
@@ -65,7 +65,7 @@
 
 #[test]
 fn commits_a_proposal_only_after_its_sync() {
-    let mut replica = alone();
+    let mut replica = single_replica();
     lead(&mut replica);
     let proposal = Proposal { token: Token(5), data: Bytes::from_static(b"x") };
     let actions = step(&mut replica, 30, Event::Propose(vec![proposal]));
@@ -76,8 +76,8 @@
 }
 
 #[test]
-fn answers_a_read_alone() {
-    let mut replica = alone();
+fn answers_a_read_as_single_replica() {
+    let mut replica = single_replica();
     lead(&mut replica);
     let actions = step(&mut replica, 30, Event::Read { token: Token(9) });
     assert!(matches!(actions[..], [Action::ReadReady { token: Token(9), index: 2 }]));
@@ -85,24 +85,23 @@
 
 #[test]
 fn refuses_everything_after_its_disk_failed() {
-    // Symptom: a replica acknowledges entries that are gone after its restart.
-    // Sequence: a sync fails; the next one succeeds.
-    // Cause: the page cache marks pages as clean after a failed sync, though they never reached
-    // the disk.
-    let mut replica = alone();
+    // Guards against a replica that acknowledges entries which are missing after its restart: a
+    // sync fails and the next one succeeds. After a failed sync the page cache marks pages as clean
+    // although they never reached the disk.
+    let mut replica = single_replica();
     let write = lead(&mut replica);
     step(&mut replica, 30, Event::StorageFailed);
     let proposal = Proposal { token: Token(5), data: Bytes::new() };
     let actions = step(&mut replica, 31, Event::Propose(vec![proposal]));
-    let why = Refusal::StorageFailed;
-    assert!(matches!(&actions[..], [Action::Refuse { why: w, .. }] if *w == why));
+    let reason = Refusal::StorageFailed;
+    assert!(matches!(&actions[..], [Action::Refuse { reason: w, .. }] if *w == reason));
     assert!(step(&mut replica, 32, Event::Synced { write }).is_empty());
     assert!(step(&mut replica, 9_000, Event::Tick).is_empty());
 }
 
 #[test]
-fn comes_back_with_what_was_on_its_disk() {
-    let mut replica = alone();
+fn restarts_with_the_state_on_its_disk() {
+    let mut replica = single_replica();
     let mut saved = Saved::default();
     for now in 10..40 {
         let event = if now % 2 == 0 { Event::Tick } else { Event::Synced { write: now } };
@@ -115,7 +114,7 @@
     }
     assert!(matches!(saved.entries[0].payload, Payload::Members(_)));
     let settings = Settings { id: replica.id().clone(), ..Settings::default() };
-    let mut again = Replica::new(settings, saved, 2);
-    lead(&mut again);
-    assert!(again.epoch() > replica.epoch());
+    let mut restarted = Replica::new(settings, saved, 2);
+    lead(&mut restarted);
+    assert!(restarted.epoch() > replica.epoch());
 }
--- a/components/control/src/replica.rs
+++ b/components/control/src/replica.rs
@@ -259,9 +259,9 @@
                 self.storage.snapshot = snapshot.meta.last.index;
                 self.applied.reset(&snapshot)?;
             }
-            Action::Refuse { token, why } => {
-                let why = self.refused(why);
-                self.pending.refuse(token, why);
+            Action::Refuse { token, reason } => {
+                let refused = self.refused(reason);
+                self.pending.refuse(token, refused);
             }
             // What it must hold is applied already: commits are handed over before.
             Action::ReadReady { token, index } => self.read_ready(token, index),
--- a/components/node/src/replica.rs
+++ b/components/node/src/replica.rs
@@ -357,7 +357,7 @@
             Action::Send(message) => self.peers.send(message),
             Action::Commit(batch) => batch.into_iter().for_each(|one| self.apply_committed(one)),
             Action::ApplySnapshot(snapshot) => self.install_snapshot(&snapshot),
-            Action::Refuse { token, why } => self.refuse(token, why),
+            Action::Refuse { token, reason } => self.refuse(token, reason),
             Action::ReadReady { token, .. } => {
                 // The required commits are already applied: they are delivered before this action.
                 if let Some(reader) = self.reads.borrow_mut().remove(&token) {
