--- a/components/membership/examples/measure_members.rs
+++ b/components/membership/examples/measure_members.rs
@@ -1,6 +1,6 @@
-//! Measures membership: bytes and processor time a node, and how long the others take to notice a
-//! death, at growing numbers of members. Virtual time, real sizes of datagrams, headers of IP
-//! and UDP included; processor time is that of the state machines and of encoding.
+//! Measures membership at growing numbers of members: bytes and CPU time per node, and how long the
+//! others take to detect a death. Uses virtual time and real datagram sizes, including IP and UDP
+//! headers. CPU time covers the state machines and encoding.
 //!
 //! `cargo run --release -p chicoryford-membership --example measure_members [seed] [largest]`
 
@@ -14,16 +14,16 @@
 use chicoryford_membership::SwimSettings;
 use chicoryford_types::Standing;
 
-use net::Net;
+use net::Network;
 
 const SIZES: [usize; 6] = [10, 50, 200, 500, 1_000, 2_000];
-const CENTRES: usize = 10;
-const WARM_MS: u64 = 10_000;
-const CALM_MS: u64 = 30_000;
+const DATA_CENTRES: usize = 10;
+const WARM_UP_MS: u64 = 10_000;
+const IDLE_MS: u64 = 30_000;
 const BUSY_MS: u64 = 60_000;
-const LONGEST_MS: u64 = 120_000;
+const MAX_WAIT_MS: u64 = 120_000;
 
-/// What one run gave.
+/// The results of one run.
 struct Row {
     members: usize,
     bytes: f64,
@@ -44,10 +44,12 @@
     let seed = words.next().and_then(|word| word.parse().ok()).unwrap_or(1);
     let largest = words.next().and_then(|word| word.parse().ok()).unwrap_or(SIZES[5]);
     println!(
-        "seed {seed}; bytes a second a node are sent plus received, in calm, while all report"
+        "seed {seed}; bytes per second and node are sent plus received, when idle, while all report"
     );
     println!("new weight versions and positions, in one death,");
-    println!("and in the loss of one of {CENTRES} data centres; times in virtual milliseconds");
+    println!(
+        "and in the loss of one of {DATA_CENTRES} data centres; times in virtual milliseconds"
+    );
     println!(
         "members  bytes/s  busy-B/s  datagrams/s  cpu%  first  last  death-B/s  centre  centre-B/s  wrong  max-B"
     );
@@ -61,14 +63,14 @@
     println!("cpu% of a core = {intercept:.4} + {slope:.7} x members, r2 {fit:.3}");
     let last: Vec<f64> = rows.iter().map(|row| row.last as f64).collect();
     let (slope, intercept, fit) = log_line(&rows, &last);
-    println!("last to notice, ms = {intercept:.0} + {slope:.0} x log10(members), r2 {fit:.3}");
+    println!("last detection, ms = {intercept:.0} + {slope:.0} x log10(members), r2 {fit:.3}");
 }
 
 fn measure(members: usize, seed: u64) -> Row {
-    let mut net = Net::new(members, CENTRES, SwimSettings::default(), seed);
-    net.acquaint();
-    net.run(WARM_MS);
-    let (bytes, datagrams, cpu) = window(&mut net, CALM_MS);
+    let mut net = Network::new(members, DATA_CENTRES, SwimSettings::default(), seed);
+    net.introduce_all();
+    net.run(WARM_UP_MS);
+    let (bytes, datagrams, cpu) = window(&mut net, IDLE_MS);
     let busy = busy(&mut net);
     let wrong = net.false_deaths();
 
@@ -76,20 +78,21 @@
     net.kill(dead);
     reset(&mut net);
     let began = net.now;
-    let some = |net: &Net| (0..members).any(|at| net.standing(dead, at) == Some(Standing::Dead));
-    let first = net.until(LONGEST_MS, some).unwrap_or(LONGEST_MS);
-    let rest = net.until(LONGEST_MS, |net| net.all_hold_dead(dead)).unwrap_or(LONGEST_MS);
+    let some =
+        |net: &Network| (0..members).any(|at| net.standing(dead, at) == Some(Standing::Dead));
+    let first = net.run_until(MAX_WAIT_MS, some).unwrap_or(MAX_WAIT_MS);
+    let rest = net.run_until(MAX_WAIT_MS, |net| net.all_report_dead(dead)).unwrap_or(MAX_WAIT_MS);
     let death_bytes = rate(&net, net.now.since(began));
 
     let centre = 3;
-    let lost: Vec<usize> = (0..members).filter(|n| n % CENTRES == centre).collect();
+    let lost: Vec<usize> = (0..members).filter(|n| n % DATA_CENTRES == centre).collect();
     lost.iter().for_each(|n| net.kill(*n));
     reset(&mut net);
     let began = net.now;
-    let all = |net: &Net| lost.iter().all(|n| net.all_hold_dead(*n));
-    let centre_last = net.until(LONGEST_MS, all).unwrap_or(LONGEST_MS);
+    let all = |net: &Network| lost.iter().all(|n| net.all_report_dead(*n));
+    let centre_last = net.run_until(MAX_WAIT_MS, all).unwrap_or(MAX_WAIT_MS);
     let centre_bytes = rate(&net, net.now.since(began));
-    kinds(&net, "loss of a data centre", net.now.since(began));
+    print_kinds(&net, "loss of a data centre", net.now.since(began));
 
     let row = Row {
         members,
@@ -123,23 +126,23 @@
     row
 }
 
-/// Gives bytes a second while every member reports new weight versions and positions at once, as
-/// samplers do after each publishing.
-fn busy(net: &mut Net) -> f64 {
+/// Returns bytes per second and node while every member reports new weight versions and positions
+/// at once, as samplers do after each publication.
+fn busy(net: &mut Network) -> f64 {
     for n in 0..net.peers.len() {
         let mut own = net.peers[n].swim.own().clone();
         let models = own.endpoint.iter_mut().flat_map(|endpoint| endpoint.models.values_mut());
         models.for_each(|version| *version = version.next());
         own.announced += 1;
-        net.on(n, Event::Own(own));
+        net.handle(n, Event::Own(own));
     }
     reset(net);
     net.run(BUSY_MS);
     rate(net, BUSY_MS)
 }
 
-/// Prints what the bytes sent since the last reset went to, in bytes a second a node.
-fn kinds(net: &Net, what: &str, ms: u64) {
+/// Prints the bytes sent since the last reset by kind, in bytes per second and node.
+fn print_kinds(net: &Network, what: &str, ms: u64) {
     let up = net.peers.iter().filter(|peer| peer.up).count() as f64;
     let per = |bytes: &u64| *bytes as f64 / up / (ms.max(1) as f64 / 1_000.0);
     let parts: Vec<String> =
@@ -147,7 +150,7 @@
     println!("         {what}, B/s sent: {}", parts.join(", "));
 }
 
-fn reset(net: &mut Net) {
+fn reset(net: &mut Network) {
     net.measured = true;
     net.kinds.clear();
     for peer in &mut net.peers {
@@ -157,7 +160,7 @@
     }
 }
 
-fn window(net: &mut Net, ms: u64) -> (f64, f64, f64) {
+fn window(net: &mut Network, ms: u64) -> (f64, f64, f64) {
     reset(net);
     let clock = Instant::now();
     net.run(ms);
@@ -168,7 +171,7 @@
     (rate(net, ms), datagrams, 100.0 * cpu / seconds)
 }
 
-fn rate(net: &Net, ms: u64) -> f64 {
+fn rate(net: &Network, ms: u64) -> f64 {
     let up = net.peers.iter().filter(|peer| peer.up);
     let (count, bytes) =
         up.fold((0, 0), |(count, bytes), peer| (count + 1, bytes + peer.sent + peer.received));
@@ -185,7 +188,8 @@
     fit(&sizes, values)
 }
 
-/// Fits a line by least squares; gives slope, intercept and the share of variance it explains.
+/// Fits a line by least squares. Returns the slope, the intercept and the share of variance that it
+/// explains.
 fn fit(xs: &[f64], ys: &[f64]) -> (f64, f64, f64) {
     let n = xs.len() as f64;
     let (mx, my) = (xs.iter().sum::<f64>() / n, ys.iter().sum::<f64>() / n);
--- a/components/membership/examples/measure_partition.rs
+++ b/components/membership/examples/measure_partition.rs
@@ -1,5 +1,5 @@
-//! Measures membership while half of the data centres have lost the other half, and after they
-//! found each other again; and with 170 restarts a day. Virtual time, real sizes of datagrams.
+//! Measures membership while half of the data centres have no contact with the other half, after
+//! contact is restored, and with 170 restarts per day. Uses virtual time and real datagram sizes.
 //!
 //! `cargo run --release -p chicoryford-membership --example measure_partition [seed] [members]`
 
@@ -12,70 +12,74 @@
 use chicoryford_types::Incarnation;
 use chicoryford_types::Standing;
 
-use net::Net;
+use net::Network;
 
-const CENTRES: usize = 10;
-const CUT_MS: u64 = 180_000;
+const DATA_CENTRES: usize = 10;
+const PARTITION_MS: u64 = 180_000;
 const WINDOW_MS: u64 = 10_000;
-const LONGEST_MS: u64 = 300_000;
-/// One restart in this time is 170 a day.
+const MAX_WAIT_MS: u64 = 300_000;
+/// The interval between restarts: one in this time is 170 per day.
 const RESTART_MS: u64 = 508_000;
 
 fn main() {
     let mut words = env::args().skip(1);
     let seed = words.next().and_then(|word| word.parse().ok()).unwrap_or(1);
     let members = words.next().and_then(|word| word.parse().ok()).unwrap_or(2_000);
-    println!("seed {seed}, {members} members; bytes a second a node, sent plus received");
-    let mut net = Net::new(members, CENTRES, SwimSettings::default(), seed);
-    net.acquaint();
+    println!("seed {seed}, {members} members; bytes per second and node, sent plus received");
+    let mut net = Network::new(members, DATA_CENTRES, SwimSettings::default(), seed);
+    net.introduce_all();
     net.run(WINDOW_MS);
     restarts(&mut net);
     for n in 0..members {
-        net.part[n] = u32::from(n % CENTRES >= CENTRES / 2);
+        net.partition[n] = u32::from(n % DATA_CENTRES >= DATA_CENTRES / 2);
     }
     let began = net.now;
-    while net.now.since(began) < CUT_MS {
+    while net.now.since(began) < PARTITION_MS {
         let rate = window(&mut net, WINDOW_MS);
-        println!("cut {:4} s: {rate:6.0} B/s, {}", net.now.since(began) / 1_000, parted(&net));
+        println!(
+            "cut {:4} s: {rate:6.0} B/s, {}",
+            net.now.since(began) / 1_000,
+            dead_in_other_half(&net)
+        );
     }
-    net.part.fill(0);
+    net.partition.fill(0);
     let began = net.now;
-    while net.now.since(began) < LONGEST_MS {
+    while net.now.since(began) < MAX_WAIT_MS {
         let rate = window(&mut net, WINDOW_MS);
         let seconds = net.now.since(began) / 1_000;
-        println!("healed {seconds:4} s: {rate:6.0} B/s, {} false deaths", net.false_deaths());
+        println!("restored {seconds:4} s: {rate:6.0} B/s, {} false deaths", net.false_deaths());
         if net.all_agree() {
-            println!("all agree after {seconds} s; promises broken {}", net.broken());
+            println!("all agree after {seconds} s; invariant violations {}", net.violations());
             return;
         }
     }
-    println!("not all agree after {} s", LONGEST_MS / 1_000);
+    println!("not all agree after {} s", MAX_WAIT_MS / 1_000);
 }
 
-/// Restarts one member and gives the bytes of a minute, of which a day has 1,440; in all others
-/// nothing happens.
-fn restarts(net: &mut Net) {
-    let calm = window(net, 60_000);
+/// Restarts one member and prints the traffic of the following minute, scaled to the number of
+/// restarts per day, with no other changes. A day has 1,440 minutes.
+fn restarts(net: &mut Network) {
+    let idle = window(net, 60_000);
     net.kill(7);
     net.run(500);
     net.restart(7, Incarnation(5_000));
     let with = window(net, 60_000);
-    let more = (with - calm) * 60_000.0 / RESTART_MS as f64;
+    let more = (with - idle) * 60_000.0 / RESTART_MS as f64;
     println!(
-        "calm {calm:.0} B/s; the minute after a restart {with:.0} B/s; at 170 a day {more:+.0}"
+        "idle {idle:.0} B/s; the minute after a restart {with:.0} B/s; at 170 per day {more:+.0}"
     );
 }
 
-/// Counts how much of the other half is held for dead, at two members.
-fn parted(net: &Net) -> String {
+/// Returns how many members of the other half are considered dead, as seen by two members.
+fn dead_in_other_half(net: &Network) -> String {
     let dead = |at: usize| {
-        let others = (0..net.peers.len()).filter(|of| net.part[*of] != net.part[at]);
+        let others = (0..net.peers.len()).filter(|of| net.partition[*of] != net.partition[at]);
         others.filter(|of| net.standing(*of, at) == Some(Standing::Dead)).count()
     };
-    format!("dead in the other half: {} and {}", dead(0), dead(CENTRES - 1))
+    format!("dead in the other half: {} and {}", dead(0), dead(DATA_CENTRES - 1))
 }
 
-fn window(net: &mut Net, ms: u64) -> f64 {
+fn window(net: &mut Network, ms: u64) -> f64 {
     net.measured = true;
     for peer in &mut net.peers {
         (peer.sent, peer.received) = (0, 0);
--- a/components/membership/src/duty.rs
+++ b/components/membership/src/duty.rs
@@ -1,4 +1,4 @@
-//! The duty that drives [`Swim`]: the UDP socket, the clock, the published view.
+//! The task that drives [`Swim`]: the UDP socket, the clock and the published view.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,10 +20,10 @@
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 
+use crate::auth::Authenticator;
 use crate::handle::Handle;
 use crate::handle::SERVICE;
 use crate::message::Message;
-use crate::seal::Seal;
 use crate::settings::SwimSettings;
 use crate::swim::Action;
 use crate::swim::Event;
@@ -31,42 +31,43 @@
 use crate::swim::TICK_MS;
 use crate::traffic::Traffic;
 
-/// Larger than any datagram that a process sends.
-const BUFFER: usize = 65_536;
-/// Datagrams taken between two looks at the clock, so that a flood cannot stop the ticks.
-const BATCH: usize = 64;
+/// Size of the receive buffer, larger than any datagram that a process sends.
+const BUFFER_BYTES: usize = 65_536;
+/// Maximum number of datagrams received between two reads of the clock, so that a flood cannot
+/// suppress ticks.
+const MAX_BATCH: usize = 64;
 
-/// Membership could not be started.
+/// Membership failed to start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The token by which processes know each other could not be read.
+    /// The shared token of the processes could not be read.
     #[error(transparent)]
     Token(#[from] KeyError),
-    /// The token file is empty, so that anyone could forge datagrams.
+    /// The token file is empty, so anyone could forge datagrams.
     #[error("the token file is empty; all processes of a deployment share one token for gossip")]
     EmptyToken,
     /// The gossip socket could not be opened.
-    #[error("cannot take gossip at {address}")]
+    #[error("cannot open the gossip socket at {address}")]
     Socket {
         /// The address in the settings.
         address: SocketAddr,
-        /// What the operating system said.
+        /// The error from the operating system.
         source: std::io::Error,
     },
-    /// The address in the settings is one that others cannot send to.
+    /// The gossip address in the settings is unspecified, so other members cannot send to it.
     #[error("cannot announce {0} for gossip: others need this process's own address")]
     Unspecified(SocketAddr),
-    /// The duty's thread could not be started.
+    /// The thread of the task could not be started.
     #[error(transparent)]
     Duty(#[from] DutyError),
 }
 
-/// Opens the gossip socket, announces this process and offers [`Handle`] as [`SERVICE`].
+/// Opens the gossip socket, announces this process and registers [`Handle`] as [`SERVICE`].
 ///
-/// When it returns, the handle is there and shows this process itself. The address that is
-/// announced comes from `settings.listen`; whoever listens at port 0 corrects it by
-/// [`Handle::announce`]. The duty tells others that this process leaves when the process
-/// reaches [`Phase::Stopping`]; join it before the process ends.
+/// When it returns, the handle is registered and its view contains this process. The announced
+/// address is `settings.listen`; a caller that listens on port 0 corrects it with
+/// [`Handle::announce`]. When the process reaches [`Phase::Stopping`], the task announces that this
+/// process leaves, so join the thread before the process exits.
 ///
 /// # Errors
 ///
@@ -84,22 +85,22 @@
     socket.set_nonblocking(true).map_err(socket_error)?;
     let gossip = socket.local_addr().map_err(socket_error)?;
 
-    let own = Arc::new(watch::Sender::new(first(settings, gossip)));
+    let own = Arc::new(watch::Sender::new(initial_member(settings, gossip)));
     let seeds = settings.seeds.iter().copied().filter(|seed| *seed != gossip).collect();
     let member = own.borrow().clone();
     let swim = Swim::new(SwimSettings::default(), member, seeds, unix().0);
     let (publish, view) = watch::channel(Arc::new(swim.view()));
     let handle = Handle::new(view, own.clone());
-    dump(kernel, &handle);
+    add_dump(kernel, &handle);
     kernel.registry.offer(SERVICE, handle);
     let traffic = Traffic::default();
     traffic.dump(kernel);
-    let seal = Seal::new(&token);
-    let duty = Duty { swim, own, publish, seal, traffic, actions: Vec::new() };
+    let auth = Authenticator::new(&token);
+    let duty = Duty { swim, own, publish, auth, traffic, actions: Vec::new() };
     Ok(kernel.duty("members", move |kernel| duty.run(kernel, socket))?)
 }
 
-fn first(settings: &Settings, gossip: SocketAddr) -> Member {
+fn initial_member(settings: &Settings, gossip: SocketAddr) -> Member {
     Member {
         node: settings.node.clone(),
         incarnation: Incarnation(unix().0),
@@ -116,7 +117,7 @@
     }
 }
 
-fn dump(kernel: &Kernel, handle: &Handle) {
+fn add_dump(kernel: &Kernel, handle: &Handle) {
     let handle = handle.clone();
     kernel.dumps.add(SERVICE, move || {
         let view = handle.view();
@@ -128,7 +129,7 @@
     swim: Swim,
     own: Arc<watch::Sender<Member>>,
     publish: watch::Sender<Arc<Members>>,
-    seal: Seal,
+    auth: Authenticator,
     traffic: Traffic,
     actions: Vec<Action>,
 }
@@ -144,9 +145,10 @@
             }
         };
         let mut announced = self.own.subscribe();
-        // A role may have announced something between `start` and the start of this thread. A
-        // fresh receiver takes that for seen: an agent's endpoint would never be known, even to
-        // its own process. So the announcement is always taken once.
+        // A role may have changed the announcement between `start` and the start of this thread. A
+        // new receiver treats that change as seen, and an agent's endpoint would never be
+        // announced, not even to its own process. The current announcement is therefore always
+        // processed once.
         announced.mark_changed();
         let mut ticks = tokio::time::interval(Duration::from_millis(TICK_MS));
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -154,35 +156,35 @@
             tokio::select! {
                 biased;
                 () = kernel.phases.reached(Phase::Stopping) => break,
-                _ = ticks.tick() => self.on(Event::Tick, &kernel),
+                _ = ticks.tick() => self.handle(Event::Tick, &kernel),
                 changed = announced.changed() => {
-                    // The sender lives as long as self, so waiting cannot fail.
+                    // The sender is owned by self, so waiting cannot fail.
                     let _ = changed;
                     let own = announced.borrow_and_update().clone();
-                    self.on(Event::Own(own), &kernel);
+                    self.handle(Event::Own(own), &kernel);
                 }
                 readable = socket.readable() => {
                     let _ = readable;
-                    self.take(&socket, &kernel);
+                    self.receive(&socket, &kernel);
                 }
             }
-            self.act(&socket);
-            self.show(&kernel);
+            self.execute(&socket);
+            self.publish_view(&kernel);
         }
-        self.on(Event::Leave, &kernel);
-        self.act(&socket);
+        self.handle(Event::Leave, &kernel);
+        self.execute(&socket);
     }
 
-    fn on(&mut self, event: Event, kernel: &Kernel) {
-        self.swim.on(event, kernel.now(), &mut self.actions);
+    fn handle(&mut self, event: Event, kernel: &Kernel) {
+        self.swim.handle(event, kernel.now(), &mut self.actions);
     }
 
-    fn take(&mut self, socket: &UdpSocket, kernel: &Kernel) {
-        let mut buffer = [0; BUFFER];
-        for _ in 0..BATCH {
+    fn receive(&mut self, socket: &UdpSocket, kernel: &Kernel) {
+        let mut buffer = [0; BUFFER_BYTES];
+        for _ in 0..MAX_BATCH {
             let Ok((length, from)) = socket.try_recv_from(&mut buffer) else { return };
             self.traffic.received(length);
-            let content = match self.seal.open(&buffer[..length]) {
+            let content = match self.auth.verify(&buffer[..length]) {
                 Ok(content) => content,
                 Err(error) => {
                     kernel.metrics.count("gossip.refused", 1);
@@ -191,18 +193,19 @@
                 }
             };
             match Message::decode(content) {
-                Ok(message) => self.on(Event::Received { from, message }, kernel),
+                Ok(message) => self.handle(Event::Received { from, message }, kernel),
                 Err(error) => tracing::warn!(event = "gossip_malformed", %from, %error),
             }
         }
     }
 
-    fn act(&mut self, socket: &UdpSocket) {
+    fn execute(&mut self, socket: &UdpSocket) {
         for action in std::mem::take(&mut self.actions) {
             match action {
                 Action::Send { to, message } => {
-                    let datagram = self.seal.seal(&message.encode());
-                    // A datagram that cannot be sent is a lost one, which the machine expects.
+                    let datagram = self.auth.sign(&message.encode());
+                    // A datagram that cannot be sent counts as lost, which the state machine
+                    // tolerates.
                     if socket.try_send_to(&datagram, to).is_ok() {
                         self.traffic.sent(datagram.len());
                     }
@@ -217,7 +220,7 @@
         }
     }
 
-    fn show(&mut self, kernel: &Kernel) {
+    fn publish_view(&mut self, kernel: &Kernel) {
         if self.swim.take_changed() {
             let view = self.swim.view();
             kernel.metrics.gauge("members.known", view.known.len() as u64);
--- a/components/membership/src/handle.rs
+++ b/components/membership/src/handle.rs
@@ -1,4 +1,5 @@
-//! How the other services of a process see the members and change its own announcement.
+//! The interface by which other services of a process read the member view and change the process's
+//! own announcement.
 
 use std::sync::Arc;
 
@@ -6,10 +7,10 @@
 use chicoryford_types::Members;
 use tokio::sync::watch;
 
-/// The name under which [`Handle`] is offered.
+/// The name under which [`Handle`] is registered.
 pub const SERVICE: &str = "members";
 
-/// The view of members, and this process's own announcement.
+/// Access to the member view and to this process's own announcement.
 #[derive(Clone)]
 pub struct Handle {
     view: watch::Receiver<Arc<Members>>,
@@ -17,27 +18,28 @@
 }
 
 impl Handle {
-    /// Joins the two ends that the membership duty holds.
+    /// Creates a handle from the two channels that the membership task uses.
     pub fn new(view: watch::Receiver<Arc<Members>>, own: Arc<watch::Sender<Member>>) -> Self {
         Self { view, own }
     }
 
-    /// Gives the members as last known.
+    /// Returns the current member view.
     pub fn view(&self) -> Arc<Members> {
         self.view.borrow().clone()
     }
 
-    /// Gives a receiver that tells when the view changes.
+    /// Returns a receiver that is notified when the view changes.
     pub fn watch(&self) -> watch::Receiver<Arc<Members>> {
         self.view.clone()
     }
 
-    /// Gives this process's own announcement.
+    /// Returns this process's own announcement.
     pub fn own(&self) -> Member {
         self.own.borrow().clone()
     }
 
-    /// Changes this process's own announcement; it spreads if it differs.
+    /// Changes this process's own announcement. The change is announced only if it makes a
+    /// difference.
     pub fn announce(&self, change: impl FnOnce(&mut Member)) {
         self.own.send_if_modified(|own| {
             let before = own.clone();
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -1,22 +1,22 @@
-//! Who is there: announcements, failure detection, the view of members.
+//! Cluster membership: announcements, failure detection and the view of the members.
 //!
-//! [`Swim`] decides, without sockets or clocks; [`start`] runs it on a duty of its own behind a
-//! UDP socket. docs/MEMBERSHIP.md tells how it works and what it costs.
+//! [`Swim`] is a state machine without sockets or clocks; [`start`] runs it on its own thread with
+//! a UDP socket. docs/MEMBERSHIP.md describes the protocol and its costs.
 
+pub mod auth;
 pub mod duty;
 pub mod handle;
 pub mod message;
-pub mod seal;
 pub mod settings;
 pub mod swim;
 pub mod traffic;
 
+pub use auth::Authenticator;
 pub use duty::StartError;
 pub use duty::start;
 pub use handle::Handle;
 pub use handle::SERVICE;
 pub use message::Message;
-pub use seal::Seal;
 pub use settings::SwimSettings;
 pub use swim::Action;
 pub use swim::Event;
--- a/components/membership/src/message.rs
+++ b/components/membership/src/message.rs
@@ -1,4 +1,4 @@
-//! What processes say to each other by UDP.
+//! Gossip messages between processes.
 
 use std::sync::Arc;
 
@@ -11,169 +11,178 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// A datagram's content, before it is sealed.
+/// The content of a datagram, without its authentication code.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Message {
-    /// Who says it.
+    /// The sender.
     pub from: Node,
-    /// What is asked or answered.
+    /// The request or reply.
     pub body: Body,
-    /// News that ride along.
+    /// Piggybacked gossip updates.
     pub updates: Vec<Update>,
 }
 
-/// What is asked or answered.
+/// A request or reply.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum Body {
-    /// Are you there?
+    /// Probes a member.
     Ping {
-        /// Chosen by the asker, repeated in the answer.
+        /// The sequence number, chosen by the requester and repeated in the reply.
         seq: u64,
-        /// Whom the asker believes to ask; another process that took over the address keeps
-        /// silent, or the old one would seem alive.
+        /// The member that the sender intends to probe. A process that has taken over the address
+        /// of another one does not reply, because the old process would otherwise appear to be
+        /// alive.
         to: Node,
     },
-    /// Ask somebody for me, because I got no answer.
-    Relay {
-        /// Chosen by the asker, repeated in the answer.
+    /// Requests an indirect probe of a member that did not reply directly.
+    #[serde(rename = "Relay")]
+    PingRequest {
+        /// The sequence number, chosen by the requester and repeated in the reply.
         seq: u64,
-        /// Whom to ask.
+        /// The member to probe.
         to: Node,
     },
-    /// I am there, or the one that you had me ask is.
+    /// Confirms that the sender, or the member that it was asked to probe, is alive.
     Ack {
-        /// The question's number.
+        /// The sequence number of the request.
         seq: u64,
     },
-    /// I am there, but the one that you had me ask did not answer me either.
+    /// Reports that the member that the sender was asked to probe did not reply.
     Nack {
-        /// The question's number.
+        /// The sequence number of the request.
         seq: u64,
     },
-    /// Only the news matter.
-    News,
-    /// Tell me of everyone whose name follows this one, as many as fit.
+    /// Contains only updates.
+    #[serde(rename = "News")]
+    Gossip,
+    /// Requests the members whose names follow this one, as many as fit.
     Page {
-        /// The last name that the asker has; empty to begin.
+        /// The last name that the requester has received; empty to begin.
         after: Node,
     },
-    /// A piece of everyone; the news hold it.
-    Piece {
-        /// The last name in the piece, from where to go on; none at the end.
+    /// The reply to a `Page`. The members are in the updates.
+    #[serde(rename = "Piece")]
+    PageReply {
+        /// The last name in this page, from which to continue; `None` on the last page.
         last: Option<Node>,
     },
-    /// The digests of all members that I see as present, by bucket of their names' hashes.
-    Sync {
-        /// One digest a bucket.
+    /// The digests of all members that are present in the sender's view, by bucket of the hash of
+    /// their names.
+    #[serde(rename = "Sync")]
+    Digests {
+        /// One digest per bucket.
         digests: Vec<u32>,
     },
-    /// What I hold of one bucket, because our digests differ.
+    /// The sender's members of one bucket, because its digest differs.
     Bucket {
-        /// How many buckets there are.
+        /// The number of buckets.
         of: u32,
-        /// Which bucket this is.
+        /// The index of the bucket.
         index: u32,
-        /// Its members.
-        held: Vec<Held>,
+        /// Summaries of its members.
+        members: Vec<MemberSummary>,
     },
-    /// Tell me all you know of these.
-    Want {
+    /// Requests everything known about some members.
+    #[serde(rename = "Want")]
+    Fetch {
         /// Their names.
         nodes: Vec<Node>,
     },
 }
 
-/// How one member is held, in short.
+/// Summary of the state of one member in the sender's view.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Held {
+pub struct MemberSummary {
     /// The member.
     pub node: Node,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The number of its last announcement.
+    /// The sequence number of its last announcement.
     pub announced: u64,
-    /// How it stands.
+    /// Its standing.
     pub standing: Standing,
 }
 
-/// A piece of news.
+/// A gossip update.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum Update {
-    /// A process announced this of itself.
+    /// A process announced its own state.
     Alive(Arc<Member>),
-    /// A process refuted an accusation; nothing else changed.
+    /// A process refuted a report about itself; nothing else changed.
     Refuted {
         /// The process.
         node: Node,
         /// Its incarnation.
         incarnation: Incarnation,
-        /// The number of the refutation.
+        /// The sequence number of the refutation.
         announced: u64,
-        /// The number of the last announcement with content. Who lacks that one cannot use the
-        /// refutation and learns the whole by anti-entropy.
+        /// The sequence number of the last announcement with content. A receiver without that
+        /// announcement ignores the refutation and gets the complete state by anti-entropy.
         content: u64,
     },
-    /// A process is said to be suspect, dead or gone.
-    Accused(Accusation),
-    /// Nothing is heard any more from a whole data centre.
+    /// A process is reported as suspect, dead or departed.
+    #[serde(rename = "Accused")]
+    Standing(StandingReport),
+    /// No member of a data centre responds any more.
     Silent {
         /// The data centre.
-        place: DataCentre,
-        /// Who found it out.
-        by: Node,
+        data_centre: DataCentre,
+        /// The process that detected it.
+        reporter: Node,
     },
 }
 
-/// A process is said to be suspect, dead or gone.
+/// A report that a process is suspect, dead or departed.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Accusation {
-    /// The accused.
+pub struct StandingReport {
+    /// The process that is reported.
     pub node: Node,
-    /// Its incarnation; a later one is not touched.
+    /// Its incarnation. Later incarnations are not affected.
     pub incarnation: Incarnation,
-    /// The last announcement that the accuser had; a later one refutes.
+    /// The sequence number of the last announcement that the reporter had received. A later one
+    /// refutes the report.
     pub announced: u64,
-    /// What it is accused of.
+    /// The reported standing.
     pub standing: Standing,
-    /// Who found it out, to tell independent confirmations from repeats.
-    pub by: Node,
+    /// The process that detected it. Distinguishes independent confirmations from repetitions.
+    pub reporter: Node,
 }
 
 impl Update {
-    /// Gives the process that the news are about, or that found them out if they are about many.
+    /// Returns the process that the update is about, or its reporter if it is about a data centre.
     pub fn node(&self) -> &Node {
         match self {
             Self::Alive(member) => &member.node,
             Self::Refuted { node, .. } => node,
-            Self::Accused(accusation) => &accusation.node,
-            Self::Silent { by, .. } => by,
+            Self::Standing(report) => &report.node,
+            Self::Silent { reporter, .. } => reporter,
         }
     }
 
-    /// Gives the size that the news take in a datagram, in bytes.
+    /// Returns the encoded size of the update in bytes.
     pub fn size(&self) -> usize {
-        rmp_serde::to_vec(self).expect("news are plain data").len()
+        rmp_serde::to_vec(self).expect("updates are plain data").len()
     }
 }
 
-/// A datagram's content could not be read.
+/// The content of a datagram cannot be decoded.
 #[derive(Debug, Error)]
-#[error("a datagram is malformed")]
+#[error("malformed datagram")]
 pub struct MessageError(#[from] rmp_serde::decode::Error);
 
 impl Message {
-    /// Writes the message as MessagePack, fields by position, which is half the size of named
-    /// ones. Processes of different releases that meet must agree on the positions, so fields are
-    /// only ever added at the end.
+    /// Encodes the message as MessagePack with fields by position, which takes half the size of
+    /// named fields. Different releases that communicate must agree on the positions, so fields may
+    /// only be added at the end.
     pub fn encode(&self) -> Vec<u8> {
         rmp_serde::to_vec(self).expect("messages are plain data")
     }
 
-    /// Reads a message.
+    /// Decodes a message.
     ///
     /// # Errors
     ///
-    /// [`MessageError`] if the bytes are not one.
+    /// [`MessageError`] if the bytes are not a message.
     pub fn decode(bytes: &[u8]) -> Result<Self, MessageError> {
         Ok(rmp_serde::from_slice(bytes)?)
     }
--- a/components/membership/src/swim.rs
+++ b/components/membership/src/swim.rs
@@ -1,18 +1,19 @@
-//! The state machine of membership: events in, actions out.
+//! The membership state machine: events in, actions out.
 //!
-//! It is SWIM (probes, indirect probes, suspicion, refutation, news that ride along) with local
-//! health and independent confirmations, pages for those who join, and digests against news that
-//! were lost. docs/MEMBERSHIP.md tells which faults each part is for.
+//! It implements SWIM (probes, indirect probes, suspicion, refutation, piggybacked updates) with
+//! the local health score and independent confirmations of Lifeguard, pages for joining processes,
+//! and digest comparison as anti-entropy for lost updates. docs/MEMBERSHIP.md describes which
+//! faults each part handles.
 
-mod claims;
-mod news;
+mod broadcast;
 mod own;
-mod pick;
 mod probe;
 mod silence;
 mod suspicion;
 mod sync;
 mod table;
+mod targets;
+mod updates;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -30,41 +31,43 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::message::Accusation;
+use crate::auth::MAC_BYTES;
 use crate::message::Body;
 use crate::message::Message;
+use crate::message::StandingReport;
 use crate::message::Update;
-use crate::seal::CODE;
 use crate::settings::SwimSettings;
 
-use news::Queue;
-use pick::Rotation;
+use broadcast::BroadcastQueue;
 use probe::Probe;
-use probe::Relayed;
-use silence::Silences;
+use probe::ProxyProbe;
+use silence::SilentDataCentres;
 use suspicion::Suspicion;
 use sync::Joining;
 use table::Table;
+use targets::ProbeOrder;
 
 /// Milliseconds between two ticks.
 pub const TICK_MS: u64 = 50;
-/// Milliseconds between two looks for members to forget.
-const UPKEEP_MS: u64 = 1_000;
-/// The time between the first two comparisons of digests; it doubles up to the settings' value.
-const SYNC_FIRST_MS: u64 = 500;
-/// How many members are told directly that this process leaves.
-const FAREWELLS: usize = 5;
-/// A freeze longer than this many milliseconds leaves the view so old that it is read anew.
-const STALE_MS: u64 = 10_000;
+/// Milliseconds between two removals of expired members.
+const CLEANUP_MS: u64 = 1_000;
+/// Milliseconds between the first two digest comparisons. The interval doubles up to the configured
+/// value.
+const FIRST_SYNC_MS: u64 = 500;
+/// How many members are directly informed when this process leaves.
+const LEAVE_MESSAGES: usize = 5;
+/// A suspension longer than this many milliseconds leaves the view so outdated that it is requested
+/// again.
+const STALE_VIEW_MS: u64 = 10_000;
 
-/// What happens to the machine.
+/// An event for the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed; expected every [`TICK_MS`] milliseconds.
     Tick,
-    /// A message came whose seal was right.
+    /// A message with a valid authentication code was received.
     Received {
-        /// Whence it came.
+        /// The sender's address.
         from: SocketAddr,
         /// The message.
         message: Message,
@@ -75,93 +78,95 @@
     Leave,
 }
 
-/// What the machine wants done.
+/// An action that the state machine requests.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send a message.
     Send {
-        /// Where to.
+        /// The address of the receiver.
         to: SocketAddr,
         /// The message.
         message: Message,
     },
-    /// Raise the numbers of this process's own announcement to at least these.
+    /// Raise the incarnation and sequence number of this process's own announcement to at least
+    /// these.
     Renumber {
-        /// The least incarnation.
+        /// The minimum incarnation.
         incarnation: Incarnation,
-        /// The least number of the announcement within it.
+        /// The minimum sequence number of the announcement within the incarnation.
         announced: u64,
     },
 }
 
-/// The state machine of one process's membership.
+/// The membership state machine of one process.
 pub struct Swim {
     settings: SwimSettings,
-    /// What this process last spread of itself.
+    /// The last announcement of this process.
     own: Arc<Member>,
-    /// The number of the last announcement or refutation that this process spread.
+    /// The sequence number of the last announcement or refutation of this process.
     announced: u64,
-    /// Weight versions that rose since, and wait for their turn.
-    pending: Option<Member>,
+    /// Increased weight versions that are not yet announced.
+    pending_versions: Option<Member>,
     versions_due: Option<Millis>,
     seeds: Vec<SocketAddr>,
     table: Table,
     suspicions: BTreeMap<Node, Suspicion>,
-    silences: Silences,
-    queue: Queue,
+    silent_data_centres: SilentDataCentres,
+    queue: BroadcastQueue,
     probes: Vec<Probe>,
-    relayed: Vec<Relayed>,
-    near: Rotation,
-    far: Rotation,
-    focus: Option<(DataCentre, Millis)>,
+    proxy_probes: Vec<ProxyProbe>,
+    local_order: ProbeOrder,
+    remote_order: ProbeOrder,
+    probe_focus: Option<(DataCentre, Millis)>,
     joining: Option<Joining>,
-    /// The score of bad local health: zero is good.
-    health: u64,
-    heard: Millis,
-    last: Option<Millis>,
+    /// The local health score; zero is healthy.
+    health_score: u64,
+    last_received: Millis,
+    last_event: Option<Millis>,
     next_probe: Millis,
-    next_news: Millis,
+    next_gossip: Millis,
     next_sync: Millis,
-    /// Short at first, because who just joined has told its news to the few whom it knew.
-    sync_gap: u64,
-    next_upkeep: Millis,
+    /// The interval between digest comparisons. It is short at first, because a process that just
+    /// joined has sent its updates only to the few members that it knew.
+    sync_interval: u64,
+    next_cleanup: Millis,
     leaving: bool,
     changed: bool,
-    broken: u64,
+    violations: u64,
     random: SmallRng,
 }
 
 impl Swim {
-    /// Starts with nobody known but this process.
+    /// Creates a state machine that knows no other process.
     pub fn new(settings: SwimSettings, own: Member, seeds: Vec<SocketAddr>, seed: u64) -> Self {
         let joining = (!seeds.is_empty()).then(Joining::default);
         let mut swim = Self {
             announced: own.announced,
             own: Arc::new(own::without_position(own)),
-            pending: None,
+            pending_versions: None,
             versions_due: None,
             seeds,
-            table: Table::new(settings.remembered),
+            table: Table::new(settings.max_tombstones),
             suspicions: BTreeMap::new(),
-            silences: Silences::default(),
-            queue: Queue::default(),
+            silent_data_centres: SilentDataCentres::default(),
+            queue: BroadcastQueue::default(),
             probes: Vec::new(),
-            relayed: Vec::new(),
-            near: Rotation::default(),
-            far: Rotation::default(),
-            focus: None,
+            proxy_probes: Vec::new(),
+            local_order: ProbeOrder::default(),
+            remote_order: ProbeOrder::default(),
+            probe_focus: None,
             joining,
-            health: 0,
-            heard: Millis(0),
-            last: None,
+            health_score: 0,
+            last_received: Millis(0),
+            last_event: None,
             next_probe: Millis(0),
-            next_news: Millis(0),
+            next_gossip: Millis(0),
             next_sync: Millis(0),
-            sync_gap: SYNC_FIRST_MS,
-            next_upkeep: Millis(0),
+            sync_interval: FIRST_SYNC_MS,
+            next_cleanup: Millis(0),
             leaving: false,
             changed: true,
-            broken: 0,
+            violations: 0,
             random: SmallRng::seed_from_u64(seed),
             settings,
         };
@@ -169,50 +174,50 @@
         swim
     }
 
-    /// Takes an event and appends what is to be done to `actions`.
-    pub fn on(&mut self, event: Event, now: Millis, actions: &mut Vec<Action>) {
-        self.notice_freeze(now);
+    /// Processes an event and appends the resulting actions to `actions`.
+    pub fn handle(&mut self, event: Event, now: Millis, actions: &mut Vec<Action>) {
+        self.detect_pause(now);
         match event {
             Event::Tick => self.tick(now, actions),
             Event::Received { from, message } => self.receive(from, message, now, actions),
-            Event::Own(member) => self.change_own(member, now, actions),
+            Event::Own(member) => self.update_own(member, now, actions),
             Event::Leave => self.leave(actions),
         }
     }
 
-    /// Takes members as known without asking anyone, as after a full page of them.
-    pub fn know(&mut self, members: &[Arc<Member>], now: Millis) {
+    /// Adds members without requesting them, as after a complete page.
+    pub fn add_known(&mut self, members: &[Arc<Member>], now: Millis) {
         for member in members {
-            self.take_alive(member.clone(), now, false, &mut Vec::new());
+            self.on_alive(member.clone(), now, false, &mut Vec::new());
         }
     }
 
-    /// Tells whether the view changed since this was last asked.
+    /// Returns whether the view has changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Counts the promises that this machine saw broken; always zero unless it has a fault.
-    pub fn broken(&self) -> u64 {
-        self.broken + self.table.broken
+    /// Returns the number of invariant violations, which is zero unless this program has a bug.
+    pub fn violations(&self) -> u64 {
+        self.violations + self.table.violations
     }
 
-    /// Gives the score of bad local health; zero is good.
-    pub fn health(&self) -> u64 {
-        self.health
+    /// Returns the local health score; zero is healthy.
+    pub fn health_score(&self) -> u64 {
+        self.health_score
     }
 
-    /// Gives how another process stands, if it is known.
+    /// Returns the standing of another process, if it is known.
     pub fn standing(&self, node: &Node) -> Option<Standing> {
         self.table.get(node).map(|entry| entry.standing)
     }
 
-    /// Gives what this process last spread of itself.
+    /// Returns the last announcement of this process.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// Gives everyone known, this process included.
+    /// Returns all known members, including this process.
     pub fn view(&self) -> Members {
         let others = self.table.iter().map(|entry| (&entry.member, entry.standing));
         let all = others.chain(std::iter::once((&self.own, Standing::Alive)));
@@ -222,27 +227,29 @@
         Members { known: known.collect() }
     }
 
-    /// A process that was stopped for a while finds all its timers expired and everybody's
-    /// answers late. Without this it would condemn members that are well, and others would see
-    /// accusations from one process against many. The time lost is not counted against anyone.
-    fn notice_freeze(&mut self, now: Millis) {
-        let gap = self.last.map_or(0, |last| now.since(last));
-        self.last = Some(now);
-        if gap <= self.settings.frozen_ms || !self.settings.local_health {
+    /// Detects that this process was suspended.
+    ///
+    /// After a suspension all timers have expired and all replies are late. Without this check the
+    /// process would report healthy members as dead, and others would see reports from one process
+    /// against many. The lost time is not counted against any member.
+    fn detect_pause(&mut self, now: Millis) {
+        let gap = self.last_event.map_or(0, |last| now.since(last));
+        self.last_event = Some(now);
+        if gap <= self.settings.pause_ms || !self.settings.local_health {
             return;
         }
         tracing::warn!(event = "frozen", node = %self.own.node, gap_ms = gap);
-        self.health = self.settings.health;
+        self.health_score = self.settings.max_health_score;
         self.probes.clear();
-        self.silences.forgive();
-        self.relayed.clear();
-        self.heard = now;
+        self.silent_data_centres.clear_failed_probes();
+        self.proxy_probes.clear();
+        self.last_received = now;
         for suspicion in self.suspicions.values_mut() {
-            suspicion.delay(gap);
+            suspicion.extend_by(gap);
         }
-        if gap > STALE_MS && self.table.present() > 0 {
+        if gap > STALE_VIEW_MS && self.table.present() > 0 {
             self.joining = Some(Joining::default());
-            self.sync_gap = SYNC_FIRST_MS;
+            self.sync_interval = FIRST_SYNC_MS;
         }
     }
 
@@ -250,28 +257,28 @@
         if self.leaving {
             return;
         }
-        self.spread_versions(now, actions);
-        self.judge(now);
-        self.follow_probes(now, actions);
-        self.look_again(now, actions);
+        self.announce_versions(now, actions);
+        self.expire_suspicions(now);
+        self.advance_probes(now, actions);
+        self.repeat_silence_checks(now, actions);
         if now >= self.next_probe {
-            self.next_probe = now + self.settings.probe_ms * (1 + self.health);
+            self.next_probe = now + self.settings.probe_ms * (1 + self.health_score);
             self.probe(now, actions);
         }
-        if now >= self.next_news {
-            self.next_news = now + self.settings.news_ms;
-            self.spread(actions);
+        if now >= self.next_gossip {
+            self.next_gossip = now + self.settings.gossip_ms;
+            self.gossip(actions);
         }
-        self.join(now, actions);
+        self.request_next_page(now, actions);
         if now >= self.next_sync {
-            let jitter = self.random.random_range(0..=self.sync_gap / 4);
-            self.next_sync = now + self.sync_gap + jitter;
-            self.sync_gap = (self.sync_gap * 2).min(self.settings.sync_ms);
-            self.compare(actions);
+            let jitter = self.random.random_range(0..=self.sync_interval / 4);
+            self.next_sync = now + self.sync_interval + jitter;
+            self.sync_interval = (self.sync_interval * 2).min(self.settings.sync_ms);
+            self.send_digests(actions);
         }
-        if now >= self.next_upkeep {
-            self.next_upkeep = now + UPKEEP_MS;
-            self.changed |= self.table.forget(now, self.settings.forget_ms);
+        if now >= self.next_cleanup {
+            self.next_cleanup = now + CLEANUP_MS;
+            self.changed |= self.table.remove_expired(now, self.settings.dead_retention_ms);
         }
     }
 
@@ -285,16 +292,16 @@
         if self.leaving || message.from == self.own.node {
             return;
         }
-        self.heard = now;
-        self.hear_place(&message.from, now);
-        let whole = matches!(message.body, Body::Piece { .. });
-        self.correct(from, &message, actions);
+        self.last_received = now;
+        self.record_contact(&message.from, now);
+        let whole = matches!(message.body, Body::PageReply { .. });
+        self.correct_sender(from, &message, actions);
         for update in message.updates {
-            self.take(update, now, !whole, actions);
+            self.apply_update(update, now, !whole, actions);
         }
         if self.table.get(&message.from).is_none() {
             let nodes = vec![message.from.clone()];
-            self.send(from, &message.from, Body::Want { nodes }, actions);
+            self.send(from, &message.from, Body::Fetch { nodes }, actions);
         }
         match message.body {
             Body::Ping { seq, to } => {
@@ -302,119 +309,121 @@
                     self.send(from, &message.from, Body::Ack { seq }, actions);
                 }
             }
-            Body::Relay { seq, to } => {
-                self.relay(from, &message.from, seq, &to, now, actions);
+            Body::PingRequest { seq, to } => {
+                self.on_ping_request(from, &message.from, seq, &to, now, actions);
             }
-            Body::Ack { seq } => self.take_ack(seq, now, actions),
-            Body::Nack { seq } => self.take_nack(seq),
-            Body::News => {}
-            Body::Page { after } => self.give_page(from, &message.from, &after, actions),
-            Body::Piece { last } => self.take_piece(from, last, now, actions),
-            Body::Sync { digests } => self.answer_sync(from, &message.from, &digests, actions),
-            Body::Bucket { of, index, held } => {
-                self.take_bucket(from, &message.from, (of, index), &held, now, actions);
+            Body::Ack { seq } => self.on_ack(seq, now, actions),
+            Body::Nack { seq } => self.on_nack(seq),
+            Body::Gossip => {}
+            Body::Page { after } => self.send_page(from, &message.from, &after, actions),
+            Body::PageReply { last } => self.on_page_reply(from, last, now, actions),
+            Body::Digests { digests } => self.on_digests(from, &message.from, &digests, actions),
+            Body::Bucket { of, index, members } => {
+                self.on_bucket(from, &message.from, (of, index), &members, now, actions);
             }
-            Body::Want { nodes } => self.give(from, &nodes, actions),
+            Body::Fetch { nodes } => self.send_members(from, &nodes, actions),
         }
     }
 
-    /// Tells a sender that it lags behind: that it took this process for its predecessor, or that
-    /// it started with numbers lower than those of its own predecessor.
-    fn correct(&mut self, to: SocketAddr, message: &Message, actions: &mut Vec<Action>) {
+    /// Corrects a sender that has mistaken this process for its predecessor, or that started with a
+    /// lower incarnation than its own predecessor.
+    fn correct_sender(&mut self, to: SocketAddr, message: &Message, actions: &mut Vec<Action>) {
         let mut updates = Vec::new();
         for update in &message.updates {
             match update {
-                Update::Accused(accusation)
-                    if accusation.node == self.own.node
-                        && accusation.incarnation < self.own.incarnation =>
+                Update::Standing(report)
+                    if report.node == self.own.node
+                        && report.incarnation < self.own.incarnation =>
                 {
                     updates.push(Update::Alive(self.own.clone()));
                 }
-                // An answer of any member proves that its data centre is not silent.
-                Update::Silent { place, .. } if *place == self.own.data_centre => {
+                // A reply from any member proves that its data centre is not silent.
+                Update::Silent { data_centre, .. } if *data_centre == self.own.data_centre => {
                     updates.push(Update::Alive(self.own.clone()));
                 }
                 Update::Alive(member) if member.node == message.from => {
-                    updates.extend(self.outdated(member).map(Update::Accused));
+                    updates.extend(self.newer_incarnation(member).map(Update::Standing));
                 }
                 _ => {}
             }
         }
         if !updates.is_empty() {
-            self.tell(to, Body::News, updates, actions);
+            self.send_updates(to, Body::Gossip, updates, actions);
         }
     }
 
-    /// Gives what a process must outbid that announces itself with an incarnation known as past.
-    fn outdated(&self, member: &Member) -> Option<Accusation> {
+    /// Returns a report with the incarnation that a process must exceed if it announces itself with
+    /// an outdated one.
+    fn newer_incarnation(&self, member: &Member) -> Option<StandingReport> {
         let (incarnation, announced) = match self.table.get(&member.node) {
             Some(entry) if entry.member.incarnation > member.incarnation => {
                 (entry.member.incarnation, entry.announced)
             }
             Some(_) => return None,
-            None => self.table.past(member)?,
+            None => self.table.tombstone(member)?,
         };
-        Some(Accusation {
+        Some(StandingReport {
             node: member.node.clone(),
             incarnation,
             announced,
             standing: Standing::Dead,
-            by: self.own.node.clone(),
+            reporter: self.own.node.clone(),
         })
     }
 
-    /// Sends news to a few members, mostly near ones, as long as there are any.
-    fn spread(&mut self, actions: &mut Vec<Action>) {
+    /// Sends queued updates to a few members, mostly in the own data centre, as long as there are
+    /// any.
+    fn gossip(&mut self, actions: &mut Vec<Action>) {
         for n in 0..self.settings.fanout {
             if self.queue.is_empty() {
                 return;
             }
-            let near = n % 2 == 0;
-            if let Some((node, address)) = self.pick_present(near) {
-                self.send(address, &node, Body::News, actions);
+            let local = n % 2 == 0;
+            if let Some((node, address)) = self.pick_present(local) {
+                self.send(address, &node, Body::Gossip, actions);
             }
         }
     }
 
     fn leave(&mut self, actions: &mut Vec<Action>) {
-        let farewell = Accusation {
+        let report = StandingReport {
             node: self.own.node.clone(),
             incarnation: self.own.incarnation,
             announced: self.announced,
             standing: Standing::Left,
-            by: self.own.node.clone(),
+            reporter: self.own.node.clone(),
         };
-        self.queue.add(Update::Accused(farewell));
-        for n in 0..FAREWELLS {
+        self.queue.add(Update::Standing(report));
+        for n in 0..LEAVE_MESSAGES {
             if let Some((node, address)) = self.pick_present(n % 2 == 0) {
-                self.send(address, &node, Body::News, actions);
+                self.send(address, &node, Body::Gossip, actions);
             }
         }
         self.leaving = true;
     }
 
-    /// Sends a message with as many news as fit. A receiver that is itself accused is told first,
-    /// because only it can refute.
+    /// Sends a message with as many updates as fit. If the receiver itself is reported, that report
+    /// comes first, because only the receiver can refute it.
     fn send(&mut self, to: SocketAddr, node: &Node, body: Body, actions: &mut Vec<Action>) {
         let mut message = Message { from: self.own.node.clone(), body, updates: Vec::new() };
         let mut room = self.room(&message);
-        if let Some(accusation) = self.accusation(node) {
-            let update = Update::Accused(accusation);
+        if let Some(report) = self.standing_report(node) {
+            let update = Update::Standing(report);
             room = room.saturating_sub(update.size());
             message.updates.push(update);
         }
-        let limit = self.repeats();
-        self.queue.take(room, limit, &mut message.updates);
+        let limit = self.max_sends();
+        self.queue.take_batch(room, limit, &mut message.updates);
         actions.push(Action::Send { to, message });
     }
 
-    /// Gives how often a piece of news is sent on.
-    fn repeats(&self) -> u64 {
-        self.settings.repeats * (1 + decimal_log(self.table.present() + 1))
+    /// Returns how often each update is sent.
+    fn max_sends(&self) -> u64 {
+        self.settings.retransmit_multiplier * (1 + decimal_log(self.table.present() + 1))
     }
 
-    /// Sends a message with chosen news only.
-    fn tell(
+    /// Sends a message with the given updates only.
+    fn send_updates(
         &mut self,
         to: SocketAddr,
         body: Body,
@@ -426,18 +435,18 @@
     }
 
     fn room(&self, message: &Message) -> usize {
-        /// The code before the content, and the larger length that a longer list needs.
-        const MARGIN: usize = CODE + 4;
-        self.settings.datagram.saturating_sub(message.encode().len() + MARGIN)
+        /// The authentication code, and the longer length prefix of a longer list.
+        const MARGIN: usize = MAC_BYTES + 4;
+        self.settings.max_datagram_bytes.saturating_sub(message.encode().len() + MARGIN)
     }
 
-    fn break_promise(&mut self, promise: &'static str, node: &Node) {
-        tracing::error!(event = "promise_broken", promise, %node, by = %self.own.node);
-        self.broken += 1;
+    fn report_violation(&mut self, invariant: &'static str, node: &Node) {
+        tracing::error!(event = "promise_broken", promise = invariant, %node, by = %self.own.node);
+        self.violations += 1;
     }
 }
 
-/// Gives the decimal logarithm, rounded up and at least one.
+/// Returns the decimal logarithm, rounded up and at least one.
 fn decimal_log(n: usize) -> u64 {
     (n.max(2) as f64).log10().ceil().max(1.0) as u64
 }
--- a/components/membership/src/swim/probe.rs
+++ b/components/membership/src/swim/probe.rs
@@ -1,4 +1,4 @@
-//! Probes, direct and through others.
+//! Direct and indirect probes.
 
 use std::net::SocketAddr;
 
@@ -11,13 +11,14 @@
 
 use super::Action;
 use super::Swim;
-use crate::message::Accusation;
 use crate::message::Body;
+use crate::message::StandingReport;
 
-/// Probes that this process makes for others at once; more are not taken.
-const RELAYED: usize = 256;
-/// A process that hears nobody for this many probe times takes the others for lost after all.
-const ISOLATED: u64 = 10;
+/// Maximum concurrent probes on behalf of other processes; further requests are rejected.
+const MAX_PROXY_PROBES: usize = 256;
+/// After this many probe intervals without any message, a process considers the other members
+/// failed rather than itself isolated.
+const ISOLATION_PROBES: u64 = 10;
 
 /// A probe in flight.
 pub(super) struct Probe {
@@ -25,22 +26,22 @@
     node: Node,
     incarnation: Incarnation,
     announced: u64,
-    began: Millis,
-    relay: Millis,
-    ends: Millis,
-    asked: usize,
+    started: Millis,
+    request_at: Millis,
+    deadline: Millis,
+    requests: usize,
     nacks: usize,
-    relayed: bool,
+    is_requested: bool,
 }
 
-/// A probe made for another process.
-pub(super) struct Relayed {
+/// A probe on behalf of another process.
+pub(super) struct ProxyProbe {
     seq: u64,
-    asker: Node,
+    requester: Node,
     address: SocketAddr,
-    asked: u64,
-    nack: Millis,
-    nacked: bool,
+    request_seq: u64,
+    nack_at: Millis,
+    nack_sent: bool,
 }
 
 impl Swim {
@@ -51,17 +52,17 @@
         }
     }
 
-    /// Probes a member of a data centre that is said to be silent.
-    pub(super) fn probe_place(
+    /// Probes a member of a data centre that may be silent.
+    pub(super) fn probe_data_centre(
         &mut self,
-        place: &DataCentre,
+        data_centre: &DataCentre,
         now: Millis,
         actions: &mut Vec<Action>,
     ) {
-        let missed = self.missed(place);
-        let target = self.draw(|entry| {
+        let missed = self.failed_probes(data_centre);
+        let target = self.pick_random(|entry| {
             let member = &entry.member;
-            let is_next = member.data_centre == *place && !missed.contains(&member.node);
+            let is_next = member.data_centre == *data_centre && !missed.contains(&member.node);
             is_next && entry.is_present()
         });
         if let Some(target) = target {
@@ -78,147 +79,154 @@
         let Some(entry) = self.table.get(&node) else { return };
         let (incarnation, announced) = (entry.member.incarnation, entry.announced);
         let seq = self.random.random();
-        let slow = 1 + self.health;
+        let multiplier = 1 + self.health_score;
         self.probes.push(Probe {
             seq,
             node: node.clone(),
             incarnation,
             announced,
-            began: now,
-            relay: now + self.settings.direct_ms * slow,
-            ends: now + self.settings.probe_ms * slow,
-            asked: 0,
+            started: now,
+            request_at: now + self.settings.ping_timeout_ms * multiplier,
+            deadline: now + self.settings.probe_ms * multiplier,
+            requests: 0,
             nacks: 0,
-            relayed: false,
+            is_requested: false,
         });
         self.send(address, &node, Body::Ping { seq, to: node.clone() }, actions);
     }
 
-    /// Asks others where no direct answer came, and ends probes whose time is over.
-    pub(super) fn follow_probes(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    /// Requests indirect probes where there was no direct reply, and ends probes that timed out.
+    pub(super) fn advance_probes(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let mut probes = std::mem::take(&mut self.probes);
         for probe in &mut probes {
-            if now >= probe.relay && !probe.relayed && self.settings.indirect {
-                probe.relayed = true;
-                probe.asked = self.ask_others(probe.seq, &probe.node, actions);
+            if now >= probe.request_at && !probe.is_requested && self.settings.indirect_probes {
+                probe.is_requested = true;
+                probe.requests = self.send_ping_requests(probe.seq, &probe.node, actions);
             }
         }
-        let ended = probes.extract_if(.., |probe| now >= probe.ends);
+        let ended = probes.extract_if(.., |probe| now >= probe.deadline);
         let ended: Vec<Probe> = ended.collect();
         self.probes = probes;
         for probe in ended {
-            self.fail(probe, now, actions);
+            self.on_probe_timeout(probe, now, actions);
         }
-        self.follow_relayed(now, actions);
+        self.advance_proxy_probes(now, actions);
     }
 
-    /// Asks a few others to probe, so that one bad path between two processes, also one that
-    /// loses datagrams in one direction only, does not make a member look dead.
-    fn ask_others(&mut self, seq: u64, target: &Node, actions: &mut Vec<Action>) -> usize {
+    /// Asks a few other members to probe, so that one bad path between two processes, including one
+    /// that loses datagrams in only one direction, does not make a member appear dead.
+    fn send_ping_requests(&mut self, seq: u64, target: &Node, actions: &mut Vec<Action>) -> usize {
         let mut asked: Vec<Node> = Vec::new();
-        for _ in 0..self.settings.relays {
-            let drawn = self.draw(|entry| {
+        for _ in 0..self.settings.ping_requests {
+            let picked = self.pick_random(|entry| {
                 let node = &entry.member.node;
                 entry.standing == Standing::Alive && node != target && !asked.contains(node)
             });
-            let Some((node, address)) = drawn else { break };
-            self.send(address, &node, Body::Relay { seq, to: target.clone() }, actions);
+            let Some((node, address)) = picked else { break };
+            self.send(address, &node, Body::PingRequest { seq, to: target.clone() }, actions);
             asked.push(node);
         }
         asked.len()
     }
 
-    /// Weighs a probe without an answer: the fault may lie with this process itself. Those asked
-    /// for help say so when they got no answer either; silence of the helpers too speaks
-    /// against this process.
-    fn fail(&mut self, probe: Probe, now: Millis, actions: &mut Vec<Action>) {
-        if self.settings.local_health && probe.nacks < probe.asked {
-            self.worsen();
+    /// Evaluates a probe without reply. The fault may be with this process itself: members that
+    /// were asked to probe send a nack if they got no reply either, so missing nacks indicate a
+    /// local fault.
+    fn on_probe_timeout(&mut self, probe: Probe, now: Millis, actions: &mut Vec<Action>) {
+        if self.settings.local_health && probe.nacks < probe.requests {
+            self.raise_health_score();
         }
-        let quiet = self.heard < probe.began;
-        let briefly = now.since(self.heard) < ISOLATED * self.settings.probe_ms;
-        if self.settings.local_health && quiet && briefly && self.table.present() > 1 {
-            self.worsen();
+        let no_messages = self.last_received < probe.started;
+        let recent = now.since(self.last_received) < ISOLATION_PROBES * self.settings.probe_ms;
+        if self.settings.local_health && no_messages && recent && self.table.present() > 1 {
+            self.raise_health_score();
             return;
         }
         let Some(entry) = self.table.get(&probe.node) else { return };
-        let moved_on =
+        let outdated =
             (entry.member.incarnation, entry.announced) != (probe.incarnation, probe.announced);
-        if moved_on {
+        if outdated {
             return;
         }
-        let announced = probe.announced.max(entry.accused);
-        self.miss_place(&probe.node, now);
-        let accusation = Accusation {
+        let announced = probe.announced.max(entry.reported_number);
+        self.record_failed_probe(&probe.node, now);
+        let report = StandingReport {
             node: probe.node,
             incarnation: probe.incarnation,
             announced,
             standing: Standing::Suspect,
-            by: self.own.node.clone(),
+            reporter: self.own.node.clone(),
         };
-        self.take_accused(accusation, now, true, actions);
+        self.on_standing_report(report, now, true, actions);
     }
 
-    fn worsen(&mut self) {
-        self.health = (self.health + 1).min(self.settings.health);
+    fn raise_health_score(&mut self) {
+        self.health_score = (self.health_score + 1).min(self.settings.max_health_score);
     }
 
-    /// Takes an answer, to a probe of this process or to one that it made for another.
-    pub(super) fn take_ack(&mut self, seq: u64, now: Millis, actions: &mut Vec<Action>) {
+    /// Processes the reply to a probe of this process or to one on behalf of another.
+    pub(super) fn on_ack(&mut self, seq: u64, now: Millis, actions: &mut Vec<Action>) {
         if let Some(index) = self.probes.iter().position(|probe| probe.seq == seq) {
             let probe = self.probes.swap_remove(index);
-            self.hear_place(&probe.node, now);
-            self.health = self.health.saturating_sub(1);
+            self.record_contact(&probe.node, now);
+            self.health_score = self.health_score.saturating_sub(1);
             return;
         }
-        if let Some(index) = self.relayed.iter().position(|relayed| relayed.seq == seq) {
-            let relayed = self.relayed.swap_remove(index);
-            let body = Body::Ack { seq: relayed.asked };
-            self.send(relayed.address, &relayed.asker, body, actions);
+        if let Some(index) = self.proxy_probes.iter().position(|proxy| proxy.seq == seq) {
+            let proxy = self.proxy_probes.swap_remove(index);
+            let body = Body::Ack { seq: proxy.request_seq };
+            self.send(proxy.address, &proxy.requester, body, actions);
         }
     }
 
-    /// Takes word that somebody who was asked to help got no answer.
-    pub(super) fn take_nack(&mut self, seq: u64) {
+    /// Records that a member that was asked to probe got no reply.
+    pub(super) fn on_nack(&mut self, seq: u64) {
         if let Some(probe) = self.probes.iter_mut().find(|probe| probe.seq == seq) {
             probe.nacks += 1;
         }
     }
 
-    /// Probes a member for another process.
-    pub(super) fn relay(
+    /// Probes a member on behalf of another process.
+    pub(super) fn on_ping_request(
         &mut self,
         from: SocketAddr,
-        asker: &Node,
-        asked: u64,
+        requester: &Node,
+        request_seq: u64,
         target: &Node,
         now: Millis,
         actions: &mut Vec<Action>,
     ) {
         let address = self.table.get(target).and_then(|entry| entry.address);
-        let Some(address) = address.filter(|_| self.relayed.len() < RELAYED) else {
-            self.send(from, asker, Body::Nack { seq: asked }, actions);
+        let Some(address) = address.filter(|_| self.proxy_probes.len() < MAX_PROXY_PROBES) else {
+            self.send(from, requester, Body::Nack { seq: request_seq }, actions);
             return;
         };
         let seq = self.random.random();
-        let nack = now + self.settings.direct_ms;
-        let asker = asker.clone();
-        self.relayed.push(Relayed { seq, asker, address: from, asked, nack, nacked: false });
+        let nack_at = now + self.settings.ping_timeout_ms;
+        let requester = requester.clone();
+        self.proxy_probes.push(ProxyProbe {
+            seq,
+            requester,
+            address: from,
+            request_seq,
+            nack_at,
+            nack_sent: false,
+        });
         self.send(address, target, Body::Ping { seq, to: target.clone() }, actions);
     }
 
-    fn follow_relayed(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    fn advance_proxy_probes(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let mut nacks = Vec::new();
-        let kept = self.settings.probe_ms;
-        self.relayed.retain_mut(|relayed| {
-            if now >= relayed.nack && !relayed.nacked {
-                relayed.nacked = true;
-                nacks.push((relayed.address, relayed.asker.clone(), relayed.asked));
+        let retention = self.settings.probe_ms;
+        self.proxy_probes.retain_mut(|proxy| {
+            if now >= proxy.nack_at && !proxy.nack_sent {
+                proxy.nack_sent = true;
+                nacks.push((proxy.address, proxy.requester.clone(), proxy.request_seq));
             }
-            now < relayed.nack + kept
+            now < proxy.nack_at + retention
         });
-        for (address, asker, seq) in nacks {
-            self.send(address, &asker, Body::Nack { seq }, actions);
+        for (address, requester, seq) in nacks {
+            self.send(address, &requester, Body::Nack { seq }, actions);
         }
     }
 }
--- a/components/membership/src/swim/silence.rs
+++ b/components/membership/src/swim/silence.rs
@@ -1,9 +1,9 @@
-//! Data centres from which nothing is heard any more.
+//! Detection of silent data centres, of which no member responds.
 //!
-//! When a whole data centre is lost, word of each of its members would fill all datagrams for
-//! twenty seconds. Instead one piece of news says that the data centre is silent. Nobody takes
-//! that on others' word: each process probes a few of its members itself, and only if these are
-//! silent too, suspects all of them at once, without telling of each.
+//! If a whole data centre is lost, reports about each of its members would fill all datagrams for
+//! twenty seconds. Instead, a single update reports that the data centre is silent. No process
+//! relies on that report alone: each probes a few of the data centre's members itself, and only if
+//! these do not respond either, suspects all members at once without reporting each.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,196 +13,217 @@
 use chicoryford_types::Node;
 use chicoryford_types::Standing;
 
-use crate::message::Accusation;
+use crate::message::StandingReport;
 use crate::message::Update;
 use crate::swim::Action;
 use crate::swim::Swim;
 
-/// Members whose probes must have failed before this process itself finds a data centre silent.
-const MISSES: usize = 4;
-/// The same, after another process found it silent.
-const CONFIRMING: usize = 2;
-/// Suspects in one data centre at once that make this process look whether all of it is silent.
-const SUSPECTS: usize = 3;
-/// Milliseconds after which a look that came to nothing is repeated.
-const LOOK_MS: u64 = 3_000;
-/// Smaller data centres are left to the news of each member, which cost little there.
-const LEAST_MEMBERS: usize = 8;
-/// A data centre that was heard this many milliseconds ago is not silent.
-const HEARD_MS: u64 = 2_000;
+/// Members whose probes must have failed before this process considers a data centre silent.
+const MIN_FAILED_PROBES: usize = 4;
+/// The same, after another process reported it as silent.
+const MIN_FAILED_PROBES_IF_REPORTED: usize = 2;
+/// Concurrent suspects in one data centre that start a check whether all of it is silent.
+const MIN_SUSPECTS: usize = 3;
+/// Milliseconds after which an inconclusive check is repeated.
+const RECHECK_MS: u64 = 3_000;
+/// Minimum members of a data centre for these checks. In smaller ones each member is reported,
+/// which costs little.
+const MIN_MEMBERS: usize = 8;
+/// A data centre with contact within this many milliseconds is not silent.
+const RECENT_CONTACT_MS: u64 = 2_000;
 
-/// What this process knows of the silence of other data centres.
+/// Contact and checks of other data centres.
 #[derive(Default)]
-pub(super) struct Silences {
-    heard: BTreeMap<DataCentre, Millis>,
-    doubted: BTreeMap<DataCentre, Doubt>,
+pub(super) struct SilentDataCentres {
+    last_contact: BTreeMap<DataCentre, Millis>,
+    checks: BTreeMap<DataCentre, SilenceCheck>,
 }
 
 #[derive(Default)]
-struct Doubt {
-    since: Millis,
-    /// News of its members, which are not sent before it is known whether all of it is silent.
-    held: Vec<Accusation>,
-    /// Members whose probes failed since the data centre was last heard.
-    misses: BTreeSet<Node>,
-    /// Whether there are signs beside own failed probes.
-    is_said: bool,
-    /// Whether another process found it silent.
-    is_told: bool,
-    /// Those that were suspected together; none while it is not taken for silent.
+struct SilenceCheck {
+    started: Millis,
+    /// Reports about its members, withheld until it is determined whether the data centre is
+    /// silent.
+    withheld: Vec<StandingReport>,
+    /// Members whose probes have failed since the last contact with the data centre.
+    failed_probes: BTreeSet<Node>,
+    /// Whether there is evidence other than this process's own failed probes.
+    has_other_evidence: bool,
+    /// Whether another process reported it as silent.
+    is_reported: bool,
+    /// The members that were suspected together; `None` unless the data centre is considered
+    /// silent.
     suspects: Option<Vec<Node>>,
 }
 
-impl Silences {
-    /// Tells whether a data centre is taken for silent.
-    pub(super) fn has(&self, place: &DataCentre) -> bool {
-        self.doubted.get(place).is_some_and(|doubt| doubt.suspects.is_some())
+impl SilentDataCentres {
+    /// Returns whether a data centre is considered silent.
+    pub(super) fn contains(&self, data_centre: &DataCentre) -> bool {
+        self.checks.get(data_centre).is_some_and(|check| check.suspects.is_some())
     }
 
-    /// Forgets failed probes, after this process itself was frozen.
-    pub(super) fn forgive(&mut self) {
-        self.doubted.retain(|_, doubt| doubt.suspects.is_some());
+    /// Discards failed probes after this process itself was suspended.
+    pub(super) fn clear_failed_probes(&mut self) {
+        self.checks.retain(|_, check| check.suspects.is_some());
     }
 }
 
 impl Swim {
-    /// Notes that a member of some data centre was heard.
-    pub(super) fn hear_place(&mut self, node: &Node, now: Millis) {
-        let Some(place) = self.place_of(node).filter(|place| *place != self.own.data_centre) else {
+    /// Records contact with a member of another data centre.
+    pub(super) fn record_contact(&mut self, node: &Node, now: Millis) {
+        let Some(data_centre) =
+            self.data_centre_of(node).filter(|data_centre| *data_centre != self.own.data_centre)
+        else {
             return;
         };
-        let doubt = self.silences.doubted.remove(&place).unwrap_or_default();
-        self.silences.heard.insert(place, now);
-        self.release(doubt.held);
-        for node in doubt.suspects.unwrap_or_default() {
-            self.clear(&node, now);
+        let check = self.silent_data_centres.checks.remove(&data_centre).unwrap_or_default();
+        self.silent_data_centres.last_contact.insert(data_centre, now);
+        self.release_withheld(check.withheld);
+        for node in check.suspects.unwrap_or_default() {
+            self.clear_silence_suspicion(&node, now);
         }
     }
 
-    fn release(&mut self, held: Vec<Accusation>) {
-        for accusation in held {
-            if self.suspicions.contains_key(&accusation.node) {
-                self.queue.add(Update::Accused(accusation));
+    fn release_withheld(&mut self, withheld: Vec<StandingReport>) {
+        for report in withheld {
+            if self.suspicions.contains_key(&report.node) {
+                self.queue.add(Update::Standing(report));
             }
         }
     }
 
-    /// Looks again where a look came to nothing, because this process itself heard nobody.
-    pub(super) fn look_again(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let due = self.silences.doubted.iter().filter(|(_, doubt)| {
-            doubt.is_said && doubt.suspects.is_none() && now.since(doubt.since) > LOOK_MS
+    /// Repeats inconclusive checks. A check stays inconclusive if this process itself receives no
+    /// messages.
+    pub(super) fn repeat_silence_checks(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        let due = self.silent_data_centres.checks.iter().filter(|(_, check)| {
+            check.has_other_evidence
+                && check.suspects.is_none()
+                && now.since(check.started) > RECHECK_MS
         });
-        let due: Vec<DataCentre> = due.map(|(place, _)| place.clone()).collect();
-        for place in due {
-            self.look(&place, now, actions);
+        let due: Vec<DataCentre> = due.map(|(data_centre, _)| data_centre.clone()).collect();
+        for data_centre in due {
+            self.check_silence(&data_centre, now, actions);
         }
     }
 
-    /// Holds news of a suspect back if so many in its data centre are suspect that all of it may
-    /// be silent, and looks into it; returns whether they are held or no longer needed.
-    pub(super) fn hold(
+    /// Withholds a report if so many members of the data centre are suspect that all of it may be
+    /// silent, and starts a check. Returns whether the report is withheld or no longer needed.
+    pub(super) fn withhold(
         &mut self,
-        accusation: &Accusation,
+        report: &StandingReport,
         now: Millis,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let Some(place) = self.place_of(&accusation.node) else { return false };
-        if self.silences.has(&place) {
+        let Some(data_centre) = self.data_centre_of(&report.node) else { return false };
+        if self.silent_data_centres.contains(&data_centre) {
             return true;
         }
-        if place == self.own.data_centre || self.is_heard(&place, now) {
+        if data_centre == self.own.data_centre || self.has_recent_contact(&data_centre, now) {
             return false;
         }
-        let is_doubted = self.silences.doubted.get(&place).is_some_and(|doubt| doubt.is_said);
-        if !is_doubted {
-            if !self.may_be_silent(&place) {
+        let is_checking = self
+            .silent_data_centres
+            .checks
+            .get(&data_centre)
+            .is_some_and(|check| check.has_other_evidence);
+        if !is_checking {
+            if !self.may_be_silent(&data_centre) {
                 return false;
             }
-            self.look(&place, now, actions);
+            self.check_silence(&data_centre, now, actions);
         }
-        let doubt = self.silences.doubted.entry(place).or_default();
-        doubt.held.push(accusation.clone());
+        let check = self.silent_data_centres.checks.entry(data_centre).or_default();
+        check.withheld.push(report.clone());
         true
     }
 
-    fn may_be_silent(&self, place: &DataCentre) -> bool {
-        let suspects =
-            self.suspicions.keys().filter(|node| self.place_of(node).as_ref() == Some(place));
-        let present = self.table.iter().filter(|entry| entry.member.data_centre == *place);
+    fn may_be_silent(&self, data_centre: &DataCentre) -> bool {
+        let suspects = self
+            .suspicions
+            .keys()
+            .filter(|node| self.data_centre_of(node).as_ref() == Some(data_centre));
+        let present = self.table.iter().filter(|entry| entry.member.data_centre == *data_centre);
         let present = present.filter(|entry| entry.is_present());
-        suspects.count() >= SUSPECTS && present.take(LEAST_MEMBERS).count() == LEAST_MEMBERS
+        suspects.count() >= MIN_SUSPECTS && present.take(MIN_MEMBERS).count() == MIN_MEMBERS
     }
 
     /// Probes a few members of a data centre at once.
-    fn look(&mut self, place: &DataCentre, now: Millis, actions: &mut Vec<Action>) {
-        let doubt = self.silences.doubted.entry(place.clone()).or_default();
-        doubt.is_said = true;
-        doubt.since = now;
-        for _ in 0..CONFIRMING {
-            self.probe_place(place, now, actions);
+    fn check_silence(&mut self, data_centre: &DataCentre, now: Millis, actions: &mut Vec<Action>) {
+        let check = self.silent_data_centres.checks.entry(data_centre.clone()).or_default();
+        check.has_other_evidence = true;
+        check.started = now;
+        for _ in 0..MIN_FAILED_PROBES_IF_REPORTED {
+            self.probe_data_centre(data_centre, now, actions);
         }
     }
 
-    fn is_heard(&self, place: &DataCentre, now: Millis) -> bool {
-        let heard = self.silences.heard.get(place);
-        heard.is_some_and(|heard| now.since(*heard) < HEARD_MS)
+    fn has_recent_contact(&self, data_centre: &DataCentre, now: Millis) -> bool {
+        let contact = self.silent_data_centres.last_contact.get(data_centre);
+        contact.is_some_and(|contact| now.since(*contact) < RECENT_CONTACT_MS)
     }
 
-    /// Lifts a suspicion that rests on the silence of the data centre alone.
-    fn clear(&mut self, node: &Node, now: Millis) {
+    /// Clears a suspicion that is based only on the silence of the data centre.
+    fn clear_silence_suspicion(&mut self, node: &Node, now: Millis) {
         let own = &self.own.node;
-        if self.suspicions.get(node).is_some_and(|suspicion| suspicion.is_only_by(own)) {
-            self.acquit(node, now);
+        if self.suspicions.get(node).is_some_and(|suspicion| suspicion.is_only_reported_by(own)) {
+            self.mark_alive(node, now);
         }
     }
 
-    /// Notes that a probe of a member failed.
-    pub(super) fn miss_place(&mut self, node: &Node, now: Millis) {
-        let Some(place) = self.place_of(node).filter(|place| *place != self.own.data_centre) else {
+    /// Records that a probe of a member failed.
+    pub(super) fn record_failed_probe(&mut self, node: &Node, now: Millis) {
+        let Some(data_centre) =
+            self.data_centre_of(node).filter(|data_centre| *data_centre != self.own.data_centre)
+        else {
             return;
         };
-        let doubt = self.silences.doubted.entry(place.clone()).or_default();
-        doubt.misses.insert(node.clone());
-        let wanted = if doubt.is_said { CONFIRMING } else { MISSES };
-        if doubt.suspects.is_none() && doubt.misses.len() >= wanted {
-            self.fall_silent(place, now);
+        let check = self.silent_data_centres.checks.entry(data_centre.clone()).or_default();
+        check.failed_probes.insert(node.clone());
+        let required = if check.has_other_evidence {
+            MIN_FAILED_PROBES_IF_REPORTED
+        } else {
+            MIN_FAILED_PROBES
+        };
+        if check.suspects.is_none() && check.failed_probes.len() >= required {
+            self.suspect_data_centre(data_centre, now);
         }
     }
 
-    /// Takes word that a data centre is silent.
-    pub(super) fn take_silent(
+    /// Processes a report that a data centre is silent.
+    pub(super) fn on_silent(
         &mut self,
-        place: DataCentre,
-        by: Node,
+        data_centre: DataCentre,
+        reporter: Node,
         now: Millis,
         actions: &mut Vec<Action>,
     ) {
-        if place == self.own.data_centre || by == self.own.node {
+        if data_centre == self.own.data_centre || reporter == self.own.node {
             return;
         }
-        let is_heard = self.is_heard(&place, now);
-        let doubt = self.silences.doubted.entry(place.clone()).or_default();
-        if std::mem::replace(&mut doubt.is_told, true) {
+        let has_recent_contact = self.has_recent_contact(&data_centre, now);
+        let check = self.silent_data_centres.checks.entry(data_centre.clone()).or_default();
+        if std::mem::replace(&mut check.is_reported, true) {
             return;
         }
-        if let Some(suspects) = doubt.suspects.clone() {
-            self.confirm_silence(&suspects);
+        if let Some(suspects) = check.suspects.clone() {
+            self.confirm_suspicions(&suspects);
             return;
         }
-        let is_looked_at = std::mem::replace(&mut doubt.is_said, true);
-        if is_heard {
-            // It may be so from now on; the next look tells, unless it is heard again.
-            doubt.since = now;
+        let was_checking = std::mem::replace(&mut check.has_other_evidence, true);
+        if has_recent_contact {
+            // It may have become silent just now. The next check decides, unless there is contact
+            // before.
+            check.started = now;
             return;
         }
-        // Spread at once; each receiver looks for itself before it acts on it.
-        self.queue.add(Update::Silent { place: place.clone(), by });
-        if !is_looked_at {
-            self.look(&place, now, actions);
+        // Forwarded at once, because each receiver checks for itself before it acts.
+        self.queue.add(Update::Silent { data_centre: data_centre.clone(), reporter });
+        if !was_checking {
+            self.check_silence(&data_centre, now, actions);
         }
     }
 
-    fn confirm_silence(&mut self, suspects: &[Node]) {
+    fn confirm_suspicions(&mut self, suspects: &[Node]) {
         for node in suspects {
             if let Some(suspicion) = self.suspicions.get_mut(node) {
                 suspicion.confirm_fully();
@@ -211,50 +232,55 @@
     }
 
     /// Suspects all members of a data centre.
-    fn fall_silent(&mut self, place: DataCentre, now: Millis) {
-        let members = self.table.iter().filter(|entry| entry.member.data_centre == place);
+    fn suspect_data_centre(&mut self, data_centre: DataCentre, now: Millis) {
+        let members = self.table.iter().filter(|entry| entry.member.data_centre == data_centre);
         let members: Vec<_> = members.filter(|entry| entry.is_present()).collect();
-        if members.len() < LEAST_MEMBERS {
+        if members.len() < MIN_MEMBERS {
             return;
         }
         let alive = members.iter().filter(|entry| entry.standing == Standing::Alive);
-        let accusations: Vec<Accusation> = alive
-            .map(|entry| Accusation {
+        let reports: Vec<StandingReport> = alive
+            .map(|entry| StandingReport {
                 node: entry.member.node.clone(),
                 incarnation: entry.member.incarnation,
-                announced: entry.announced.max(entry.accused),
+                announced: entry.announced.max(entry.reported_number),
                 standing: Standing::Suspect,
-                by: self.own.node.clone(),
+                reporter: self.own.node.clone(),
             })
             .collect();
         let all: Vec<Node> = members.iter().map(|entry| entry.member.node.clone()).collect();
-        for accusation in &accusations {
-            self.suspect(accusation, now);
+        for report in &reports {
+            self.suspect(report, now);
         }
-        tracing::warn!(event = "data_centre_silent", %place, members = all.len());
-        self.queue.drop_standing(&all);
-        self.queue.add(Update::Silent { place: place.clone(), by: self.own.node.clone() });
-        let suspects: Vec<Node> = accusations.into_iter().map(|a| a.node).collect();
-        let doubt = self.silences.doubted.entry(place).or_default();
-        doubt.suspects = Some(suspects.clone());
-        doubt.held.clear();
-        if doubt.is_told {
-            self.confirm_silence(&suspects);
+        tracing::warn!(event = "data_centre_silent", place = %data_centre, members = all.len());
+        self.queue.remove_standing(&all);
+        self.queue.add(Update::Silent {
+            data_centre: data_centre.clone(),
+            reporter: self.own.node.clone(),
+        });
+        let suspects: Vec<Node> = reports.into_iter().map(|report| report.node).collect();
+        let check = self.silent_data_centres.checks.entry(data_centre).or_default();
+        check.suspects = Some(suspects.clone());
+        check.withheld.clear();
+        if check.is_reported {
+            self.confirm_suspicions(&suspects);
         }
     }
 
-    /// Gives the members whose probes failed since their data centre was heard.
-    pub(super) fn missed(&self, place: &DataCentre) -> BTreeSet<Node> {
-        let doubt = self.silences.doubted.get(place);
-        doubt.map(|doubt| doubt.misses.clone()).unwrap_or_default()
+    /// Returns the members whose probes have failed since the last contact with their data centre.
+    pub(super) fn failed_probes(&self, data_centre: &DataCentre) -> BTreeSet<Node> {
+        let check = self.silent_data_centres.checks.get(data_centre);
+        check.map(|check| check.failed_probes.clone()).unwrap_or_default()
     }
 
-    /// Tells whether news of each member are not needed, because its data centre is silent.
-    pub(super) fn is_silent(&self, node: &Node) -> bool {
-        self.table.get(node).is_some_and(|entry| self.silences.has(&entry.member.data_centre))
+    /// Returns whether a member needs no reports of its own because its data centre is silent.
+    pub(super) fn is_in_silent_data_centre(&self, node: &Node) -> bool {
+        self.table
+            .get(node)
+            .is_some_and(|entry| self.silent_data_centres.contains(&entry.member.data_centre))
     }
 
-    fn place_of(&self, node: &Node) -> Option<DataCentre> {
+    fn data_centre_of(&self, node: &Node) -> Option<DataCentre> {
         self.table.get(node).map(|entry| entry.member.data_centre.clone())
     }
 }
--- a/components/membership/src/swim/suspicion.rs
+++ b/components/membership/src/swim/suspicion.rs
@@ -1,4 +1,4 @@
-//! How long a suspicion lasts before it becomes death.
+//! The duration of a suspicion before the member is declared dead.
 
 use chicoryford_types::Millis;
 use chicoryford_types::Node;
@@ -6,63 +6,69 @@
 /// A suspicion of one member.
 pub(super) struct Suspicion {
     start: Millis,
-    by: Vec<Node>,
-    wanted: usize,
-    least_ms: u64,
-    most_ms: u64,
+    reporters: Vec<Node>,
+    confirmations: usize,
+    min_ms: u64,
+    max_ms: u64,
 }
 
 impl Suspicion {
-    /// Begins a suspicion that lasts `most_ms` if nobody confirms it and `least_ms` if `wanted`
-    /// others do. A single accuser may have a fault of its own, so it must wait long; several
-    /// that found the same independently need not.
-    pub(super) fn new(by: Node, wanted: usize, least_ms: u64, most_ms: u64, start: Millis) -> Self {
-        Self { start, by: vec![by], wanted, least_ms, most_ms }
+    /// Starts a suspicion that lasts `max_ms` without confirmation and `min_ms` with
+    /// `confirmations` further reporters. A single reporter may itself be faulty and must wait
+    /// long; several that detected the failure independently need not.
+    pub(super) fn new(
+        reporter: Node,
+        confirmations: usize,
+        min_ms: u64,
+        max_ms: u64,
+        start: Millis,
+    ) -> Self {
+        Self { start, reporters: vec![reporter], confirmations, min_ms, max_ms }
     }
 
-    /// Takes a further accuser and tells whether it is a new one that counts.
+    /// Adds a reporter and returns whether it counts as a new confirmation.
     pub(super) fn confirm(&mut self, by: &Node) -> bool {
-        let counts = self.by.len() <= self.wanted && !self.by.contains(by);
+        let counts = self.reporters.len() <= self.confirmations && !self.reporters.contains(by);
         if counts {
-            self.by.push(by.clone());
+            self.reporters.push(by.clone());
         }
         counts
     }
 
-    /// Tells whether a process is among the accusers.
-    pub(super) fn is_by(&self, node: &Node) -> bool {
-        self.by.contains(node)
+    /// Returns whether a process is one of the reporters.
+    pub(super) fn is_reported_by(&self, node: &Node) -> bool {
+        self.reporters.contains(node)
     }
 
-    /// Tells whether a process is the only accuser.
-    pub(super) fn is_only_by(&self, node: &Node) -> bool {
-        self.by.len() == 1 && self.is_by(node)
+    /// Returns whether a process is the only reporter.
+    pub(super) fn is_only_reported_by(&self, node: &Node) -> bool {
+        self.reporters.len() == 1 && self.is_reported_by(node)
     }
 
-    /// Counts everything as confirmed, because another process already waited.
+    /// Treats the suspicion as fully confirmed, because another process has already waited.
     pub(super) fn confirm_fully(&mut self) {
-        self.most_ms = self.least_ms;
+        self.max_ms = self.min_ms;
     }
 
-    /// Does not count `ms` in which this process was frozen.
-    pub(super) fn delay(&mut self, ms: u64) {
+    /// Excludes `ms` milliseconds in which this process was suspended.
+    pub(super) fn extend_by(&mut self, ms: u64) {
         self.start = self.start + ms;
     }
 
-    /// Gives the moment at which the suspicion becomes death.
+    /// Returns the time at which the member is declared dead.
     pub(super) fn deadline(&self) -> Millis {
-        let confirmed = (self.by.len() - 1).min(self.wanted);
-        if self.wanted == 0 {
-            return self.start + self.least_ms;
+        let confirmed = (self.reporters.len() - 1).min(self.confirmations);
+        if self.confirmations == 0 {
+            return self.start + self.min_ms;
         }
-        let share = (confirmed as f64 + 1.0).ln() / (self.wanted as f64 + 1.0).ln();
-        let span = self.most_ms.saturating_sub(self.least_ms) as f64;
+        let share = (confirmed as f64 + 1.0).ln() / (self.confirmations as f64 + 1.0).ln();
+        let span = self.max_ms.saturating_sub(self.min_ms) as f64;
         let cut = (span * share) as u64;
-        self.start + self.most_ms.saturating_sub(cut).max(self.least_ms)
+        self.start + self.max_ms.saturating_sub(cut).max(self.min_ms)
     }
 
-    /// Tells whether the least time has passed.
-    pub(super) fn is_ripe(&self, now: Millis) -> bool {
-        now.since(self.start) >= self.least_ms
+    /// Returns whether the shortest time has passed.
+    pub(super) fn has_min_elapsed(&self, now: Millis) -> bool {
+        now.since(self.start) >= self.min_ms
     }
 }
--- a/components/membership/src/swim/sync.rs
+++ b/components/membership/src/swim/sync.rs
@@ -1,4 +1,4 @@
-//! Pages for those who join, and digests against news that were lost.
+//! Pages for joining processes, and digest comparison as anti-entropy for lost updates.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,40 +16,40 @@
 use super::Action;
 use super::Swim;
 use super::table::Entry;
-use crate::message::Accusation;
 use crate::message::Body;
-use crate::message::Held;
+use crate::message::MemberSummary;
 use crate::message::Message;
+use crate::message::StandingReport;
 use crate::message::Update;
 
-/// Milliseconds after which a page is asked for again.
-const PAGE_MS: u64 = 500;
-/// Members for each bucket, roughly: the list of one bucket fits a datagram.
-const BUCKET: usize = 8;
-/// Most buckets; their digests fit a datagram.
-const BUCKETS: usize = 128;
-/// Buckets that differ and are answered in one comparison; the next one goes on.
-const ANSWERED: usize = 4;
-/// Datagrams that are sent in answer to one.
-const PIECES: usize = 4;
-/// One comparison in this many goes to somebody who seems lost, so that two parts of the
-/// deployment that lost each other find back together.
-const LOST: u32 = 4;
-/// Room that the name in [`Body::Piece`] may take.
-const NAME: usize = 80;
+/// Milliseconds after which a page is requested again.
+const PAGE_RETRY_MS: u64 = 500;
+/// Approximate members per bucket: the summaries of one bucket fit into a datagram.
+const BUCKET_MEMBERS: usize = 8;
+/// Maximum number of buckets: their digests fit into a datagram.
+const MAX_BUCKETS: usize = 128;
+/// Differing buckets that are answered per comparison; the next comparison continues.
+const MAX_ANSWERED_BUCKETS: usize = 4;
+/// Maximum datagrams sent in reply to one datagram.
+const MAX_REPLY_DATAGRAMS: usize = 4;
+/// One comparison in this many goes to a member that seems lost, so that separated parts of the
+/// deployment find each other again.
+const LOST_SYNC_INTERVAL: u32 = 4;
+/// Bytes reserved for the name in [`Body::PageReply`].
+const NAME_BYTES: usize = 80;
 
-/// How far a process has come that asks for everyone, page by page.
+/// The progress of a process that requests all members, page by page.
 #[derive(Default)]
 pub(super) struct Joining {
     after: Node,
-    asked: Option<Millis>,
+    requested: Option<Millis>,
 }
 
 impl Swim {
-    /// Asks for the next page, if it is time.
-    pub(super) fn join(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    /// Requests the next page if it is due.
+    pub(super) fn request_next_page(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let Some(joining) = &self.joining else { return };
-        if joining.asked.is_some_and(|asked| now < asked + PAGE_MS) {
+        if joining.requested.is_some_and(|requested| now < requested + PAGE_RETRY_MS) {
             return;
         }
         let seed = self.seeds.choose(&mut self.random).copied();
@@ -57,57 +57,57 @@
         let known = self.table.present() > 0 && self.random.random_bool(0.5);
         let target = if known { member.or(seed) } else { seed.or(member) };
         if let Some(target) = target {
-            self.ask_page(target, now, actions);
+            self.request_page(target, now, actions);
         }
     }
 
-    fn ask_page(&mut self, to: SocketAddr, now: Millis, actions: &mut Vec<Action>) {
+    fn request_page(&mut self, to: SocketAddr, now: Millis, actions: &mut Vec<Action>) {
         let Some(joining) = &mut self.joining else { return };
-        joining.asked = Some(now);
+        joining.requested = Some(now);
         let after = joining.after.clone();
         let own = vec![Update::Alive(self.own.clone())];
-        self.tell(to, Body::Page { after }, own, actions);
+        self.send_updates(to, Body::Page { after }, own, actions);
     }
 
-    /// Gives as many members after a name as fit.
-    pub(super) fn give_page(
+    /// Sends as many members after a name as fit.
+    pub(super) fn send_page(
         &mut self,
         to: SocketAddr,
-        asker: &Node,
+        requester: &Node,
         after: &Node,
         actions: &mut Vec<Action>,
     ) {
-        let body = Body::Piece { last: None };
+        let body = Body::PageReply { last: None };
         let message = Message { from: self.own.node.clone(), body, updates: Vec::new() };
-        let mut room = self.room(&message).saturating_sub(NAME);
+        let mut room = self.room(&message).saturating_sub(NAME_BYTES);
         let mut updates = Vec::new();
         if after.as_str().is_empty() {
-            self.describe_own(&mut updates);
+            self.push_own(&mut updates);
         }
-        if let Some(accusation) = self.accusation(asker) {
-            updates.push(Update::Accused(accusation));
+        if let Some(report) = self.standing_report(requester) {
+            updates.push(Update::Standing(report));
         }
-        room = room.saturating_sub(sizes(&updates));
+        room = room.saturating_sub(total_size(&updates));
         let mut last = None;
-        let mut whole = true;
+        let mut complete = true;
         for entry in self.table.after(after) {
             let mut about = Vec::new();
-            self.describe(entry, &mut about);
-            let size = sizes(&about);
+            self.push_entry(entry, &mut about);
+            let size = total_size(&about);
             if size > room && last.is_some() {
-                whole = false;
+                complete = false;
                 break;
             }
             room = room.saturating_sub(size);
             last = Some(entry.member.node.clone());
             updates.append(&mut about);
         }
-        let last = last.filter(|_| !whole);
-        self.tell(to, Body::Piece { last }, updates, actions);
+        let last = last.filter(|_| !complete);
+        self.send_updates(to, Body::PageReply { last }, updates, actions);
     }
 
-    /// Takes note of how far the page went, and asks for the next.
-    pub(super) fn take_piece(
+    /// Records the end of the page and requests the next one.
+    pub(super) fn on_page_reply(
         &mut self,
         from: SocketAddr,
         last: Option<Node>,
@@ -119,19 +119,20 @@
             None => self.joining = None,
             Some(last) if last > joining.after => {
                 joining.after = last;
-                self.ask_page(from, now, actions);
+                self.request_page(from, now, actions);
             }
             Some(_) => {}
         }
     }
 
-    /// Compares what is held with another process.
-    pub(super) fn compare(&mut self, actions: &mut Vec<Action>) {
-        let lost = self.random.random_range(0..LOST) == 0 || self.table.present() == 0;
-        let found = if lost { self.pick_lost() } else { None };
+    /// Starts a digest comparison with another process.
+    pub(super) fn send_digests(&mut self, actions: &mut Vec<Action>) {
+        let pick_lost =
+            self.random.random_range(0..LOST_SYNC_INTERVAL) == 0 || self.table.present() == 0;
+        let found = if pick_lost { self.pick_lost() } else { None };
         let Some((node, address)) = found.or_else(|| self.pick_present(false)) else { return };
-        let digests = self.digests(buckets(self.table.present() + 1));
-        self.send(address, &node, Body::Sync { digests }, actions);
+        let digests = self.digests(bucket_count(self.table.present() + 1));
+        self.send(address, &node, Body::Digests { digests }, actions);
     }
 
     fn pick_lost(&mut self) -> Option<(Node, SocketAddr)> {
@@ -140,7 +141,7 @@
         let seeds = self.seeds.iter().filter(|seed| !present.contains(seed));
         let seeds: Vec<SocketAddr> = seeds.copied().collect();
         let seed = seeds.choose(&mut self.random).map(|seed| (Node::default(), *seed));
-        let dead = self.draw(|entry| entry.standing == Standing::Dead);
+        let dead = self.pick_random(|entry| entry.standing == Standing::Dead);
         match (seed, dead) {
             (Some(seed), Some(dead)) => Some(if self.random.random() { seed } else { dead }),
             (seed, dead) => seed.or(dead),
@@ -158,157 +159,185 @@
         digests
     }
 
-    /// Answers digests with the buckets that differ, a bounded number of them.
-    pub(super) fn answer_sync(
+    /// Replies to digests with summaries of the buckets that differ, up to a limit.
+    pub(super) fn on_digests(
         &mut self,
         to: SocketAddr,
-        asker: &Node,
+        requester: &Node,
         theirs: &[u32],
         actions: &mut Vec<Action>,
     ) {
         let of = theirs.len();
-        if of == 0 || of > BUCKETS {
+        if of == 0 || of > MAX_BUCKETS {
             return;
         }
         let mine = self.digests(of);
         let start = self.random.random_range(0..of);
         let indexes = (0..of).map(|n| (start + n) % of);
         let differ: Vec<usize> =
-            indexes.filter(|n| mine[*n] != theirs[*n]).take(ANSWERED).collect();
+            indexes.filter(|n| mine[*n] != theirs[*n]).take(MAX_ANSWERED_BUCKETS).collect();
         for index in differ {
-            let held = self.held(of, index);
-            let body = Body::Bucket { of: of as u32, index: index as u32, held };
-            self.send(to, asker, body, actions);
+            let members = self.summaries(of, index);
+            let body = Body::Bucket { of: of as u32, index: index as u32, members };
+            self.send(to, requester, body, actions);
         }
     }
 
-    fn held(&self, of: usize, index: usize) -> Vec<Held> {
-        let own = Held {
+    fn summaries(&self, of: usize, index: usize) -> Vec<MemberSummary> {
+        let own = MemberSummary {
             node: self.own.node.clone(),
             incarnation: self.own.incarnation,
             announced: self.announced,
             standing: Standing::Alive,
         };
-        let others = self.table.iter().map(|entry| Held {
+        let others = self.table.iter().map(|entry| MemberSummary {
             node: entry.member.node.clone(),
             incarnation: entry.member.incarnation,
             announced: entry.announced,
             standing: entry.standing,
         });
-        others.chain(std::iter::once(own)).filter(|held| bucket(&held.node, of) == index).collect()
+        others
+            .chain(std::iter::once(own))
+            .filter(|summary| bucket(&summary.node, of) == index)
+            .collect()
     }
 
-    /// Sends what is newer here and asks for what is newer there.
-    pub(super) fn take_bucket(
+    /// Sends updates that are newer here and requests members that are newer at the sender.
+    pub(super) fn on_bucket(
         &mut self,
         from: SocketAddr,
         sender: &Node,
         (of, index): (u32, u32),
-        held: &[Held],
+        summaries: &[MemberSummary],
         now: Millis,
         actions: &mut Vec<Action>,
     ) {
         let (of, index) = (of as usize, index as usize);
-        if of == 0 || of > BUCKETS || index >= of {
+        if of == 0 || of > MAX_BUCKETS || index >= of {
             return;
         }
-        let theirs: BTreeMap<&Node, &Held> = held.iter().map(|held| (&held.node, held)).collect();
-        let mut want = Vec::new();
-        let mut news = Vec::new();
-        for mine in self.held(of, index) {
-            let older = theirs.get(&mine.node).is_none_or(|held| order(held) < order(&mine));
+        let theirs: BTreeMap<&Node, &MemberSummary> =
+            summaries.iter().map(|summary| (&summary.node, summary)).collect();
+        let mut missing = Vec::new();
+        let mut updates = Vec::new();
+        for mine in self.summaries(of, index) {
+            let older = theirs
+                .get(&mine.node)
+                .is_none_or(|summary| version_of(summary) < version_of(&mine));
             let gone = mine.standing >= Standing::Dead;
             let lacks = older && (!gone || theirs.contains_key(&mine.node));
-            let accuses = theirs.get(&mine.node).is_some_and(|held| {
-                order(held) == order(&mine) && gone && held.standing < Standing::Dead
+            let contradicts = theirs.get(&mine.node).is_some_and(|summary| {
+                version_of(summary) == version_of(&mine)
+                    && gone
+                    && summary.standing < Standing::Dead
             });
-            if lacks || accuses {
-                self.describe_node(&mine.node, &mut news);
+            if lacks || contradicts {
+                self.push_node(&mine.node, &mut updates);
             }
         }
-        for held in held {
-            match self.table.get(&held.node) {
-                Some(entry) if order(held) > (entry.member.incarnation, entry.announced) => {
-                    want.push(held.node.clone());
+        for summary in summaries {
+            match self.table.get(&summary.node) {
+                Some(entry)
+                    if version_of(summary) > (entry.member.incarnation, entry.announced) =>
+                {
+                    missing.push(summary.node.clone());
                 }
-                None if held.node != self.own.node => want.push(held.node.clone()),
-                _ => self.take_held(held, sender, now, actions),
+                None if summary.node != self.own.node => missing.push(summary.node.clone()),
+                _ => self.on_summary(summary, sender, now, actions),
             }
         }
-        self.pieces(from, news, actions);
-        if !want.is_empty() {
-            self.tell(from, Body::Want { nodes: want }, Vec::new(), actions);
+        self.send_in_datagrams(from, updates, actions);
+        if !missing.is_empty() {
+            self.send_updates(from, Body::Fetch { nodes: missing }, Vec::new(), actions);
         }
     }
 
-    /// Takes that another process holds a member for dead or gone which is present here.
-    fn take_held(&mut self, held: &Held, sender: &Node, now: Millis, actions: &mut Vec<Action>) {
-        if held.standing < Standing::Dead {
+    /// Applies the summary of a member that is dead or departed in another process's view but
+    /// present in this one.
+    fn on_summary(
+        &mut self,
+        summary: &MemberSummary,
+        sender: &Node,
+        now: Millis,
+        actions: &mut Vec<Action>,
+    ) {
+        if summary.standing < Standing::Dead {
             return;
         }
-        let left = held.standing == Standing::Left;
-        let accusation = Accusation {
-            node: held.node.clone(),
-            incarnation: held.incarnation,
-            announced: held.announced,
-            standing: held.standing,
-            by: if left { held.node.clone() } else { sender.clone() },
+        let left = summary.standing == Standing::Left;
+        let report = StandingReport {
+            node: summary.node.clone(),
+            incarnation: summary.incarnation,
+            announced: summary.announced,
+            standing: summary.standing,
+            reporter: if left { summary.node.clone() } else { sender.clone() },
         };
-        self.take_accused(accusation, now, true, actions);
+        self.on_standing_report(report, now, true, actions);
     }
 
-    /// Gives all that is known of some members.
-    pub(super) fn give(&mut self, to: SocketAddr, nodes: &[Node], actions: &mut Vec<Action>) {
+    /// Sends everything known about some members.
+    pub(super) fn send_members(
+        &mut self,
+        to: SocketAddr,
+        nodes: &[Node],
+        actions: &mut Vec<Action>,
+    ) {
         let mut updates = Vec::new();
         for node in nodes {
-            self.describe_node(node, &mut updates);
+            self.push_node(node, &mut updates);
         }
-        self.pieces(to, updates, actions);
+        self.send_in_datagrams(to, updates, actions);
     }
 
-    fn describe_node(&self, node: &Node, updates: &mut Vec<Update>) {
+    fn push_node(&self, node: &Node, updates: &mut Vec<Update>) {
         if *node == self.own.node {
-            self.describe_own(updates);
+            self.push_own(updates);
         } else if let Some(entry) = self.table.get(node) {
-            self.describe(entry, updates);
+            self.push_entry(entry, updates);
         }
     }
 
-    fn describe_own(&self, updates: &mut Vec<Update>) {
+    fn push_own(&self, updates: &mut Vec<Update>) {
         updates.push(Update::Alive(renumbered(&self.own, self.announced)));
     }
 
-    fn describe(&self, entry: &Entry, updates: &mut Vec<Update>) {
+    fn push_entry(&self, entry: &Entry, updates: &mut Vec<Update>) {
         updates.push(Update::Alive(renumbered(&entry.member, entry.announced)));
-        updates.extend(self.accusation(&entry.member.node).map(Update::Accused));
+        updates.extend(self.standing_report(&entry.member.node).map(Update::Standing));
     }
 
-    fn pieces(&mut self, to: SocketAddr, updates: Vec<Update>, actions: &mut Vec<Action>) {
-        let empty = Message { from: self.own.node.clone(), body: Body::News, updates: Vec::new() };
-        let whole = self.room(&empty);
-        let mut room = whole;
-        let mut piece = Vec::new();
+    fn send_in_datagrams(
+        &mut self,
+        to: SocketAddr,
+        updates: Vec<Update>,
+        actions: &mut Vec<Action>,
+    ) {
+        let empty =
+            Message { from: self.own.node.clone(), body: Body::Gossip, updates: Vec::new() };
+        let capacity = self.room(&empty);
+        let mut room = capacity;
+        let mut batch = Vec::new();
         let mut sent = 0;
         for update in updates {
             let size = update.size();
-            if size > room && !piece.is_empty() {
-                self.tell(to, Body::News, std::mem::take(&mut piece), actions);
-                room = whole;
+            if size > room && !batch.is_empty() {
+                self.send_updates(to, Body::Gossip, std::mem::take(&mut batch), actions);
+                room = capacity;
                 sent += 1;
-                if sent == PIECES {
+                if sent == MAX_REPLY_DATAGRAMS {
                     return;
                 }
             }
             room = room.saturating_sub(size);
-            piece.push(update);
+            batch.push(update);
         }
-        if !piece.is_empty() {
-            self.tell(to, Body::News, piece, actions);
+        if !batch.is_empty() {
+            self.send_updates(to, Body::Gossip, batch, actions);
         }
     }
 }
 
-/// Gives an announcement the number of the refutation that repeated it.
+/// Returns an announcement with the sequence number of the refutation that confirmed it.
 fn renumbered(member: &Arc<Member>, announced: u64) -> Arc<Member> {
     if member.announced == announced {
         return member.clone();
@@ -316,16 +345,16 @@
     Arc::new(Member { announced, ..(**member).clone() })
 }
 
-fn order(held: &Held) -> (Incarnation, u64) {
-    (held.incarnation, held.announced)
+fn version_of(summary: &MemberSummary) -> (Incarnation, u64) {
+    (summary.incarnation, summary.announced)
 }
 
-fn sizes(updates: &[Update]) -> usize {
+fn total_size(updates: &[Update]) -> usize {
     updates.iter().map(Update::size).sum()
 }
 
-fn buckets(members: usize) -> usize {
-    (members / BUCKET).next_power_of_two().clamp(1, BUCKETS)
+fn bucket_count(members: usize) -> usize {
+    (members / BUCKET_MEMBERS).next_power_of_two().clamp(1, MAX_BUCKETS)
 }
 
 fn bucket(node: &Node, of: usize) -> usize {
--- a/components/membership/src/swim/table.rs
+++ b/components/membership/src/swim/table.rs
@@ -1,4 +1,4 @@
-//! What is known of the other members.
+//! The table of the other members.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,11 +15,12 @@
 pub(super) struct Entry {
     pub(super) member: Arc<Member>,
     pub(super) address: Option<SocketAddr>,
-    /// The number of its last announcement or refutation.
+    /// The sequence number of its last announcement or refutation.
     pub(super) announced: u64,
     pub(super) standing: Standing,
-    /// The announcement that the standing accuses; a later one refutes.
-    pub(super) accused: u64,
+    /// The sequence number of the announcement to which the standing refers; a later one refutes
+    /// it.
+    pub(super) reported_number: u64,
     pub(super) since: Millis,
 }
 
@@ -29,32 +30,32 @@
     }
 }
 
-/// The other members, and the numbers of those that were forgotten.
+/// The other members, and the tombstones of removed ones.
 pub(super) struct Table {
     entries: BTreeMap<Node, Entry>,
     names: Vec<Node>,
     present: usize,
-    past: BTreeMap<Node, Past>,
-    remembered: usize,
-    pub(super) broken: u64,
+    tombstones: BTreeMap<Node, Tombstone>,
+    max_tombstones: usize,
+    pub(super) violations: u64,
 }
 
 #[derive(Clone, Copy)]
-struct Past {
+struct Tombstone {
     incarnation: Incarnation,
     announced: u64,
-    forgotten: Millis,
+    removed_at: Millis,
 }
 
 impl Table {
-    pub(super) fn new(remembered: usize) -> Self {
+    pub(super) fn new(max_tombstones: usize) -> Self {
         Self {
             entries: BTreeMap::new(),
             names: Vec::new(),
             present: 0,
-            past: BTreeMap::new(),
-            remembered,
-            broken: 0,
+            tombstones: BTreeMap::new(),
+            max_tombstones,
+            violations: 0,
         }
     }
 
@@ -70,42 +71,46 @@
         self.entries.range((Bound::Excluded(node), Bound::Unbounded)).map(|(_, entry)| entry)
     }
 
-    /// Gives the names of all entries, for choosing at random.
+    /// Returns the names of all entries, for random selection.
     pub(super) fn names(&self) -> &[Node] {
         &self.names
     }
 
-    /// Counts the members that are alive or suspect.
+    /// Returns the number of members that are alive or suspect.
     pub(super) fn present(&self) -> usize {
         self.present
     }
 
-    /// Gives the numbers of a member since forgotten, if an announcement is not beyond them.
+    /// Returns the incarnation and sequence number of a removed member, if an announcement does not
+    /// exceed them.
     ///
-    /// Old announcements travel for a while. Without this one of them would bring back a member
-    /// that was declared dead, and work would be sent to it.
-    pub(super) fn past(&self, member: &Member) -> Option<(Incarnation, u64)> {
-        let past = self.past.get(&member.node).map(|past| (past.incarnation, past.announced));
-        past.filter(|past| (member.incarnation, member.announced) <= *past)
+    /// Old announcements circulate for a while. Without tombstones, one of them could bring back a
+    /// member that was declared dead, and work would be sent to it.
+    pub(super) fn tombstone(&self, member: &Member) -> Option<(Incarnation, u64)> {
+        let numbers = self
+            .tombstones
+            .get(&member.node)
+            .map(|tombstone| (tombstone.incarnation, tombstone.announced));
+        numbers.filter(|numbers| (member.incarnation, member.announced) <= *numbers)
     }
 
-    /// Takes an announcement that is newer than what is held.
+    /// Stores an announcement that is newer than the stored one.
     pub(super) fn put(&mut self, member: Arc<Member>, now: Millis) {
         let node = member.node.clone();
         let address = member.gossip.parse().ok();
         let announced = member.announced;
         let Some(entry) = self.entries.get_mut(&node) else {
-            let (standing, accused) = (Standing::Alive, 0);
-            let entry = Entry { member, address, announced, standing, accused, since: now };
+            let (standing, reported_number) = (Standing::Alive, 0);
+            let entry = Entry { member, address, announced, standing, reported_number, since: now };
             self.entries.insert(node.clone(), entry);
             self.names.push(node.clone());
-            self.past.remove(&node);
+            self.tombstones.remove(&node);
             self.present += 1;
             return;
         };
         if member.incarnation < entry.member.incarnation {
             tracing::error!(event = "promise_broken", promise = "incarnation_goes_back", %node);
-            self.broken += 1;
+            self.violations += 1;
             return;
         }
         entry.member = member;
@@ -113,50 +118,57 @@
         entry.announced = announced;
     }
 
-    /// Takes a refutation without content.
-    pub(super) fn refute(&mut self, node: &Node, announced: u64) {
+    /// Applies a refutation without content.
+    pub(super) fn record_refutation(&mut self, node: &Node, announced: u64) {
         if let Some(entry) = self.entries.get_mut(node) {
             entry.announced = entry.announced.max(announced);
         }
     }
 
-    /// Sets how a member stands.
-    pub(super) fn stand(&mut self, node: &Node, standing: Standing, accused: u64, now: Millis) {
+    /// Sets the standing of a member.
+    pub(super) fn set_standing(
+        &mut self,
+        node: &Node,
+        standing: Standing,
+        reported_number: u64,
+        now: Millis,
+    ) {
         let Some(entry) = self.entries.get_mut(node) else { return };
         let before = entry.is_present();
         entry.standing = standing;
-        entry.accused = accused;
+        entry.reported_number = reported_number;
         entry.since = now;
         let after = entry.is_present();
         self.present = self.present + usize::from(after) - usize::from(before);
     }
 
-    /// Forgets those that have long been dead or gone, but not their numbers.
-    pub(super) fn forget(&mut self, now: Millis, forget_ms: u64) -> bool {
+    /// Removes members that have long been dead or departed, and stores tombstones for them.
+    pub(super) fn remove_expired(&mut self, now: Millis, dead_retention_ms: u64) -> bool {
         let before = self.entries.len();
-        let past = &mut self.past;
+        let tombstones = &mut self.tombstones;
         self.entries.retain(|node, entry| {
-            let keep = entry.is_present() || now.since(entry.since) < forget_ms;
+            let keep = entry.is_present() || now.since(entry.since) < dead_retention_ms;
             if !keep {
-                let announced = entry.announced.max(entry.accused);
+                let announced = entry.announced.max(entry.reported_number);
                 let incarnation = entry.member.incarnation;
-                past.insert(node.clone(), Past { incarnation, announced, forgotten: now });
+                tombstones
+                    .insert(node.clone(), Tombstone { incarnation, announced, removed_at: now });
             }
             keep
         });
-        let forgot = self.entries.len() != before;
-        if forgot {
+        let removed = self.entries.len() != before;
+        if removed {
             self.names = self.entries.keys().cloned().collect();
-            self.bound_past();
+            self.limit_tombstones();
         }
-        forgot
+        removed
     }
 
-    fn bound_past(&mut self) {
-        while self.past.len() > self.remembered {
-            let oldest = self.past.iter().min_by_key(|(_, past)| past.forgotten);
+    fn limit_tombstones(&mut self) {
+        while self.tombstones.len() > self.max_tombstones {
+            let oldest = self.tombstones.iter().min_by_key(|(_, tombstone)| tombstone.removed_at);
             let Some(node) = oldest.map(|(node, _)| node.clone()) else { return };
-            self.past.remove(&node);
+            self.tombstones.remove(&node);
         }
     }
 }
--- a/components/membership/tests/mutations.rs
+++ b/components/membership/tests/mutations.rs
@@ -1,17 +1,17 @@
-//! Each protection, switched off, must be missed: the same faults as in `faults.rs` then show.
+//! Mutation tests: the faults of `faults.rs` must have an effect when a safety check is disabled.
 
 mod net;
 
 use chicoryford_membership::SwimSettings;
 use chicoryford_types::Standing;
 
-use net::Net;
+use net::Network;
 
 const SEED: u64 = 7;
 
-fn settled(settings: SwimSettings) -> Net {
-    let mut net = Net::new(20, 2, settings, SEED);
-    net.acquaint();
+fn settled(settings: SwimSettings) -> Network {
+    let mut net = Network::new(20, 2, settings, SEED);
+    net.introduce_all();
     net.run(3_000);
     net
 }
@@ -20,7 +20,7 @@
     let mut net = settled(settings);
     for from in 0..20 {
         (1..4).for_each(|n| {
-            net.cut.insert((from, (from + n) % 20));
+            net.blocked_paths.insert((from, (from + n) % 20));
         });
     }
     let deaths = (0..120).map(|_| {
@@ -30,25 +30,25 @@
     deaths.sum()
 }
 
-/// Counts accusations in the view of a process that gets a hundredth of the processor time.
-fn accused_while_starved(settings: SwimSettings) -> usize {
+/// Returns the number of suspicions in the view of a process that gets a hundredth of the CPU time.
+fn suspects_while_starved(settings: SwimSettings) -> usize {
     let mut net = settled(settings);
-    let mut accused = 0;
+    let mut suspects = 0;
     for _ in 0..60 {
         net.freeze(5);
         net.run(1_900);
         net.thaw(5);
         net.run(20);
-        accused +=
+        suspects +=
             (0..20).filter(|of| net.standing(*of, 5).is_some_and(|s| s != Standing::Alive)).count();
     }
-    accused
+    suspects
 }
 
 fn suspicions_with_one_way_loss(settings: SwimSettings) -> usize {
     let mut net = settled(settings);
     (0..20).for_each(|from| {
-        net.cut.insert((from, (from + 2) % 20));
+        net.blocked_paths.insert((from, (from + 2) % 20));
     });
     let suspicions = (0..120).map(|_| {
         net.run(1_000);
@@ -59,34 +59,36 @@
 }
 
 #[test]
-fn errors_on_direct_probes_only() {
-    let whole = suspicions_with_one_way_loss(SwimSettings::default());
-    let without =
-        suspicions_with_one_way_loss(SwimSettings { indirect: false, ..SwimSettings::default() });
-    println!("suspect seconds with indirect probes: {whole}, without: {without}");
-    assert_eq!(whole, 0);
+fn detects_missing_indirect_probes() {
+    let with = suspicions_with_one_way_loss(SwimSettings::default());
+    let without = suspicions_with_one_way_loss(SwimSettings {
+        indirect_probes: false,
+        ..SwimSettings::default()
+    });
+    println!("suspect seconds with indirect probes: {with}, without: {without}");
+    assert_eq!(with, 0);
     assert!(without > 0);
 }
 
 #[test]
-fn errors_on_accusations_without_refutation() {
-    let whole = false_deaths_with_one_way_loss(SwimSettings::default());
+fn detects_a_missing_refutation() {
+    let with = false_deaths_with_one_way_loss(SwimSettings::default());
     let without = false_deaths_with_one_way_loss(SwimSettings {
-        refute: false,
-        indirect: false,
+        refutation: false,
+        indirect_probes: false,
         ..SwimSettings::default()
     });
-    println!("false death seconds with refutation: {whole}, without: {without}");
-    assert_eq!(whole, 0);
+    println!("false death seconds with refutation: {with}, without: {without}");
+    assert_eq!(with, 0);
     assert!(without > 0);
 }
 
 #[test]
-fn errors_on_a_starved_process_that_blames_others() {
-    let whole = accused_while_starved(SwimSettings::default());
+fn detects_a_missing_local_health_score() {
+    let with = suspects_while_starved(SwimSettings::default());
     let without =
-        accused_while_starved(SwimSettings { local_health: false, ..SwimSettings::default() });
-    println!("accused by the starved process with local health: {whole}, without: {without}");
-    assert_eq!(whole, 0);
+        suspects_while_starved(SwimSettings { local_health: false, ..SwimSettings::default() });
+    println!("suspects of the starved process with local health: {with}, without: {without}");
+    assert_eq!(with, 0);
     assert!(without > 0);
 }
--- a/components/membership/tests/net/mod.rs
+++ b/components/membership/tests/net/mod.rs
@@ -1,4 +1,4 @@
-//! A queue of messages between state machines in virtual time, with faults.
+//! A simulated network of membership state machines in virtual time, with faults.
 
 #![allow(dead_code, reason = "each test file and example uses a part of it")]
 
@@ -31,12 +31,12 @@
 
 pub const STEP_MS: u64 = 10;
 const TICK_STEPS: u64 = 5;
-/// Headers of IP and UDP, and the code before the content.
-pub const HEADERS: u64 = 28 + 16;
+/// Bytes of the IP and UDP headers and of the authentication code.
+pub const HEADER_BYTES: u64 = 28 + 16;
 const START: Incarnation = Incarnation(1_000);
 const INBOX: usize = 200;
 
-struct Letter {
+struct Envelope {
     from: SocketAddr,
     to: usize,
     message: Message,
@@ -54,23 +54,23 @@
     pub datagrams: u64,
 }
 
-pub struct Net {
+pub struct Network {
     pub now: Millis,
     pub peers: Vec<Peer>,
     pub loss: f64,
-    /// Paths, by sender and receiver, that lose everything.
-    pub cut: BTreeSet<(usize, usize)>,
-    /// Parts that hear only themselves, by peer; equal numbers hear each other.
-    pub part: Vec<u32>,
+    /// Directed paths that lose every message, by sender and receiver.
+    pub blocked_paths: BTreeSet<(usize, usize)>,
+    /// The partition of each peer; only peers with equal numbers have contact.
+    pub partition: Vec<u32>,
     pub settings: SwimSettings,
     pub measured: bool,
     pub largest: usize,
-    /// Bytes sent by kind of news, and by kind of message without its news.
+    /// Bytes sent by kind of update, and by kind of message without its updates.
     pub kinds: BTreeMap<&'static str, u64>,
-    /// Messages dropped by nobody's will: the standing that a peer had in another one's eyes.
-    pub incarnation_back: u64,
-    centres: usize,
-    letters: BTreeMap<u64, Vec<Letter>>,
+    /// The number of times that a peer's incarnation decreased in the view of another one.
+    pub decreased_incarnations: u64,
+    data_centres: usize,
+    in_flight: BTreeMap<u64, Vec<Envelope>>,
     random: SmallRng,
     seed: u64,
 }
@@ -89,8 +89,8 @@
     usize::from(high) * 256 + usize::from(low)
 }
 
-pub fn member(n: usize, centres: usize, incarnation: Incarnation) -> Member {
-    let centre = n % centres;
+pub fn member(n: usize, data_centres: usize, incarnation: Incarnation) -> Member {
+    let centre = n % data_centres;
     Member {
         node: name(n),
         incarnation,
@@ -109,46 +109,48 @@
     }
 }
 
-fn news_kind(update: &Update) -> &'static str {
+fn update_kind(update: &Update) -> &'static str {
     match update {
         Update::Alive(_) => "+alive",
         Update::Refuted { .. } => "+refuted",
-        Update::Accused(accusation) if accusation.standing == Standing::Suspect => "+suspect",
-        Update::Accused(_) => "+dead",
+        Update::Standing(report) if report.standing == Standing::Suspect => "+suspect",
+        Update::Standing(_) => "+dead",
         Update::Silent { .. } => "+silent",
     }
 }
 
 fn body_kind(body: &Body) -> &'static str {
     match body {
-        Body::Ping { .. } | Body::Relay { .. } | Body::Ack { .. } | Body::Nack { .. } => "probes",
-        Body::News => "news",
-        Body::Page { .. } | Body::Piece { .. } => "pages",
-        Body::Sync { .. } | Body::Bucket { .. } | Body::Want { .. } => "comparisons",
+        Body::Ping { .. } | Body::PingRequest { .. } | Body::Ack { .. } | Body::Nack { .. } => {
+            "probes"
+        }
+        Body::Gossip => "news",
+        Body::Page { .. } | Body::PageReply { .. } => "pages",
+        Body::Digests { .. } | Body::Bucket { .. } | Body::Fetch { .. } => "comparisons",
     }
 }
 
-impl Net {
-    /// Starts `n` peers; the first three are the seeds of all.
-    pub fn new(n: usize, centres: usize, settings: SwimSettings, seed: u64) -> Self {
+impl Network {
+    /// Creates `n` peers; the first three are the seeds of all.
+    pub fn new(n: usize, data_centres: usize, settings: SwimSettings, seed: u64) -> Self {
         let mut net = Self {
             now: Millis(0),
             peers: Vec::new(),
             loss: 0.0,
-            cut: BTreeSet::new(),
-            part: vec![0; n],
+            blocked_paths: BTreeSet::new(),
+            partition: vec![0; n],
             settings,
             measured: false,
             largest: 0,
             kinds: BTreeMap::new(),
-            incarnation_back: 0,
-            centres,
-            letters: BTreeMap::new(),
+            decreased_incarnations: 0,
+            data_centres,
+            in_flight: BTreeMap::new(),
             random: SmallRng::seed_from_u64(seed),
             seed,
         };
         for n in 0..n {
-            let swim = net.machine(n, START);
+            let swim = net.create_swim(n, START);
             net.peers.push(Peer {
                 swim,
                 up: true,
@@ -163,19 +165,19 @@
         net
     }
 
-    fn machine(&self, n: usize, incarnation: Incarnation) -> Swim {
-        let own = member(n, self.centres, incarnation);
+    fn create_swim(&self, n: usize, incarnation: Incarnation) -> Swim {
+        let own = member(n, self.data_centres, incarnation);
         let seeds = (0..3).filter(|seed| *seed != n).map(address).collect();
         let seed = self.seed.wrapping_mul(31).wrapping_add(n as u64) ^ incarnation.0;
         Swim::new(self.settings.clone(), own, seeds, seed)
     }
 
-    /// Makes everybody known to everybody, as after joining.
-    pub fn acquaint(&mut self) {
+    /// Makes all peers known to each other, as after joining.
+    pub fn introduce_all(&mut self) {
         let all: Vec<Arc<Member>> =
             self.peers.iter().map(|peer| Arc::new(peer.swim.own().clone())).collect();
         for peer in &mut self.peers {
-            peer.swim.know(&all, Millis(0));
+            peer.swim.add_known(&all, Millis(0));
         }
     }
 
@@ -183,9 +185,9 @@
         self.peers[n].up = false;
     }
 
-    /// Starts a peer again, with a clock that stands at `incarnation`.
+    /// Restarts a peer whose clock gives it the given incarnation.
     pub fn restart(&mut self, n: usize, incarnation: Incarnation) {
-        let swim = self.machine(n, incarnation);
+        let swim = self.create_swim(n, incarnation);
         let peer = &mut self.peers[n];
         peer.swim = swim;
         peer.up = true;
@@ -194,50 +196,50 @@
         peer.seen.clear();
     }
 
-    pub fn on(&mut self, n: usize, event: Event) {
+    pub fn handle(&mut self, n: usize, event: Event) {
         let mut actions = Vec::new();
-        self.peers[n].swim.on(event, self.now, &mut actions);
+        self.peers[n].swim.handle(event, self.now, &mut actions);
         for action in actions {
             if let Action::Send { to, message } = action {
-                self.post(n, to, message);
+                self.send(n, to, message);
             }
         }
     }
 
-    fn post(&mut self, from: usize, to: SocketAddr, message: Message) {
+    fn send(&mut self, from: usize, to: SocketAddr, message: Message) {
         let to = index(to);
         if self.measured {
             let size = message.encode().len();
             self.largest = self.largest.max(size + 16);
             self.count_kinds(&message, size);
-            self.peers[from].sent += size as u64 + HEADERS;
+            self.peers[from].sent += size as u64 + HEADER_BYTES;
             self.peers[from].datagrams += 1;
             if let Some(peer) = self.peers.get_mut(to) {
-                peer.received += size as u64 + HEADERS;
+                peer.received += size as u64 + HEADER_BYTES;
             }
         }
         let lost = self.random.random_bool(self.loss);
         if to >= self.peers.len() || lost || !self.reaches(from, to) {
             return;
         }
-        let near = from % self.centres == to % self.centres;
+        let near = from % self.data_centres == to % self.data_centres;
         let delay = if near { 1 } else { self.random.random_range(1..=4) };
         let at = self.now.0 + delay * STEP_MS;
-        self.letters.entry(at).or_default().push(Letter { from: address(from), to, message });
+        self.in_flight.entry(at).or_default().push(Envelope { from: address(from), to, message });
     }
 
     fn count_kinds(&mut self, message: &Message, size: usize) {
-        let mut rest = size as u64 + HEADERS;
+        let mut rest = size as u64 + HEADER_BYTES;
         for update in &message.updates {
             let size = update.size() as u64;
             rest = rest.saturating_sub(size);
-            *self.kinds.entry(news_kind(update)).or_default() += size;
+            *self.kinds.entry(update_kind(update)).or_default() += size;
         }
         *self.kinds.entry(body_kind(&message.body)).or_default() += rest;
     }
 
     pub fn reaches(&self, from: usize, to: usize) -> bool {
-        self.part[from] == self.part[to] && !self.cut.contains(&(from, to))
+        self.partition[from] == self.partition[to] && !self.blocked_paths.contains(&(from, to))
     }
 
     pub fn run(&mut self, ms: u64) {
@@ -247,8 +249,8 @@
         }
     }
 
-    /// Runs until `holds`, for at most `ms`; gives the time it took.
-    pub fn until(&mut self, ms: u64, holds: impl Fn(&Self) -> bool) -> Option<u64> {
+    /// Runs until `holds` returns true, for at most `ms`, and returns the elapsed time.
+    pub fn run_until(&mut self, ms: u64, holds: impl Fn(&Self) -> bool) -> Option<u64> {
         let start = self.now;
         while self.now.since(start) < ms {
             if holds(self) {
@@ -261,23 +263,26 @@
 
     fn step(&mut self) {
         self.now = self.now + STEP_MS;
-        for letter in self.letters.remove(&self.now.0).unwrap_or_default() {
-            let peer = &mut self.peers[letter.to];
+        for envelope in self.in_flight.remove(&self.now.0).unwrap_or_default() {
+            let peer = &mut self.peers[envelope.to];
             if !peer.up {
                 continue;
             }
             if peer.frozen {
                 if peer.inbox.len() < INBOX {
-                    peer.inbox.push((letter.from, letter.message));
+                    peer.inbox.push((envelope.from, envelope.message));
                 }
                 continue;
             }
-            self.on(letter.to, Event::Received { from: letter.from, message: letter.message });
+            self.handle(
+                envelope.to,
+                Event::Received { from: envelope.from, message: envelope.message },
+            );
         }
         for n in 0..self.peers.len() {
             let turn = (self.now.0 / STEP_MS + n as u64).is_multiple_of(TICK_STEPS);
             if turn && self.peers[n].up && !self.peers[n].frozen {
-                self.on(n, Event::Tick);
+                self.handle(n, Event::Tick);
             }
         }
     }
@@ -288,9 +293,9 @@
 
     pub fn thaw(&mut self, n: usize) {
         self.peers[n].frozen = false;
-        self.on(n, Event::Tick);
+        self.handle(n, Event::Tick);
         for (from, message) in std::mem::take(&mut self.peers[n].inbox) {
-            self.on(n, Event::Received { from, message });
+            self.handle(n, Event::Received { from, message });
         }
     }
 
@@ -298,12 +303,12 @@
         self.peers[at].swim.standing(&name(of))
     }
 
-    /// Tells whether everybody who is up holds `of` for dead.
-    pub fn all_hold_dead(&self, of: usize) -> bool {
+    /// Returns whether all running peers consider `of` dead.
+    pub fn all_report_dead(&self, of: usize) -> bool {
         self.observers(of).all(|at| self.standing(of, at) == Some(Standing::Dead))
     }
 
-    /// Tells whether everybody who is up sees everybody else who is up as alive.
+    /// Returns whether all running peers see all other running peers as alive.
     pub fn all_agree(&self) -> bool {
         (0..self.peers.len())
             .filter(|of| self.peers[*of].up)
@@ -314,7 +319,7 @@
         (0..self.peers.len()).filter(move |at| *at != of && self.peers[*at].up)
     }
 
-    /// Counts the pairs in which somebody who is up is held for dead by somebody who is up.
+    /// Returns the number of pairs of running peers of which one considers the other dead.
     pub fn false_deaths(&self) -> usize {
         let up = |n: &usize| self.peers[*n].up && !self.peers[*n].frozen;
         (0..self.peers.len())
@@ -326,18 +331,19 @@
             .sum()
     }
 
-    /// Counts the promises that were seen broken, from within the machines and from without.
-    pub fn broken(&mut self) -> u64 {
+    /// Returns the number of invariant violations, counted by the state machines themselves and by
+    /// observing their views.
+    pub fn violations(&mut self) -> u64 {
         for peer in &mut self.peers {
             for (node, known) in peer.swim.view().known {
                 let seen = peer.seen.entry(node).or_default();
                 if known.member.incarnation < *seen {
-                    self.incarnation_back += 1;
+                    self.decreased_incarnations += 1;
                 }
                 *seen = known.member.incarnation;
             }
         }
-        let within: u64 = self.peers.iter().map(|peer| peer.swim.broken()).sum();
-        within + self.incarnation_back
+        let within: u64 = self.peers.iter().map(|peer| peer.swim.violations()).sum();
+        within + self.decreased_incarnations
     }
 }
--- a/components/membership/tests/random.rs
+++ b/components/membership/tests/random.rs
@@ -1,4 +1,5 @@
-//! Randomised runs: faults of all kinds, singly and together, then calm, then agreement.
+//! Randomised runs: faults of all kinds, alone and combined, then a period without faults, after
+//! which all peers must agree.
 //!
 //! `CHICORYFORD_SEED` replaces the fixed seed and `CHICORYFORD_RUNS` the number of runs.
 
@@ -13,12 +14,12 @@
 use quickcheck::QuickCheck;
 use quickcheck::TestResult;
 
-use net::Net;
+use net::Network;
 
 const RUNS: u64 = 60;
 const SIZE: usize = 30;
-/// Virtual time after the last fault until everybody must agree.
-const CALM_MS: u64 = 180_000;
+/// Virtual time after the last fault until all peers must agree.
+const SETTLE_MS: u64 = 180_000;
 
 #[derive(Clone, Debug)]
 enum Fault {
@@ -26,8 +27,8 @@
     Restart(usize, bool),
     Freeze(usize, u64),
     Loss(u8),
-    Cut(usize, usize),
-    Part(usize, usize),
+    BlockPath(usize, usize),
+    Partition(usize, usize),
     Heal,
     Wait(u64),
 }
@@ -35,7 +36,7 @@
 #[derive(Clone, Debug)]
 struct Plan {
     peers: usize,
-    centres: usize,
+    data_centres: usize,
     seed: u64,
     faults: Vec<Fault>,
 }
@@ -52,8 +53,8 @@
             2 | 3 => Self::Restart(a, bool::arbitrary(g)),
             4 => Self::Freeze(a, 1_000 + below(g, 60_000) as u64),
             5 => Self::Loss(below(g, 30) as u8),
-            6 => Self::Cut(a, b),
-            7 => Self::Part(a, 1 + b),
+            6 => Self::BlockPath(a, b),
+            7 => Self::Partition(a, 1 + b),
             8 | 9 => Self::Heal,
             _ => Self::Wait(below(g, 20_000) as u64),
         }
@@ -64,7 +65,7 @@
     fn arbitrary(g: &mut Gen) -> Self {
         Self {
             peers: 3 + below(g, 38),
-            centres: 1 + below(g, 4),
+            data_centres: 1 + below(g, 4),
             seed: u64::arbitrary(g),
             faults: Vec::arbitrary(g),
         }
@@ -81,7 +82,7 @@
     }
 }
 
-fn strike(net: &mut Net, fault: &Fault, frozen: &mut Vec<(usize, u64)>) {
+fn apply_fault(net: &mut Network, fault: &Fault, frozen: &mut Vec<(usize, u64)>) {
     let n = net.peers.len();
     match *fault {
         Fault::Kill(a) => net.kill(a % n),
@@ -98,20 +99,20 @@
             }
         }
         Fault::Loss(percent) => net.loss = f64::from(percent) / 100.0,
-        Fault::Cut(a, b) => {
-            net.cut.insert((a % n, b % n));
+        Fault::BlockPath(a, b) => {
+            net.blocked_paths.insert((a % n, b % n));
         }
-        Fault::Part(a, size) => (0..size).for_each(|k| net.part[(a + k) % n] = 1),
+        Fault::Partition(a, size) => (0..size).for_each(|k| net.partition[(a + k) % n] = 1),
         Fault::Heal => {
             net.loss = 0.0;
-            net.cut.clear();
-            net.part.fill(0);
+            net.blocked_paths.clear();
+            net.partition.fill(0);
         }
         Fault::Wait(ms) => wait(net, ms, frozen),
     }
 }
 
-fn wait(net: &mut Net, ms: u64, frozen: &mut Vec<(usize, u64)>) {
+fn wait(net: &mut Network, ms: u64, frozen: &mut Vec<(usize, u64)>) {
     let end = net.now + ms;
     while net.now < end {
         net.run(100);
@@ -122,53 +123,53 @@
     }
 }
 
-/// Runs a plan, then calms everything, and tells what does not hold.
-fn verdict(plan: &Plan, settings: SwimSettings) -> Result<(), String> {
-    let mut net = Net::new(plan.peers, plan.centres, settings, plan.seed);
+/// Runs a plan, ends all faults, and returns an error that describes what does not hold.
+fn run_plan(plan: &Plan, settings: SwimSettings) -> Result<(), String> {
+    let mut net = Network::new(plan.peers, plan.data_centres, settings, plan.seed);
     let mut frozen = Vec::new();
     for fault in &plan.faults {
-        strike(&mut net, fault, &mut frozen);
-        if net.broken() > 0 {
-            return Err(format!("a promise was broken at {:?}", net.now));
+        apply_fault(&mut net, fault, &mut frozen);
+        if net.violations() > 0 {
+            return Err(format!("an invariant was violated at {:?}", net.now));
         }
     }
-    strike(&mut net, &Fault::Heal, &mut frozen);
+    apply_fault(&mut net, &Fault::Heal, &mut frozen);
     frozen.drain(..).for_each(|(peer, _)| net.thaw(peer));
     if !net.peers[..3.min(plan.peers)].iter().any(|peer| peer.up) {
         net.restart(0, Incarnation(1_000_000 + net.now.0));
     }
-    net.run(CALM_MS);
-    if net.broken() > 0 {
-        return Err("a promise was broken in the calm".to_owned());
+    net.run(SETTLE_MS);
+    if net.violations() > 0 {
+        return Err("an invariant was violated after the faults".to_owned());
     }
     if !net.all_agree() {
-        return Err("those who are up do not see each other as alive".to_owned());
+        return Err("running peers do not all see each other as alive".to_owned());
     }
     for of in (0..plan.peers).filter(|of| !net.peers[*of].up) {
         let observers = (0..plan.peers).filter(|at| net.peers[*at].up);
         let present = observers.map(|at| net.standing(of, at));
         if present.flatten().any(|standing| standing <= chicoryford_types::Standing::Suspect) {
-            return Err(format!("the dead peer {of} is taken for present"));
+            return Err(format!("the dead peer {of} is seen as present"));
         }
     }
     Ok(())
 }
 
-fn number(name: &str, default: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 fn holds(plan: Plan) -> TestResult {
-    match verdict(&plan, SwimSettings::default()) {
+    match run_plan(&plan, SwimSettings::default()) {
         Ok(()) => TestResult::passed(),
-        Err(why) => TestResult::error(why),
+        Err(failure) => TestResult::error(failure),
     }
 }
 
 #[test]
 fn can_agree_after_random_faults() {
-    let seed = number("CHICORYFORD_SEED", 1);
-    let runs = number("CHICORYFORD_RUNS", RUNS);
+    let seed = env_number("CHICORYFORD_SEED", 1);
+    let runs = env_number("CHICORYFORD_RUNS", RUNS);
     println!("seed {seed}, {runs} runs");
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(SIZE, seed))
@@ -176,18 +177,18 @@
         .quickcheck(holds as fn(Plan) -> TestResult);
 }
 
-/// Counts plans of which a machine with one protection switched off notices the lack.
-fn noticed(settings: &SwimSettings) -> Option<u64> {
+/// Returns the number of the first plan that detects a disabled safety check.
+fn first_detected(settings: &SwimSettings) -> Option<u64> {
     let mut random = Gen::from_size_and_seed(SIZE, 1);
-    (1..=RUNS).find(|_| verdict(&Plan::arbitrary(&mut random), settings.clone()).is_err())
+    (1..=RUNS).find(|_| run_plan(&Plan::arbitrary(&mut random), settings.clone()).is_err())
 }
 
 #[test]
-fn errors_on_machines_that_do_not_refute() {
-    let settings = SwimSettings { refute: false, ..SwimSettings::default() };
-    let calm = Plan { peers: 20, centres: 2, seed: 1, faults: Vec::new() };
-    assert_eq!(verdict(&calm, settings.clone()), Ok(()));
-    let run = noticed(&settings);
-    println!("noticed in run {run:?}");
+fn detects_a_missing_refutation() {
+    let settings = SwimSettings { refutation: false, ..SwimSettings::default() };
+    let quiet_plan = Plan { peers: 20, data_centres: 2, seed: 1, faults: Vec::new() };
+    assert_eq!(run_plan(&quiet_plan, settings.clone()), Ok(()));
+    let run = first_detected(&settings);
+    println!("detected in run {run:?}");
     assert!(run.is_some());
 }
--- a/components/membership/tests/udp.rs
+++ b/components/membership/tests/udp.rs
@@ -1,4 +1,4 @@
-//! Membership over real UDP sockets on the loopback interface.
+//! Tests of membership over real UDP sockets on the loopback interface.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 use chicoryford_kernel::Kernel;
 use chicoryford_kernel::Metrics;
 use chicoryford_kernel::Phase;
+use chicoryford_membership::Authenticator;
 use chicoryford_membership::Handle;
 use chicoryford_membership::Message;
 use chicoryford_membership::SERVICE;
-use chicoryford_membership::Seal;
 use chicoryford_membership::StartError;
 use chicoryford_membership::message::Body;
 use chicoryford_membership::message::Update;
@@ -28,7 +28,7 @@
 use chicoryford_types::Standing;
 
 const ANY: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
-const PATIENCE: usize = 600;
+const MAX_POLLS: usize = 600;
 
 struct Process {
     kernel: Kernel,
@@ -57,14 +57,14 @@
         self.members.own().gossip.parse().unwrap()
     }
 
-    fn until(&self, what: &str, holds: impl Fn(&Members) -> bool) {
-        for _ in 0..PATIENCE {
+    fn wait_until(&self, what: &str, holds: impl Fn(&Members) -> bool) {
+        for _ in 0..MAX_POLLS {
             if holds(&self.members.view()) {
                 return;
             }
             thread::sleep(Duration::from_millis(50));
         }
-        panic!("{} never saw {what}: {:?}", self.members.own().node, self.members.view());
+        panic!("{} did not see {what}: {:?}", self.members.own().node, self.members.view());
     }
 
     fn stop(self) {
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn can_find_all_others_from_one_seed_and_hear_their_changes() {
+fn finds_all_others_from_one_seed_and_receives_their_changes() {
     let folder = tempfile::tempdir().unwrap();
     let first = Process::start(folder.path(), "p0", &[]);
     let seeds = [first.gossip()];
@@ -97,67 +97,68 @@
         all.push(Process::start(folder.path(), &format!("p{n}"), &seeds));
     }
     for process in &all {
-        process.until("all eight", |view| view.present().count() == 8);
+        process.wait_until("all eight", |view| view.present().count() == 8);
     }
     all[3].members.announce(|own| own.address = "127.0.0.1:7".to_owned());
     for process in &all {
-        process.until("the change", |view| address(view, "p3").as_deref() == Some("127.0.0.1:7"));
+        process
+            .wait_until("the change", |view| address(view, "p3").as_deref() == Some("127.0.0.1:7"));
     }
     all.into_iter().for_each(Process::stop);
 }
 
 #[test]
-fn can_tell_a_planned_stop_and_a_restart_under_the_same_name() {
-    // Symptom: a restarted process is taken for the one that left.
-    // Sequence: a process stops gracefully and starts again under its name at another port.
-    // Cause: both announce the same name; only the incarnation tells them apart.
+fn distinguishes_a_planned_stop_from_a_restart_under_the_same_name() {
+    // Guards against a restarted process that is mistaken for the one that left: a process stops
+    // gracefully and starts again under the same name at another port. Both announce the same name;
+    // only the incarnation distinguishes them.
     let folder = tempfile::tempdir().unwrap();
     let first = Process::start(folder.path(), "p0", &[]);
     let seeds = [first.gossip()];
     let second = Process::start(folder.path(), "p1", &seeds);
     let third = Process::start(folder.path(), "p2", &seeds);
     let all = |view: &Members| view.present().count() == 3;
-    first.until("all three", all);
-    second.until("all three", all);
-    third.until("all three", all);
+    first.wait_until("all three", all);
+    second.wait_until("all three", all);
+    third.wait_until("all three", all);
     let old = third.members.own().incarnation;
     third.stop();
     let left = |view: &Members| view.known[&Node::from("p2")].standing == Standing::Left;
-    first.until("the farewell", left);
-    second.until("the farewell", left);
-    let again = Process::start(folder.path(), "p2", &seeds);
+    first.wait_until("the departure", left);
+    second.wait_until("the departure", left);
+    let restarted = Process::start(folder.path(), "p2", &seeds);
     let back = |view: &Members| {
         let known = &view.known[&Node::from("p2")];
         known.standing == Standing::Alive && known.member.incarnation > old
     };
-    first.until("the restarted process", back);
-    second.until("the restarted process", back);
-    [first, second, again].into_iter().for_each(Process::stop);
+    first.wait_until("the restarted process", back);
+    second.wait_until("the restarted process", back);
+    [first, second, restarted].into_iter().for_each(Process::stop);
 }
 
 #[test]
-fn an_announcement_right_after_the_start_is_not_lost() {
-    // Symptom: now and then an agent is alive for all others, but its endpoint is unknown, and
-    // nobody sends it work until it announces something else.
-    // Sequence: the process changes its own announcement after the socket is open and before the
-    // gossip thread waits for changes.
-    // Cause: a new subscriber counts what was announced before as seen.
+fn announces_changes_made_right_after_the_start() {
+    // Guards against an agent that all others see as alive without its endpoint, so that it gets no
+    // work until its next announcement: the process changes its own announcement after the socket
+    // is open and before the gossip thread waits for changes. A new subscriber treats earlier
+    // announcements as seen.
     let folder = tempfile::tempdir().unwrap();
     for n in 0..20 {
         let process = Process::start(folder.path(), &format!("p{n}"), &[]);
         process.members.announce(|own| own.address = "127.0.0.1:7".to_owned());
         let name = process.members.own().node.to_string();
-        process
-            .until("its own change", |view| address(view, &name).as_deref() == Some("127.0.0.1:7"));
+        process.wait_until("its own change", |view| {
+            address(view, &name).as_deref() == Some("127.0.0.1:7")
+        });
         process.stop();
     }
 }
 
 #[test]
-fn errors_on_a_stranger_who_forges_datagrams() {
-    // Symptom: work is sent to an endpoint that no operator started.
-    // Sequence: somebody who can reach the port, but lacks the token, announces a member.
-    // Cause: datagrams would be taken from anyone.
+fn rejects_forged_datagrams() {
+    // Guards against work for an endpoint that no operator started: an attacker who can reach the
+    // port, but lacks the token, announces a member. Without authentication datagrams would be
+    // accepted from anyone.
     let folder = tempfile::tempdir().unwrap();
     let process = Process::start(folder.path(), "p0", &[]);
     let announced = Member {
@@ -172,24 +173,25 @@
         updates: vec![Update::Alive(Arc::new(announced))],
     };
     let socket = UdpSocket::bind(SocketAddr::from(ANY)).unwrap();
-    let forged = Seal::new("a guess").seal(&message.encode());
+    let forged = Authenticator::new("a guess").sign(&message.encode());
     for datagram in [&forged[..], &forged[..7], &message.encode()] {
         socket.send_to(datagram, process.gossip()).unwrap();
     }
-    // A friend's datagram, sent after the forged ones over the same socket, is taken after them.
-    let own = Seal::new("the token of all processes");
-    let friend = Message { from: Node::from("friend"), ..message };
-    let friend = Message {
+    // A valid datagram, sent after the forged ones through the same socket, is processed after
+    // them.
+    let own = Authenticator::new("the token of all processes");
+    let valid = Message { from: Node::from("valid"), ..message };
+    let valid = Message {
         updates: vec![Update::Alive(Arc::new(Member {
-            node: Node::from("friend"),
+            node: Node::from("valid"),
             incarnation: Incarnation(1),
             gossip: socket.local_addr().unwrap().to_string(),
             ..Member::default()
         }))],
-        ..friend
+        ..valid
     };
-    socket.send_to(&own.seal(&friend.encode()), process.gossip()).unwrap();
-    process.until("the friend", |view| view.known.contains_key(&Node::from("friend")));
+    socket.send_to(&own.sign(&valid.encode()), process.gossip()).unwrap();
+    process.wait_until("the valid member", |view| view.known.contains_key(&Node::from("valid")));
     assert!(!process.members.view().known.contains_key(&Node::from("stranger")));
     process.stop();
 }
@@ -205,15 +207,15 @@
 }
 
 #[test]
-fn spreads_what_is_announced_before_its_thread_runs() {
-    // Symptom: now and then an agent that started well is known to nobody as an endpoint.
-    // Sequence: membership starts its thread, the agent announces its endpoint, the thread
-    // subscribes to announcements. Cause: a fresh subscription takes what is there for seen.
+fn announces_changes_made_before_its_thread_runs() {
+    // Guards against an agent that starts successfully but whose endpoint is unknown to all others:
+    // membership starts its thread, the agent announces its endpoint, the thread subscribes to
+    // announcements. A new subscription treats the current announcement as seen.
     let folder = tempfile::tempdir().unwrap();
     for _ in 0..20 {
         let one = Process::start(folder.path(), "one", &[]);
         one.members.announce(|own| own.address = "early".to_owned());
-        one.until("its own early address", |m| address(m, "one").as_deref() == Some("early"));
+        one.wait_until("its own early address", |m| address(m, "one").as_deref() == Some("early"));
         one.stop();
     }
 }
@@ -223,8 +225,8 @@
     let folder = tempfile::tempdir().unwrap();
     let first = Process::start(folder.path(), "p0", &[]);
     let second = Process::start(folder.path(), "p1", &[first.gossip()]);
-    first.until("the second", |view| view.present().count() == 2);
-    second.until("the first", |view| view.present().count() == 2);
+    first.wait_until("the second", |view| view.present().count() == 2);
+    second.wait_until("the first", |view| view.present().count() == 2);
     for process in [first, second] {
         let dump = actix_rt::System::new().block_on(process.kernel.dumps.take());
         let gossip = &dump["gossip"];
