--- a/components/config/src/store.rs
+++ b/components/config/src/store.rs
@@ -31,7 +31,7 @@
 impl Store {
     /// Starts from what the disk held.
     pub fn new(config: Config) -> Self {
-        let recent = RecentChanges::at(config.at);
+        let recent = RecentChanges::starting_at(config.at);
         Self { config: Arc::new(config), recent, digest: None }
     }
 
--- a/components/state/examples/measure-state.rs
+++ b/components/state/examples/measure-state.rs
@@ -1,4 +1,4 @@
-//! Measures what commands cost and how large the replicated state grows.
+//! Measures the cost of commands and the size of the replicated state.
 //!
 //! `cargo run --release -p chicoryford-state --example measure-state`
 
@@ -44,11 +44,11 @@
 const SAMPLES: u32 = 8;
 
 fn main() {
-    costs();
-    sizes_by_templates();
-    sizes_by_claims();
-    sizes_by_samples();
-    catching_up();
+    measure_costs();
+    measure_sizes_by_templates();
+    measure_sizes_by_claims();
+    measure_sizes_by_samples();
+    measure_catch_up();
 }
 
 fn apply(state: &mut State, command: Command) {
@@ -157,8 +157,8 @@
     Command::OpenSession { node: Node::from("entry-1"), incarnation: Incarnation(1) }
 }
 
-/// Applies commands that were made before the clock started.
-fn timed(state: &mut State, name: &str, commands: Vec<Command>) {
+/// Measures the application of commands that were created in advance.
+fn measure(state: &mut State, name: &str, commands: Vec<Command>) {
     let count = commands.len();
     let start = Instant::now();
     for command in commands {
@@ -168,47 +168,47 @@
     println!("cost command={name} count={count} ns={ns}");
 }
 
-fn costs() {
+fn measure_costs() {
     let mut state = State::default();
     for number in 0..100 {
         let command = put(&state, number, 0);
         apply(&mut state, command);
     }
-    let mut made = state.clone();
+    let mut preview = state.clone();
     let mut changes = Vec::new();
     for round in 1..=20 {
         for number in 0..100 {
-            let command = put(&made, number, round);
-            apply(&mut made, command.clone());
+            let command = put(&preview, number, round);
+            apply(&mut preview, command.clone());
             changes.push(command);
         }
     }
-    timed(&mut state, "apply", changes.clone());
-    timed(&mut state, "apply_resent", changes);
+    measure(&mut state, "apply", changes.clone());
+    measure(&mut state, "apply_resent", changes);
     let publish = (1..=2_000).map(|version| Command::Publish {
         change: change_id(NOW, version),
         model: Model::from("model"),
         version: Version(version),
         source: "store/model".to_owned(),
     });
-    timed(&mut state, "publish", publish.collect());
-    timed(&mut state, "claim", (0..20_000).map(claim).collect());
-    timed(&mut state, "settle", (0..20_000).map(settle).collect());
+    measure(&mut state, "publish", publish.collect());
+    measure(&mut state, "claim", (0..20_000).map(claim).collect());
+    measure(&mut state, "settle", (0..20_000).map(settle).collect());
     apply(&mut state, session());
-    timed(&mut state, "open_512x8", vec![open(0)]);
-    timed(&mut state, "take_512x8", vec![take(0)]);
+    measure(&mut state, "open_512x8", vec![open(0)]);
+    measure(&mut state, "take_512x8", vec![take(0)]);
     let samples = GROUPS * SAMPLES;
     let inline = Body::Inline(Bytes::from(vec![7; 8 << 10]));
-    timed(&mut state, "done_8KiB", (0..samples).map(|n| done(0, n, &inline)).collect());
+    measure(&mut state, "done_8KiB", (0..samples).map(|n| done(0, n, &inline)).collect());
     let pulls = (1..=8).flat_map(|cursor| [pull(cursor, 64), ack(cursor)]);
-    timed(&mut state, "pull_and_ack_64x8", pulls.collect());
-    timed(&mut state, "open_512x8", vec![open(1)]);
-    timed(&mut state, "take_512x8", vec![take(1)]);
+    measure(&mut state, "pull_and_ack_64x8", pulls.collect());
+    measure(&mut state, "open_512x8", vec![open(1)]);
+    measure(&mut state, "take_512x8", vec![take(1)]);
     let inline = Body::Inline(Bytes::from(vec![7; 32 << 10]));
-    timed(&mut state, "done_32KiB", (0..samples).map(|n| done(1, n, &inline)).collect());
+    measure(&mut state, "done_32KiB", (0..samples).map(|n| done(1, n, &inline)).collect());
 }
 
-fn sizes_by_templates() {
+fn measure_sizes_by_templates() {
     for count in [0, 100, 1_000] {
         let mut state = State::default();
         for number in 0..count {
@@ -220,7 +220,7 @@
     }
 }
 
-fn sizes_by_claims() {
+fn measure_sizes_by_claims() {
     for count in [0, 1_000, 10_000, 50_000] {
         let mut state = State::default();
         for number in 0..count {
@@ -235,7 +235,7 @@
     }
 }
 
-fn sizes_by_samples() {
+fn measure_sizes_by_samples() {
     let holder = |n| Holder {
         node: Node(format!("entry-{n}")),
         incarnation: Incarnation(1_764_700_000_000),
@@ -258,7 +258,7 @@
     }
 }
 
-fn catching_up() {
+fn measure_catch_up() {
     let mut state = State::default();
     for number in 0..100 {
         let command = put(&state, number, 0);
--- a/components/state/src/claims.rs
+++ b/components/state/src/claims.rs
@@ -1,10 +1,10 @@
 //! Claims: the right to run a call that may not be repeated (docs/CLAIMS.md).
 //!
-//! A caller who loses the answer sends the call again, through another entry, after a crash of
-//! the first. The claim on (workspace, key) is decided here, by a majority of control processes,
-//! before any attempt leaves an entry, so a second entry learns of the first. The memory of
-//! claims is bounded by a window on the key's own time of issue: an older key is refused, never
-//! taken for new.
+//! A caller that loses the answer sends the call again, possibly through another entry after the
+//! first one crashed. The claim on (workspace, key) is decided here by a majority of control
+//! processes before any attempt leaves an entry, so a second entry is informed of the first. Claims
+//! are only stored within a window on the key's own time of issue: an older key is refused and
+//! never mistaken for a new one.
 
 use std::collections::BTreeMap;
 
@@ -21,18 +21,19 @@
 use crate::command::ClaimEnd;
 use crate::command::Refusal;
 use crate::command::Reply;
-use crate::key::issued;
+use crate::key::issue_time;
 
-/// Milliseconds for which a key may be used after its issue.
+/// Milliseconds for which a key may be used after its time of issue.
 pub const CLAIM_WINDOW_MS: u64 = 60 * 60 * 1_000;
-/// Milliseconds by which a key's time of issue may lie ahead of the leader's clock.
+/// Maximum milliseconds by which a key's time of issue may be ahead of the leader's clock.
 pub const MAX_KEY_CLOCK_SKEW_MS: u64 = 5 * 60 * 1_000;
-/// Claims that are kept at most; past it new ones are refused, which is truly "not run".
-pub const CLAIMS: usize = 100_000;
-/// Bytes of stored answers at most.
-pub const ANSWERS: usize = 32 << 20;
-/// Bytes of one stored answer at most; a longer one is kept as [`ClaimEnd::Unknown`].
-pub const ANSWER: usize = 256 << 10;
+/// Maximum number of stored claims. Beyond it new claims are refused, so their calls are known not
+/// to have run.
+pub const MAX_CLAIMS: usize = 100_000;
+/// Maximum bytes of stored answers.
+pub const MAX_ANSWERS_BYTES: usize = 32 << 20;
+/// Maximum bytes of one stored answer. A larger one is stored as [`ClaimEnd::Unknown`].
+pub const MAX_ANSWER_BYTES: usize = 256 << 10;
 
 /// The claims within the window.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
@@ -41,7 +42,7 @@
     held: BTreeMap<Key, Claim>,
 }
 
-/// Time of issue first, so that the oldest claims stand first.
+/// The time of issue comes first, so that the oldest claims sort first.
 type Key = (Unix, Workspace, IdempotencyKey);
 
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
@@ -54,17 +55,17 @@
 }
 
 impl Claims {
-    /// Counts the claims kept.
+    /// Returns the number of stored claims.
     pub fn len(&self) -> usize {
         self.held.len()
     }
 
-    /// Tells whether no claim is kept.
+    /// Returns whether no claim is stored.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 
-    /// Grants a claim to the first request that asks, and to it again if it asks again.
+    /// Grants a claim to the first request, and again to the same request if it asks again.
     pub(crate) fn claim(
         &mut self,
         now: Unix,
@@ -79,9 +80,9 @@
             Err(refusal) => return refusal.into(),
         };
         if let Some(claim) = self.held.get(&key) {
-            return claim.answer(digest, &by);
+            return claim.reply(digest, &by);
         }
-        if self.held.len() >= CLAIMS || self.bytes >= ANSWERS {
+        if self.held.len() >= MAX_CLAIMS || self.bytes >= MAX_ANSWERS_BYTES {
             return Refusal::Full.into();
         }
         let (request, to) = by;
@@ -90,8 +91,8 @@
         Reply::Granted { attempt }
     }
 
-    /// Moves a claim on after its attempt certainly did not run: a compare-and-set on the
-    /// attempt, so that of two entries that both try, one wins.
+    /// Moves a claim to its next attempt after the current one did not run. This is a
+    /// compare-and-set on the attempt, so that of two entries that both try, one succeeds.
     pub(crate) fn reassign(
         &mut self,
         now: Unix,
@@ -108,7 +109,7 @@
         if let Some(end) = &claim.end {
             return Reply::Ended(end.clone());
         }
-        let is_resend = claim.attempt == after.next() && claim.is_by(&by);
+        let is_resend = claim.attempt == after.next() && claim.belongs_to(&by);
         if claim.attempt != after && !is_resend {
             return Refusal::Moved.into();
         }
@@ -119,7 +120,7 @@
         Reply::Granted { attempt: claim.attempt }
     }
 
-    /// Ends a claim; the first end stands.
+    /// Ends a claim. The first outcome is final.
     pub(crate) fn settle(
         &mut self,
         now: Unix,
@@ -129,8 +130,8 @@
         end: ClaimEnd,
     ) -> Reply {
         self.expire(now);
-        let end = bounded(end);
-        let size = size(&end);
+        let end = limit_size(end);
+        let bytes = answer_size(&end);
         let claim = match self.find(now, workspace, key) {
             Ok(claim) => claim,
             Err(refusal) => return refusal.into(),
@@ -143,14 +144,14 @@
             Some(first) => Reply::Ended(first.clone()),
             None => {
                 claim.end = Some(end);
-                self.bytes += size;
+                self.bytes += bytes;
                 Reply::Done
             }
         }
     }
 
     fn key(&self, now: Unix, workspace: Workspace, key: IdempotencyKey) -> Result<Key, Refusal> {
-        let issued = issued(key.as_str()).ok_or(Refusal::KeyExpired)?;
+        let issued = issue_time(key.as_str()).ok_or(Refusal::KeyExpired)?;
         let is_old = issued.0.saturating_add(CLAIM_WINDOW_MS) <= now.0;
         let is_ahead = issued.0 > now.0.saturating_add(MAX_KEY_CLOCK_SKEW_MS);
         if is_old || is_ahead {
@@ -169,40 +170,40 @@
         self.held.get_mut(&key).ok_or(Refusal::Missing)
     }
 
-    /// Forgets claims whose keys are refused from now on.
+    /// Evicts claims whose keys are refused from now on.
     fn expire(&mut self, now: Unix) {
         while let Some(first) = self.held.first_entry()
             && first.key().0.0.saturating_add(CLAIM_WINDOW_MS) <= now.0
         {
-            self.bytes -= first.remove().end.as_ref().map_or(0, size);
+            self.bytes -= first.remove().end.as_ref().map_or(0, answer_size);
         }
     }
 }
 
 impl Claim {
-    fn is_by(&self, by: &(RequestId, AgentAssignment)) -> bool {
+    fn belongs_to(&self, by: &(RequestId, AgentAssignment)) -> bool {
         self.request == by.0 && self.to == by.1
     }
 
-    fn answer(&self, digest: Digest, by: &(RequestId, AgentAssignment)) -> Reply {
+    fn reply(&self, digest: Digest, by: &(RequestId, AgentAssignment)) -> Reply {
         if self.digest != digest {
             return Refusal::KeyReused.into();
         }
         if let Some(end) = &self.end {
             return Reply::Ended(end.clone());
         }
-        if self.is_by(by) {
+        if self.belongs_to(by) {
             return Reply::Granted { attempt: self.attempt };
         }
         Reply::Held { request: self.request, attempt: self.attempt, to: self.to.clone() }
     }
 }
 
-fn bounded(end: ClaimEnd) -> ClaimEnd {
-    if size(&end) > ANSWER { ClaimEnd::Unknown } else { end }
+fn limit_size(end: ClaimEnd) -> ClaimEnd {
+    if answer_size(&end) > MAX_ANSWER_BYTES { ClaimEnd::Unknown } else { end }
 }
 
-fn size(end: &ClaimEnd) -> usize {
+fn answer_size(end: &ClaimEnd) -> usize {
     match end {
         ClaimEnd::Answered(answer) => answer.body.len() + answer.media.len(),
         ClaimEnd::NotRun | ClaimEnd::Unknown => 0,
--- a/components/state/src/command.rs
+++ b/components/state/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands that move the replicated state, and what each answers.
+//! The commands of the replicated state, and their replies.
 
 use chicoryford_ledger::LedgerCommand;
 use chicoryford_ledger::LedgerReply;
@@ -25,10 +25,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What an operator believes is in force: the change is accepted only if it is.
+/// The version that an operator assumes to be in force. The change is accepted only if it is.
 ///
-/// The version alone does not decide, because two operators who race can each hold a different
-/// text under the same number; the digest of the content decides as well.
+/// The version number alone is not sufficient, because two concurrent operators can each have a
+/// different text under the same number; the digest of the content is compared as well.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Base {
     /// The version in force, zero for none.
@@ -37,113 +37,114 @@
     pub digest: Digest,
 }
 
-/// Which agent runs an attempt of a call that may not be repeated.
+/// The agent that runs an attempt of a call that may not be repeated.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct AgentAssignment {
     /// The endpoint.
     pub endpoint: Endpoint,
     /// Its agent.
     pub agent: Node,
-    /// The agent's incarnation: one that restarted does not remember the attempt.
+    /// The agent's incarnation; an agent that restarted has no record of the attempt.
     pub incarnation: Incarnation,
 }
 
-/// How a claim ended.
+/// The outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum ClaimEnd {
-    /// The call ran; resends get this answer.
+    /// The call ran. Resends get this answer.
     Answered(StoredAnswer),
-    /// The call certainly did not run, and will not under this claim.
+    /// The call did not run and will not run under this claim.
     NotRun,
-    /// The call may have run; resends are told so and never run it again.
+    /// The call may have run. Resends get this outcome, and the call is never run again.
     Unknown,
 }
 
-/// A command for the replicated state. Each may be proposed again after a lost answer: the
-/// second time it changes nothing and answers as the first time.
+/// A command for the replicated state. Each may be proposed again after a lost reply: the second
+/// time it changes nothing and gets the same reply.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
     /// Adds or replaces a template.
     Apply {
-        /// Recognises a resend.
+        /// Identifies resends.
         change: ChangeId,
         /// The template.
         template: Box<Template>,
-        /// What the operator believes is in force.
+        /// The version that the operator assumes to be in force.
         base: Base,
     },
     /// Removes a template.
     Remove {
-        /// Recognises a resend.
+        /// Identifies resends.
         change: ChangeId,
-        /// Whose template.
+        /// The workspace of the template.
         workspace: Workspace,
-        /// What the operator believes is in force.
+        /// The version that the operator assumes to be in force.
         base: Base,
     },
-    /// Puts an earlier version's content in force, as a new version.
+    /// Puts the content of an earlier version in force as a new version.
     Rollback {
-        /// Recognises a resend.
+        /// Identifies resends.
         change: ChangeId,
-        /// Whose template.
+        /// The workspace of the template.
         workspace: Workspace,
-        /// The version whose content is wanted.
+        /// The version whose content is restored.
         to: u64,
-        /// What the operator believes is in force.
+        /// The version that the operator assumes to be in force.
         base: Base,
     },
-    /// Asks for the versions of a template that are kept.
+    /// Requests the stored versions of a template.
     History {
-        /// Whose template.
+        /// The workspace of the template.
         workspace: Workspace,
     },
     /// Plans a stop.
     PlanStop {
-        /// Recognises a resend.
+        /// Identifies resends.
         change: ChangeId,
-        /// Names the stop.
+        /// The id of the stop.
         id: StopId,
         /// The stop.
         stop: Stop,
     },
-    /// Cancels a stop, or removes one that is over.
+    /// Cancels a planned stop, or removes one that is over.
     CancelStop {
-        /// Recognises a resend.
+        /// Identifies resends.
         change: ChangeId,
-        /// Names the stop.
+        /// The id of the stop.
         id: StopId,
     },
     /// Publishes a version of a model's weights.
     Publish {
-        /// Recognises a resend.
+        /// Identifies resends.
         change: ChangeId,
         /// The model.
         model: Model,
-        /// The version, greater than any before.
+        /// The version, greater than all previous ones.
         version: Version,
-        /// Where the weight store has it.
+        /// The location in the weight store.
         source: String,
     },
-    /// Tells that an endpoint crashed; its agent says so, and what was in progress there.
+    /// Reports that an endpoint crashed, with the requests in progress there. Sent by its agent.
     Crashed {
         /// The endpoint.
         endpoint: Endpoint,
-        /// Counts the endpoint's crashes within the agent's incarnation, to recognise a resend.
+        /// The number of the endpoint's crash within the agent's incarnation, to identify resends.
         crash: u64,
         /// The agent's incarnation.
         incarnation: Incarnation,
-        /// The contents to blame: the suspects among those in progress, or else all of them.
+        /// The contents to blame: the suspects among those in progress, or all of them if there are
+        /// none.
         blamed: Vec<Fingerprint>,
     },
-    /// Tells that a suspected content ran to its end.
+    /// Reports that a suspected content ran to completion.
     Cleared {
         /// The content.
         fingerprint: Fingerprint,
     },
-    /// Lets a convicted content run again.
+    /// Allows a convicted content to run again.
     Pardon {
-        /// Recognises a resend.
+        /// Identifies resends.
         change: ChangeId,
         /// The content.
         fingerprint: Fingerprint,
@@ -154,14 +155,14 @@
         workspace: Workspace,
         /// The caller's key.
         key: IdempotencyKey,
-        /// The digest of the call's content: the same key with other content is refused.
+        /// The digest of the call's content. The same key with other content is refused.
         digest: Digest,
-        /// The request that claims; the same request claiming again is granted again.
+        /// The request that claims. If the same request claims again, it is granted again.
         request: RequestId,
-        /// Which agent is to run it.
+        /// The agent that is assigned to run it.
         to: AgentAssignment,
     },
-    /// Moves a claim to another agent after its last attempt certainly did not run.
+    /// Moves a claim to another agent after its last attempt did not run.
     Reassign {
         /// The workspace.
         workspace: Workspace,
@@ -169,9 +170,9 @@
         key: IdempotencyKey,
         /// The request that now runs it.
         request: RequestId,
-        /// The attempt that did not run; the claim must still stand at it.
+        /// The attempt that did not run, which must still be the current one.
         after: Attempt,
-        /// Which agent is to run it.
+        /// The agent that is assigned to run it.
         to: AgentAssignment,
     },
     /// Ends a claim.
@@ -180,83 +181,84 @@
         workspace: Workspace,
         /// The caller's key.
         key: IdempotencyKey,
-        /// The attempt that ended; the claim must still stand at it.
+        /// The attempt that ended, which must still be the current one.
         attempt: Attempt,
-        /// How it ended.
+        /// The outcome.
         end: ClaimEnd,
     },
-    /// Opens a session for an entry, which holds the leases on its steps.
+    /// Opens a session for an entry, which owns the leases on the entry's steps.
     OpenSession {
         /// The entry.
         node: Node,
-        /// Its incarnation; an earlier incarnation's session is closed.
+        /// The incarnation of the entry. The session of an earlier incarnation is closed.
         incarnation: Incarnation,
     },
-    /// Closes a session, by the leader when it was not renewed, or by its entry.
+    /// Closes a session. Proposed by the leader if the session was not renewed, or by its entry.
     CloseSession {
         /// The session's number.
         session: u64,
     },
-    /// Moves the ledger of steps.
+    /// Applies a command to the ledger of steps.
     Ledger(Box<LedgerCommand>),
-    /// Does nothing; a new leader commits it to learn what is committed.
+    /// No operation. A new leader commits it to find out what is committed.
     Nothing,
 }
 
-/// Why a command was refused; nothing changed.
+/// Why a command was refused. Nothing changed.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// Another change came first.
+    /// Another change was accepted first.
     Conflict {
-        /// What is in force.
+        /// The template in force.
         current: Option<Box<Versioned>>,
-        /// What changed between the operator's base and what is in force, as a unified diff.
+        /// The diff between the operator's base and what is in force, in unified format.
         diff: String,
     },
-    /// Nothing has that name or version.
+    /// Nothing with that name or version exists.
     Missing,
     /// The change id was used for a different change.
     IdReused,
-    /// The change id is older than the window in which resends are recognised.
+    /// The change id is older than the deduplication window.
     IdExpired,
-    /// The version is not greater than the one published before.
+    /// The version is not greater than the last published one.
     NotNewer(Version),
     /// The idempotency key is malformed or older than the window.
     KeyExpired,
-    /// The idempotency key came with other content.
+    /// The idempotency key was used with other content.
     KeyReused,
-    /// The claim or session has moved on.
+    /// The claim or session is no longer in the state that the command expects.
     Moved,
-    /// Something is full.
+    /// A limit is reached.
     Full,
 }
 
-/// What a command answers.
+/// The reply to a command.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
     /// The change was accepted at this position.
     Accepted {
-        /// Its position; it is in force where a process has reached it.
+        /// The position of the change. A process that has reached this position has the change in
+        /// force.
         at: Position,
-        /// The template's version, where the change has one.
+        /// The version of the template or weights, zero for other changes.
         version: u64,
     },
-    /// The versions that are kept, oldest first.
+    /// The stored versions, oldest first.
     History(Vec<(Position, Unix, Versioned)>),
-    /// The claim is granted: run it as this attempt.
+    /// The claim is granted. The call is run as this attempt.
     Granted {
         /// The attempt.
         attempt: Attempt,
     },
     /// Another request holds the claim.
     Held {
-        /// The request that holds it; its agent knows the attempt by this request.
+        /// The request that holds the claim and identifies the attempt at the agent.
         request: RequestId,
-        /// The attempt that it stands at.
+        /// The current attempt.
         attempt: Attempt,
-        /// Which agent runs it.
+        /// The agent that runs it.
         to: AgentAssignment,
     },
     /// The claim has ended.
@@ -266,12 +268,12 @@
         /// Its number.
         session: u64,
     },
-    /// What the ledger answered.
+    /// The reply of the ledger.
     Ledger(Box<LedgerReply>),
-    /// It is done; there is nothing to tell.
+    /// The command is done and has no other result.
     Done,
-    /// It was refused.
+    /// The command was refused.
     Refused(Refusal),
-    /// It could not be proposed.
+    /// The command could not be proposed.
     Failed(Failure),
 }
--- a/components/state/src/lib.rs
+++ b/components/state/src/lib.rs
@@ -1,7 +1,7 @@
-//! The replicated state: templates, leases, claims, steps, stops.
+//! The replicated state: templates, leases, claims, steps, planned stops.
 //!
-//! [`State::apply`] is a pure function of the state and a committed command, so that every
-//! replica that applies the same commands holds the same state.
+//! [`State::apply`] is a pure function of the state and a committed command, so all replicas that
+//! apply the same commands have the same state.
 
 pub mod changes;
 pub mod claims;
--- a/components/state/src/machine.rs
+++ b/components/state/src/machine.rs
@@ -24,14 +24,14 @@
 /// The replicated state.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct State {
-    /// What is pushed to every process.
+    /// The configuration that is pushed to all processes.
     pub config: Config,
-    /// The greatest stamp of any command so far. Windows are measured by it, so that a new
-    /// leader whose wall clock lies behind does not reopen them.
+    /// The greatest timestamp of all commands so far. Windows are measured by it, so that a new
+    /// leader whose wall clock is behind does not reopen them.
     pub now: Unix,
     /// The steps of trainers and their deliveries.
     pub ledger: Ledger,
-    /// Promises found broken by this replica since it started; zero unless there is a fault.
+    /// Number of invariant violations in this replica since it started; zero unless there is a bug.
     #[serde(skip)]
     pub violations: u64,
     pub(crate) recent: RecentChanges,
@@ -47,55 +47,55 @@
 impl State {
     /// Applies a committed command.
     ///
-    /// Of `at` only the epoch counts, in which the command was committed: the state numbers
-    /// revisions itself, because one command may make several changes of configuration or none.
-    /// Read them with [`State::changes_after`]. `stamp` is the wall clock that the leader wrote
-    /// into the log entry, the same on every replica.
+    /// Only the epoch of `at` is used, in which the command was committed. The state numbers
+    /// revisions itself, because one command may change the configuration several times or not at
+    /// all; [`State::changes_after`] returns them. `stamp` is the wall clock that the leader wrote
+    /// into the log entry, which is the same on every replica.
     pub fn apply(&mut self, at: Position, stamp: Unix, command: Command) -> Reply {
         self.epoch = self.epoch.max(at.epoch);
         self.now = self.now.max(stamp);
-        self.lapse();
-        match change_of(&command) {
+        self.expire_suspicions();
+        match change_id_of(&command) {
             Some(change) => self.apply_once(change, command),
-            None => self.decide(command),
+            None => self.execute(command),
         }
     }
 
-    /// Gives what a follower at `from` needs to reach this state's configuration.
+    /// Returns the changes that a follower at `from` needs to reach this state's configuration.
     pub fn delta_since(&self, from: Position) -> Delta {
         self.recent.delta(&self.config, from)
     }
 
-    /// Lists the changes of configuration beyond `from`, oldest first; a control process feeds
-    /// them to its followers after each command.
+    /// Returns the configuration changes after `from`, oldest first. A control process sends them
+    /// to its followers after each command.
     pub fn changes_after(&self, from: Position) -> impl Iterator<Item = &(Position, Change)> {
         self.recent.after(from)
     }
 
-    /// Counts the promises that this replica found broken; zero unless there is a fault.
+    /// Returns the number of invariant violations in this replica; zero unless there is a bug.
     pub fn violations(&self) -> u64 {
         self.violations + self.ledger.broken
     }
 
-    /// Puts a change of configuration in force as the next revision and gives its position.
+    /// Puts a configuration change in force as the next revision and returns its position.
     pub(crate) fn accept(&mut self, change: Change) -> Position {
         let revision = self.config.at.revision.next();
         let at = Position { epoch: self.epoch, revision };
         if !self.config.apply(at, change.clone()) {
-            // Followers would refuse the change and never reach it, without any error of their
-            // own: the revision must grow here, or nowhere.
-            self.break_promise("revision_reverts");
+            // Followers would refuse this change and never reach it, without an error of their own,
+            // so a revision that does not increase must be detected here.
+            self.report_violation("revision_reverts");
         }
         self.recent.push(at, change);
         at
     }
 
-    pub(crate) fn break_promise(&mut self, promise: &str) {
+    pub(crate) fn report_violation(&mut self, invariant: &str) {
         self.violations += 1;
-        tracing::error!(event = "promise_broken", promise, at = %self.config.at);
+        tracing::error!(event = "promise_broken", promise = invariant, at = %self.config.at);
     }
 
-    /// Applies a command that carries a change id, or answers as the first time.
+    /// Applies a command with a change id, or returns its first reply if it is a resend.
     fn apply_once(&mut self, change: ChangeId, command: Command) -> Reply {
         let digest = ChangeWindow::digest(&command);
         match self.window.find(&change, digest, self.now) {
@@ -103,14 +103,14 @@
             Ok(None) => {}
             Err(refusal) => return Reply::Refused(refusal),
         }
-        let reply = self.decide(command);
-        if !self.window.keep(change, digest, &reply, self.now) {
-            self.break_promise("change_applied_twice");
+        let reply = self.execute(command);
+        if !self.window.record(change, digest, &reply, self.now) {
+            self.report_violation("change_applied_twice");
         }
         reply
     }
 
-    fn decide(&mut self, command: Command) -> Reply {
+    fn execute(&mut self, command: Command) -> Reply {
         match command {
             Command::Apply { template, base, .. } => self.apply_template(*template, base),
             Command::Remove { workspace, base, .. } => self.remove_template(workspace, base),
@@ -141,8 +141,8 @@
     }
 }
 
-/// Gives the change id of a command that an operator or trainer may send again.
-fn change_of(command: &Command) -> Option<ChangeId> {
+/// Returns the change id of a command that an operator or trainer may send again.
+fn change_id_of(command: &Command) -> Option<ChangeId> {
     match command {
         Command::Apply { change, .. }
         | Command::Remove { change, .. }
--- a/components/state/src/recent.rs
+++ b/components/state/src/recent.rs
@@ -1,4 +1,4 @@
-//! The last accepted changes, from which followers are given deltas.
+//! The last accepted changes, from which deltas for followers are computed.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -13,24 +13,24 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Changes kept for deltas; a follower that missed more is given a snapshot.
+/// Maximum number of stored changes. A follower that missed more gets a snapshot.
 pub const MAX_RECENT_CHANGES: usize = 4_096;
 
-/// The last accepted changes, bounded by [`MAX_RECENT_CHANGES`].
+/// The last accepted changes, up to [`MAX_RECENT_CHANGES`].
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct RecentChanges {
-    /// A follower at or beyond this position can be given a delta.
+    /// A follower at or after this position can be sent a delta.
     floor: Position,
     changes: VecDeque<(Position, Change)>,
 }
 
 impl RecentChanges {
-    /// Starts anew from a snapshot at `at`, before which no change is known.
-    pub fn at(at: Position) -> Self {
+    /// Creates an empty list after a snapshot at `at`; earlier changes are not available.
+    pub fn starting_at(at: Position) -> Self {
         Self { floor: at, changes: VecDeque::new() }
     }
 
-    /// Keeps a change that was just applied.
+    /// Stores a change that was just applied.
     pub fn push(&mut self, at: Position, change: Change) {
         self.changes.push_back((at, change));
         if self.changes.len() > MAX_RECENT_CHANGES
@@ -40,17 +40,18 @@
         }
     }
 
-    /// Lists the changes beyond a position, oldest first.
+    /// Returns the changes after a position, oldest first.
     pub fn after(&self, from: Position) -> impl Iterator<Item = &(Position, Change)> {
         let start = self.changes.partition_point(|(at, _)| *at <= from);
         self.changes.range(start..)
     }
 
-    /// Gives what a follower at `from` needs to reach `config`, whose last changes these are.
+    /// Returns the changes that a follower at `from` needs to reach `config`, which must include
+    /// these changes.
     ///
-    /// Of several changes of one template, stop or model only the last travels: a follower that
-    /// missed a thousand changes of ten templates is given ten. A follower that is ahead is
-    /// given nothing, because it must never go back.
+    /// Of several changes to one template, stop or model only the last is sent: a follower that
+    /// missed a thousand changes to ten templates gets ten. A follower that is ahead gets nothing,
+    /// because its revision must never decrease.
     pub fn delta(&self, config: &Config, from: Position) -> Delta {
         if from >= config.at {
             return Delta::Changes { from, to: from, changes: Vec::new() };
@@ -71,8 +72,8 @@
     Weights(&'a Model),
 }
 
-/// Names what a later change of the same thing replaces whole. Changes of suspects and
-/// convictions depend on those before them, so they all travel.
+/// Returns the item that a change replaces as a whole, `None` for changes of suspects and
+/// convictions. Those depend on earlier changes and are all sent.
 fn subject(change: &Change) -> Option<Subject<'_>> {
     match change {
         Change::Template(versioned) => Some(Subject::Template(&versioned.template.workspace)),
--- a/components/state/src/session.rs
+++ b/components/state/src/session.rs
@@ -1,4 +1,4 @@
-//! The sessions of entries, which the leader keeps by renewals that are not logged.
+//! Renewal of entries' sessions, handled by the leader without log entries.
 
 use chicoryford_ledger::Audit;
 use chicoryford_ledger::Audited;
@@ -7,29 +7,30 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// An entry renews its session with the leader.
+/// A request of an entry to renew its session.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct SessionRenewal {
     /// The entry.
     pub node: Node,
     /// Its session.
     pub session: u64,
-    /// Its questions about bodies, if it has any now.
+    /// The entry's questions about bodies, if there are any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub audit: Option<Audit>,
 }
 
-/// What the leader answers to a renewal.
+/// The leader's reply to a renewal.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct SessionRenewalReply {
-    /// Whether the session still holds. If not, the entry must stop its steps at once and open
-    /// a new session.
+    /// Whether the session is still open. If not, the entry must stop its steps at once and open a
+    /// new session.
     pub held: bool,
-    /// For how long it holds from the moment the entry sent the renewal, in milliseconds.
+    /// The duration of the lease in milliseconds from the moment at which the entry sent the
+    /// renewal.
     pub lasts_ms: u64,
-    /// Steps that no session owns; any entry may take them.
+    /// Steps without an owner, which any entry may take.
     pub orphans: Vec<StepKey>,
-    /// The answer to its questions about bodies.
+    /// The answers to the entry's questions about bodies.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub audited: Option<Audited>,
 }
--- a/components/state/src/sessions.rs
+++ b/components/state/src/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions of entries: who may hold steps.
+//! Sessions of entries, which own the leases on steps.
 
 use std::collections::BTreeMap;
 
@@ -14,10 +14,10 @@
 use crate::command::Reply;
 use crate::machine::State;
 
-/// Sessions that may be open at once.
-pub const SESSIONS: usize = 4_096;
+/// Maximum number of open sessions.
+pub const MAX_SESSIONS: usize = 4_096;
 
-/// The open sessions, one an entry at most.
+/// The open sessions, at most one per entry.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Sessions {
     last: u64,
@@ -29,17 +29,17 @@
 pub struct Session {
     /// The entry.
     pub node: Node,
-    /// The start of the entry that opened it.
+    /// The incarnation of the entry.
     pub incarnation: Incarnation,
 }
 
 impl State {
-    /// Lists the open sessions by number; the leader closes those that are not renewed.
+    /// Returns the open sessions by number. The leader closes those that are not renewed.
     pub fn sessions(&self) -> impl Iterator<Item = (u64, &Session)> {
         self.sessions.open.iter().map(|(number, session)| (*number, session))
     }
 
-    /// Finds an open session.
+    /// Returns an open session.
     pub fn session(&self, number: u64) -> Option<&Session> {
         self.sessions.open.get(&number)
     }
@@ -55,7 +55,7 @@
             }
             self.close_session(number);
         }
-        if self.sessions.open.len() >= SESSIONS {
+        if self.sessions.open.len() >= MAX_SESSIONS {
             return Refusal::Full.into();
         }
         self.sessions.last += 1;
@@ -70,8 +70,8 @@
         Reply::Done
     }
 
-    /// Moves the ledger, which learns here what only the state knows: whether a session is
-    /// open, and the newest version that was published.
+    /// Applies a command to the ledger and supplies what only the state contains: whether a session
+    /// is open, and the newest published version.
     pub(crate) fn ledger_command(&mut self, command: LedgerCommand) -> Reply {
         if let LedgerCommand::Take { session, .. } = &command
             && self.session(*session).is_none()
--- a/components/state/src/stops.rs
+++ b/components/state/src/stops.rs
@@ -8,16 +8,16 @@
 use crate::command::Reply;
 use crate::machine::State;
 
-/// Stops that may be in force at once.
-pub const STOPS: usize = 1_024;
+/// Maximum number of planned stops in force.
+pub const MAX_STOPS: usize = 1_024;
 
 impl State {
-    /// Puts a stop in force. An id that stands for another target is refused, so that one
-    /// operator's stop does not silently become another's; a new deadline replaces the old.
+    /// Puts a stop in force. An id that already refers to another target is refused, so that one
+    /// operator's stop does not silently become another's. A new deadline replaces the old one.
     pub(crate) fn plan_stop(&mut self, id: StopId, stop: Stop) -> Reply {
         match self.config.stops.get(&id) {
             Some(planned) if planned.target != stop.target => return Refusal::Moved.into(),
-            None if self.config.stops.len() >= STOPS => return Refusal::Full.into(),
+            None if self.config.stops.len() >= MAX_STOPS => return Refusal::Full.into(),
             _ => {}
         }
         let stop = Stop { accepted: self.now, ..stop };
--- a/components/state/src/suspects.rs
+++ b/components/state/src/suspects.rs
@@ -1,7 +1,7 @@
-//! Contents that crash endpoints: resent reports, pardons, and the end of suspicions.
+//! Contents that crash endpoints: deduplication of reports, pardons, and the expiry of suspicions.
 //!
-//! Who is suspected and convicted is decided by `chicoryford_suspects::Rule`
-//! (docs/SUSPECTS.md); here its changes are put in force.
+//! `chicoryford_suspects::Rule` decides which contents are suspected and convicted
+//! (docs/SUSPECTS.md). This module puts its changes in force.
 
 use std::collections::BTreeMap;
 
@@ -18,24 +18,27 @@
 use crate::command::Reply;
 use crate::machine::State;
 
-/// Milliseconds after its last crash for which a content stays a suspect.
-pub const SUSPECTED_MS: u64 = 24 * 60 * 60 * 1_000;
-/// Contents weighed of one crash at most.
-pub const BLAMED: usize = 1_024;
-/// Milliseconds between two looks for what has lapsed, so that not every command takes one.
-const LAPSE_MS: u64 = 1_000;
-/// Endpoints whose last crash is remembered at most.
-pub const ENDPOINTS: usize = 16_384;
+/// Milliseconds after its last crash for which a content remains suspect.
+pub const SUSPICION_MS: u64 = 24 * 60 * 60 * 1_000;
+/// Maximum number of contents evaluated per crash.
+pub const MAX_BLAMED: usize = 1_024;
+/// Milliseconds between two checks for expired suspicions, so that not every command runs one.
+const EXPIRY_CHECK_MS: u64 = 1_000;
+/// Maximum number of endpoints whose last crash is stored.
+pub const MAX_ENDPOINTS: usize = 16_384;
 
-/// What is known of crashes beyond what every process needs to know.
+/// Crash data that other processes do not need.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Suspects {
-    /// The last crash of each endpoint, by which a resent report is recognised.
-    seen: BTreeMap<Endpoint, (Incarnation, u64)>,
-    /// When each suspicion lapses.
-    until: BTreeMap<Fingerprint, Unix>,
-    /// When lapses were last looked for.
-    looked: Unix,
+    /// The last crash of each endpoint, to identify resent reports.
+    #[serde(rename = "seen")]
+    last_crashes: BTreeMap<Endpoint, (Incarnation, u64)>,
+    /// The expiry time of each suspicion.
+    #[serde(rename = "until")]
+    expiries: BTreeMap<Fingerprint, Unix>,
+    /// The time of the last check for expired suspicions.
+    #[serde(rename = "looked")]
+    last_check: Unix,
 }
 
 impl State {
@@ -45,25 +48,25 @@
         crash: (Incarnation, u64),
         blamed: &[Fingerprint],
     ) -> Reply {
-        let seen = self.suspects.seen.get(&endpoint);
+        let seen = self.suspects.last_crashes.get(&endpoint);
         if seen.is_some_and(|seen| *seen >= crash) {
             return Reply::Done;
         }
-        if seen.is_none() && self.suspects.seen.len() >= ENDPOINTS {
-            self.suspects.seen.pop_first();
+        if seen.is_none() && self.suspects.last_crashes.len() >= MAX_ENDPOINTS {
+            self.suspects.last_crashes.pop_first();
         }
-        self.suspects.seen.insert(endpoint, crash);
-        let blamed = &blamed[..blamed.len().min(BLAMED)];
+        self.suspects.last_crashes.insert(endpoint, crash);
+        let blamed = &blamed[..blamed.len().min(MAX_BLAMED)];
         let config = &self.config;
         let rule = Rule::default();
         let changes = rule.crashed(&config.suspects, &config.convictions, self.now, blamed);
-        changes.into_iter().for_each(|change| self.put_suspicion(change));
+        changes.into_iter().for_each(|change| self.accept_suspicion(change));
         Reply::Done
     }
 
     pub(crate) fn cleared(&mut self, fingerprint: Fingerprint) -> Reply {
         let change = Rule::default().cleared(&self.config.suspects, fingerprint);
-        change.into_iter().for_each(|change| self.put_suspicion(change));
+        change.into_iter().for_each(|change| self.accept_suspicion(change));
         Reply::Done
     }
 
@@ -75,31 +78,31 @@
         Reply::Accepted { at, version: 0 }
     }
 
-    /// Ends what has lapsed by the stamps of commands.
-    pub(crate) fn lapse(&mut self) {
+    /// Ends suspicions and convictions that have expired according to the timestamps of commands.
+    pub(crate) fn expire_suspicions(&mut self) {
         let now = self.now;
-        if now.0 < self.suspects.looked.0.saturating_add(LAPSE_MS) {
+        if now.0 < self.suspects.last_check.0.saturating_add(EXPIRY_CHECK_MS) {
             return;
         }
-        self.suspects.looked = now;
+        self.suspects.last_check = now;
         for change in Rule::default().lapsed(&self.config.convictions, now) {
-            self.put_suspicion(change);
+            self.accept_suspicion(change);
         }
-        let ended = self.suspects.until.iter().filter(|(_, until)| **until <= now);
-        let ended: Vec<_> = ended.map(|(fingerprint, _)| *fingerprint).collect();
-        for fingerprint in ended {
+        let expired = self.suspects.expiries.iter().filter(|(_, expiry)| **expiry <= now);
+        let expired: Vec<_> = expired.map(|(fingerprint, _)| *fingerprint).collect();
+        for fingerprint in expired {
             self.cleared(fingerprint);
         }
     }
 
-    fn put_suspicion(&mut self, change: Change) {
+    fn accept_suspicion(&mut self, change: Change) {
         match &change {
             Change::Suspected(fingerprint, _) => {
-                let until = Unix(self.now.0.saturating_add(SUSPECTED_MS));
-                self.suspects.until.insert(*fingerprint, until);
+                let expiry = Unix(self.now.0.saturating_add(SUSPICION_MS));
+                self.suspects.expiries.insert(*fingerprint, expiry);
             }
             Change::Cleared(fingerprint) | Change::Convicted(fingerprint, _) => {
-                self.suspects.until.remove(fingerprint);
+                self.suspects.expiries.remove(fingerprint);
             }
             _ => {}
         }
--- a/components/state/src/templates.rs
+++ b/components/state/src/templates.rs
@@ -18,18 +18,18 @@
 use crate::command::Reply;
 use crate::machine::State;
 
-/// Versions of one template that are kept for rollback and for conflicts' differences.
-pub const HISTORY: usize = 32;
-/// Workspaces that may have a template or the history of one.
-pub const WORKSPACES: usize = 4_096;
-/// Bytes of a conflict's difference at most.
-const DIFF: usize = 16 << 10;
-
-/// The kept versions of each template, removed ones included.
+/// Maximum number of stored versions per template, for rollback and for the diffs of conflicts.
+pub const MAX_VERSIONS: usize = 32;
+/// Maximum number of workspaces with a template or the history of one.
+pub const MAX_WORKSPACES: usize = 4_096;
+/// Maximum bytes of the diff in a conflict.
+const MAX_DIFF_BYTES: usize = 16 << 10;
+
+/// The stored versions of each template, including removed templates.
 ///
-/// The history outlives the template, so that the version numbers of one that is removed and
-/// added again go on: an operator who still holds the first text under number 1 would otherwise
-/// find "his" version in force again.
+/// The history outlives the template, so that version numbers continue if a template is removed and
+/// added again. Otherwise an operator who still has the first text under number 1 would find that
+/// version in force again.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Histories(BTreeMap<Workspace, VecDeque<(Position, Unix, Versioned)>>);
 
@@ -40,7 +40,7 @@
     }
 
     fn has_room(&self, workspace: &Workspace) -> bool {
-        self.0.len() < WORKSPACES || self.0.contains_key(workspace)
+        self.0.len() < MAX_WORKSPACES || self.0.contains_key(workspace)
     }
 
     fn find(&self, workspace: &Workspace, version: u64) -> Option<&Versioned> {
@@ -54,11 +54,11 @@
         found.map(|versioned| &versioned.template)
     }
 
-    fn keep(&mut self, at: Position, stamp: Unix, versioned: Versioned) {
+    fn record(&mut self, at: Position, stamp: Unix, versioned: Versioned) {
         let workspace = versioned.template.workspace.clone();
         let history = self.0.entry(workspace).or_default();
         history.push_back((at, stamp, versioned));
-        if history.len() > HISTORY {
+        if history.len() > MAX_VERSIONS {
             history.pop_front();
         }
     }
@@ -108,14 +108,15 @@
         let version = self.histories.last_version(&template.workspace) + 1;
         let versioned = Versioned { version, template };
         let at = self.accept(Change::Template(Box::new(versioned.clone())));
-        self.histories.keep(at, self.now, versioned);
+        self.histories.record(at, self.now, versioned);
         Reply::Accepted { at, version }
     }
 
-    /// Accepts a change only on top of what its operator saw: the version and the content.
+    /// Accepts a change only if it is based on what is in force: the version and the content.
     ///
-    /// Two operators who race can hold different texts under one number, one of which was never
-    /// accepted; by the number alone the second would overwrite a change that he never saw.
+    /// Two concurrent operators can have different texts under the same number, one of which was
+    /// never accepted. By the number alone, the second operator could overwrite a change that they
+    /// never saw.
     fn check_base(&self, workspace: &Workspace, base: Base) -> Result<(), Refusal> {
         let current = self.config.templates.get(workspace);
         let in_force = current.map_or_else(Base::default, |versioned| Base {
@@ -125,16 +126,21 @@
         if base == in_force {
             return Ok(());
         }
-        let diff = self.difference(workspace, base, current);
+        let diff = self.diff_to_base(workspace, base, current);
         Err(Refusal::Conflict { current: current.cloned().map(Box::new), diff })
     }
 
-    /// Shows what changed between an operator's base and what is in force.
-    fn difference(&self, workspace: &Workspace, base: Base, current: Option<&Versioned>) -> String {
-        let held = self.histories.find_base(workspace, base);
-        let old = held.map(text).unwrap_or_default();
-        let new = current.map(|versioned| text(&versioned.template)).unwrap_or_default();
-        let old_name = match held {
+    /// Returns the diff between an operator's base and what is in force.
+    fn diff_to_base(
+        &self,
+        workspace: &Workspace,
+        base: Base,
+        current: Option<&Versioned>,
+    ) -> String {
+        let known = self.histories.find_base(workspace, base);
+        let old = known.map(to_text).unwrap_or_default();
+        let new = current.map(|versioned| to_text(&versioned.template)).unwrap_or_default();
+        let old_name = match known {
             Some(_) => format!("base (version {})", base.version),
             None => format!("base (version {}, content {}, not kept)", base.version, base.digest),
         };
@@ -143,20 +149,20 @@
             None => "in force (none)".to_owned(),
         };
         let lines = TextDiff::from_lines(&old, &new);
-        let whole = lines.unified_diff().header(&old_name, &new_name).to_string();
-        cut(whole, DIFF)
+        let diff = lines.unified_diff().header(&old_name, &new_name).to_string();
+        truncate(diff, MAX_DIFF_BYTES)
     }
 }
 
-fn text(template: &Template) -> String {
+fn to_text(template: &Template) -> String {
     let mut text = serde_json::to_string_pretty(template).expect("a template is plain data");
     text.push('\n');
     text
 }
 
-fn cut(mut text: String, bound: usize) -> String {
-    if text.len() > bound {
-        let end = (0..=bound).rev().find(|end| text.is_char_boundary(*end)).unwrap_or(0);
+fn truncate(mut text: String, max_bytes: usize) -> String {
+    if text.len() > max_bytes {
+        let end = (0..=max_bytes).rev().find(|end| text.is_char_boundary(*end)).unwrap_or(0);
         text.truncate(end);
         text.push_str("\n(cut)\n");
     }
--- a/components/state/src/weights.rs
+++ b/components/state/src/weights.rs
@@ -9,19 +9,19 @@
 use crate::command::Reply;
 use crate::machine::State;
 
-/// Models that may have published weights.
-pub const MODELS: usize = 4_096;
+/// Maximum number of models with published weights.
+pub const MAX_MODELS: usize = 4_096;
 
 impl State {
-    /// Puts a version of a model's weights in force, and takes back the samples of open steps
-    /// that it makes too old, so that their owners run them again at once and not only when the
-    /// trainer next pulls.
+    /// Puts a version of a model's weights in force, and discards the samples of open steps that it
+    /// makes too old, so that their owners run them again at once instead of after the trainer's
+    /// next pull.
     pub(crate) fn publish(&mut self, model: Model, version: Version, source: String) -> Reply {
         match self.config.weights.get(&model) {
             Some(newest) if version <= newest.version => {
                 return Refusal::NotNewer(newest.version).into();
             }
-            None if self.config.weights.len() >= MODELS => return Refusal::Full.into(),
+            None if self.config.weights.len() >= MAX_MODELS => return Refusal::Full.into(),
             _ => {}
         }
         let published = Published { version, source, accepted: self.now };
--- a/components/state/tests/changes.rs
+++ b/components/state/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Operators who race, resend and roll back.
+//! Tests of concurrent, resent and rolled back changes.
 
 use chicoryford_state::Base;
 use chicoryford_state::Command;
@@ -6,8 +6,8 @@
 use chicoryford_state::Reply;
 use chicoryford_state::State;
 use chicoryford_state::change_id;
-use chicoryford_state::changes::WINDOW;
-use chicoryford_state::changes::WINDOW_MS;
+use chicoryford_state::changes::CHANGE_WINDOW_MS;
+use chicoryford_state::changes::MAX_CHANGES;
 use chicoryford_types::ChangeId;
 use chicoryford_types::Epoch;
 use chicoryford_types::Position;
@@ -49,20 +49,24 @@
 }
 
 #[test]
-fn one_of_two_operators_with_equal_versions_wins_and_the_other_sees_the_difference() {
-    // Symptom: an operator's accepted change disappears without a trace.
-    // Sequence: two operators hold version 1; one changes the title, the other, whose text under
-    // the number 1 differs because his own earlier change was refused, submits on top of it.
-    // Cause: the number alone does not tell what an operator saw; the digest must decide as well.
+fn refuses_the_second_of_two_operators_with_equal_versions_and_shows_the_difference() {
+    // Guards against an accepted change that is overwritten: two operators have version 1; one
+    // changes the title; the other, whose text under number 1 differs because an earlier change of
+    // theirs was refused, submits a change based on it. The version number alone does not identify
+    // what an operator saw, so the digest must be compared as well.
     let mut state = State::default();
     let first = template("desk", "first");
     apply(&mut state, 0, put(change_id(Unix(NOW), 1), first.clone(), Base::default()));
     let seen = base(&state, "desk");
-    let won = apply(&mut state, 1, put(change_id(Unix(NOW), 2), template("desk", "won"), seen));
-    assert!(matches!(won, Reply::Accepted { version: 2, .. }));
+    let accepted =
+        apply(&mut state, 1, put(change_id(Unix(NOW), 2), template("desk", "won"), seen));
+    assert!(matches!(accepted, Reply::Accepted { version: 2, .. }));
 
-    let lost = apply(&mut state, 2, put(change_id(Unix(NOW), 3), template("desk", "lost"), seen));
-    let Reply::Refused(Refusal::Conflict { current, diff }) = lost else { panic!("{lost:?}") };
+    let refused =
+        apply(&mut state, 2, put(change_id(Unix(NOW), 3), template("desk", "lost"), seen));
+    let Reply::Refused(Refusal::Conflict { current, diff }) = refused else {
+        panic!("{refused:?}")
+    };
     assert_eq!(current.unwrap().template.title, "won");
     assert!(diff.contains("-  \"title\": \"first\"") && diff.contains("+  \"title\": \"won\""));
 
@@ -73,12 +77,11 @@
 }
 
 #[test]
-fn a_resend_gets_the_first_answer_after_hundreds_of_changes_and_a_new_leader() {
-    // Symptom: a change comes back into force after others replaced it.
-    // Sequence: an operator loses the answer; 700 changes and a new leader later, after a restore
-    // from a snapshot, he sends it again.
-    // Cause: the first answer must be kept with the state and given again, whether it accepted
-    // or refused.
+fn a_resend_gets_the_first_reply_after_hundreds_of_changes_and_a_new_leader() {
+    // Guards against a change that takes effect again after others replaced it: an operator loses
+    // the reply and sends the change again after 700 other changes, a new leader and a restore from
+    // a snapshot. The first reply must be stored with the state and returned again, whether the
+    // change was accepted or refused.
     let mut state = State::default();
     let accepted = put(change_id(Unix(NOW), 1), template("desk", "first"), Base::default());
     let refused = put(change_id(Unix(NOW), 2), template("desk", "late"), Base::default());
@@ -94,21 +97,21 @@
 }
 
 #[test]
-fn an_id_past_the_window_is_refused_and_never_applied_again() {
-    // Symptom: a change that was accepted yesterday is applied a second time.
-    // Sequence: a script resends it after its id was dropped, by age or by number.
-    // Cause: an id that is no longer kept must not be taken for new; its time of issue tells.
+fn an_id_outside_the_window_is_refused_and_never_applied_again() {
+    // Guards against a change that is applied a second time on the next day: a script resends it
+    // after its id was evicted, by age or by number. An evicted id must not be mistaken for a new
+    // one, which its time of issue makes possible.
     let expired = Reply::Refused(Refusal::IdExpired);
     let old = put(change_id(Unix(NOW), 0), template("desk", "old"), Base::default());
     let mut by_age = State::default();
     apply(&mut by_age, 0, old.clone());
-    assert_eq!(apply(&mut by_age, WINDOW_MS + 1, old.clone()), expired);
-    // A new leader whose clock lies behind does not open the window again.
+    assert_eq!(apply(&mut by_age, CHANGE_WINDOW_MS + 1, old.clone()), expired);
+    // A new leader whose clock is behind does not reopen the window.
     assert_eq!(apply(&mut by_age, 0, old.clone()), expired);
 
     let mut by_number = State::default();
     apply(&mut by_number, 0, old.clone());
-    accept(&mut by_number, 1, WINDOW as u64);
+    accept(&mut by_number, 1, MAX_CHANGES as u64);
     assert_eq!(apply(&mut by_number, 2, old), expired);
     for malformed in ["", "x.y", "17.", ".17", "+1.x", "99999999999999999999.x"] {
         let change = ChangeId::from(malformed);
@@ -118,7 +121,7 @@
 }
 
 #[test]
-fn rollback_is_a_new_version_and_numbers_go_on_after_removal() {
+fn rollback_creates_a_new_version_and_numbers_continue_after_removal() {
     let mut state = State::default();
     let workspace = Workspace::from("desk");
     for (number, title) in [(1, "one"), (2, "two")] {
--- a/components/state/tests/random/commands.rs
+++ b/components/state/tests/random/commands.rs
@@ -1,4 +1,4 @@
-//! Events of a random run, in small numbers so that they collide often.
+//! Events of a random run, with small value ranges so that they collide often.
 
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
@@ -6,7 +6,7 @@
 /// One event.
 #[derive(Clone, Debug)]
 pub enum Op {
-    /// Time passes, or a new leader's clock lies behind.
+    /// Time passes, or the clock of a new leader is behind.
     Clock { ms: i64 },
     /// A new leader.
     Epoch,
@@ -14,8 +14,8 @@
     Restore,
     /// An earlier command arrives again.
     Resend { back: u8 },
-    /// An operator submits a template. `base` tells what is believed: 0 what is in force, 1 the
-    /// number in force with other content, 2 the first version.
+    /// An operator submits a template. `base` selects its base: 0 what is in force, 1 the number in
+    /// force with other content, 2 the first version.
     Apply { workspace: u8, content: u8, base: u8 },
     /// An operator uses an earlier change's id again for a template.
     Reuse { workspace: u8, content: u8, back: u8 },
@@ -27,29 +27,29 @@
     Publish { model: u8, ahead: u8 },
     /// An entry claims.
     Claim { key: u8, content: u8, request: u8, agent: u8 },
-    /// An entry moves a claim on.
+    /// An entry reassigns a claim.
     Reassign { key: u8, request: u8, agent: u8, after: u8 },
     /// An entry ends a claim.
     Settle { key: u8, attempt: u8, end: u8 },
     /// An entry opens its session.
-    Session { node: u8, incarnation: u8 },
+    OpenSession { node: u8, incarnation: u8 },
     /// The leader closes a session.
-    Unsession { number: u8 },
+    CloseSession { number: u8 },
     /// A trainer opens a step.
     Open { workspace: u8, step: u8, groups: u8, samples: u8, extra: u8 },
     /// An entry takes a step.
     Take { workspace: u8, step: u8, session: u8 },
-    /// An entry records a sample. `behind` tells its age in versions.
+    /// An entry records a sample. `behind` is its age in versions.
     Done { workspace: u8, step: u8, group: u8, number: u8, session: u8, behind: u8, text: u8 },
-    /// A trainer pulls. `off` is added to the cursor that should be pulled, less one.
+    /// A trainer pulls. `off` is added to the expected cursor, less one.
     Pull { workspace: u8, off: u8, groups: u8, newest: u8 },
     /// A trainer acknowledges.
     Ack { workspace: u8, off: u8 },
-    /// A trainer gives a step up.
+    /// A trainer closes a step.
     Close { workspace: u8, step: u8 },
     /// An agent reports a crash.
     Crashed { endpoint: u8, crash: u8, blamed: Vec<u8> },
-    /// A suspect ran to its end.
+    /// A suspect ran to completion.
     Cleared { content: u8 },
 }
 
@@ -104,8 +104,8 @@
             after: below(g, 3),
         },
         32..=34 => Op::Settle { key: below(g, 5), attempt: below(g, 2), end: below(g, 4) },
-        35..=36 => Op::Session { node: below(g, 3), incarnation: below(g, 3) },
-        37 => Op::Unsession { number: below(g, 12) },
+        35..=36 => Op::OpenSession { node: below(g, 3), incarnation: below(g, 3) },
+        37 => Op::CloseSession { number: below(g, 12) },
         38..=41 => Op::Open {
             workspace: below(g, 2),
             step: below(g, 6),
--- a/components/state/tests/random/coverage.rs
+++ b/components/state/tests/random/coverage.rs
@@ -1,4 +1,4 @@
-//! Counts the answers of a run by kind: a run that never meets a case proves nothing about it.
+//! Counts the replies of a run by kind. A run that never reaches a case does not test it.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -7,8 +7,8 @@
 
 static SEEN: Mutex<BTreeMap<String, u64>> = Mutex::new(BTreeMap::new());
 
-/// Answers that a run must have met.
-const WANTED: [&str; 22] = [
+/// Replies that a run must produce.
+const REQUIRED_REPLIES: [&str; 22] = [
     "Accepted",
     "Conflict",
     "IdReused",
@@ -33,7 +33,7 @@
     "NotReady",
 ];
 
-/// Counts an answer.
+/// Counts a reply.
 pub fn count(reply: &Reply) {
     let text = format!("{reply:?}");
     let mut words = text.split(|letter: char| !letter.is_alphanumeric());
@@ -42,10 +42,11 @@
     *seen.entry(kind.unwrap_or_default().to_owned()).or_default() += 1;
 }
 
-/// Prints the counts, and fails if a case never came.
+/// Prints the counts, and panics if a required kind is missing.
 pub fn report() {
     let seen = SEEN.lock().unwrap();
     println!("answers={seen:?}");
-    let missed: Vec<_> = WANTED.iter().filter(|kind| !seen.contains_key(**kind)).collect();
+    let missed: Vec<_> =
+        REQUIRED_REPLIES.iter().filter(|kind| !seen.contains_key(**kind)).collect();
     assert!(missed.is_empty(), "never answered: {missed:?}");
 }
--- a/components/state/tests/random/main.rs
+++ b/components/state/tests/random/main.rs
@@ -1,7 +1,8 @@
-//! Long random runs of the replicated state: duplicates, races, resends, late sessions, new
-//! leaders with clocks behind, and a second replica that is restored from snapshots.
+//! Long random runs of the replicated state: duplicates, concurrent changes, resends, expired
+//! sessions, new leaders whose clocks are behind, and a second replica that is restored from
+//! snapshots.
 //!
-//! `CHICORYFORD_SEED` and `CHICORYFORD_RUNS` choose another seed and a longer run.
+//! `CHICORYFORD_SEED` and `CHICORYFORD_RUNS` select another seed and number of runs.
 
 mod commands;
 mod coverage;
@@ -21,7 +22,7 @@
 const RUNS: u64 = 120;
 const LENGTH: usize = 1_000;
 
-fn setting(name: &str, default: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
@@ -39,8 +40,8 @@
 }
 
 #[test]
-fn keeps_its_promises_whatever_comes() {
-    let (seed, runs) = (setting("CHICORYFORD_SEED", SEED), setting("CHICORYFORD_RUNS", RUNS));
+fn upholds_invariants_in_random_runs() {
+    let (seed, runs) = (env_number("CHICORYFORD_SEED", SEED), env_number("CHICORYFORD_RUNS", RUNS));
     println!("seed={seed} runs={runs} length<={LENGTH}");
     let random = Gen::from_size_and_seed(LENGTH, seed);
     QuickCheck::new().rng(random).tests(runs).quickcheck(run as fn(Script) -> TestResult);
--- a/components/state/tests/random/replicas.rs
+++ b/components/state/tests/random/replicas.rs
@@ -1,4 +1,4 @@
-//! Two replicas that are given the same commands, and the commands themselves.
+//! Two replicas that apply the same commands, and the generation of those commands.
 
 use bytes::Bytes;
 use chicoryford_ledger::Body;
@@ -43,14 +43,15 @@
 use crate::oracle::Oracle;
 
 const START: u64 = 1_700_000_000_000;
-/// The claims' keys are issued this far apart, so that a run sees them expire one by one.
+/// Milliseconds between the issue times of the claims' keys, so that a run sees them expire one by
+/// one.
 const KEY_MS: u64 = 100_000;
-/// New keys come into use this often.
+/// Milliseconds after which new keys are used.
 const KEYS_MS: u64 = 1_800_000;
 /// The staleness bound of every step, in versions.
 pub const BOUND: u64 = 1;
 
-/// Two replicas and what is known of them from outside.
+/// Two replicas and the state by which they are checked.
 #[derive(Default)]
 pub struct Replicas {
     first: State,
@@ -58,16 +59,16 @@
     follower: Config,
     oracle: Oracle,
     sent: Vec<Command>,
-    used: Vec<ChangeId>,
-    passed: i64,
+    used_ids: Vec<ChangeId>,
+    elapsed_ms: i64,
     epoch: u64,
 }
 
 impl Replicas {
-    /// Lets one event happen.
+    /// Executes one event.
     pub fn step(&mut self, op: &Op) -> Result<(), String> {
         match op {
-            Op::Clock { ms } => self.passed = (self.passed + ms).max(0),
+            Op::Clock { ms } => self.elapsed_ms = (self.elapsed_ms + ms).max(0),
             Op::Epoch => self.epoch += 1,
             Op::Restore => self.restore()?,
             Op::Resend { back } => {
@@ -85,19 +86,19 @@
         Ok(())
     }
 
-    /// Compares the replicas.
+    /// Compares the replicas and checks for invariant violations.
     pub fn finish(&mut self) -> Result<(), String> {
         if encode(&self.first) != encode(&self.second) {
             return Err("replicas differ".to_owned());
         }
         match self.first.violations() + self.second.violations() {
             0 => Ok(()),
-            broken => Err(format!("{broken} promises broken")),
+            violations => Err(format!("{violations} invariant violations")),
         }
     }
 
     fn now(&self) -> Unix {
-        Unix(START + self.passed as u64)
+        Unix(START + self.elapsed_ms as u64)
     }
 
     fn apply(&mut self, command: Command) -> Result<(), String> {
@@ -109,17 +110,17 @@
             return Err(format!("answers differ: {first:?} and {second:?}"));
         }
         if self.first.violations() > 0 {
-            return Err("a promise is broken".to_owned());
+            return Err("an invariant is violated".to_owned());
         }
         self.follow();
         if self.follower != self.first.config {
             return Err("a follower differs from the replica".to_owned());
         }
         coverage::count(&first);
-        self.oracle.judge(&before, &self.first, &command, &first)
+        self.oracle.check_reply(&before, &self.first, &command, &first)
     }
 
-    /// Lets a follower of the configuration catch up.
+    /// Applies the latest changes to a follower of the configuration.
     fn follow(&mut self) {
         match self.first.delta_since(self.follower.at) {
             chicoryford_types::Delta::Snapshot(config) => self.follower = *config,
@@ -139,8 +140,8 @@
     }
 
     fn fresh_id(&mut self) -> ChangeId {
-        let id = change_id(self.now(), self.used.len() as u64);
-        self.used.push(id.clone());
+        let id = change_id(self.now(), self.used_ids.len() as u64);
+        self.used_ids.push(id.clone());
         id
     }
 
@@ -159,22 +160,22 @@
     }
 
     fn key(&self, number: u8) -> IdempotencyKey {
-        let round = self.passed as u64 / KEYS_MS * KEYS_MS;
+        let round = self.elapsed_ms as u64 / KEYS_MS * KEYS_MS;
         IdempotencyKey(format!("{}.{number}", START + round + u64::from(number) * KEY_MS))
     }
 
-    fn expected(&self, workspace: u8) -> u64 {
-        self.oracle.expected(&workspace_name(workspace))
+    fn next_cursor(&self, workspace: u8) -> u64 {
+        self.oracle.next_cursor(&workspace_name(workspace))
     }
 
-    /// Gives a step near those that ended last, which are never opened again.
+    /// Returns a step near the last ended ones, which must never be opened again.
     fn any_step(&self, workspace: u8, step: u8) -> StepKey {
         let workspace = workspace_name(workspace);
         let ended = self.oracle.ended(&workspace) + u64::from(step);
         StepKey { workspace, step: Step(ended.saturating_sub(2)) }
     }
 
-    /// Gives an open step mostly, and any step otherwise.
+    /// Returns one of the open steps, selected by `step`, or any step if there are too few.
     fn some_step(&self, workspace: u8, step: u8) -> StepKey {
         let any = self.any_step(workspace, step);
         let open = self.first.ledger.steps().map(|(key, _)| key);
@@ -182,7 +183,8 @@
         open.nth(usize::from(step / 2)).cloned().unwrap_or(any)
     }
 
-    /// Gives an open session mostly, and any number otherwise.
+    /// Returns one of the open sessions, selected by `number`, or `number` itself if there are too
+    /// few.
     fn some_session(&self, number: u8) -> u64 {
         let open = self.first.sessions().map(|(number, _)| number).nth(usize::from(number % 3));
         open.unwrap_or(u64::from(number))
@@ -202,7 +204,7 @@
             Op::Reuse { workspace, content, back } => {
                 let template = template(workspace, content);
                 let base = self.base(&template.workspace, 0);
-                let used = self.used.iter().rev().nth(usize::from(back)).cloned();
+                let used = self.used_ids.iter().rev().nth(usize::from(back)).cloned();
                 let change = used.unwrap_or_else(|| self.fresh_id());
                 Command::Apply { change, template: Box::new(template), base }
             }
@@ -259,11 +261,11 @@
                 attempt: Attempt(1 + u32::from(attempt)),
                 end: end_of(end),
             },
-            Op::Session { node, incarnation } => Command::OpenSession {
+            Op::OpenSession { node, incarnation } => Command::OpenSession {
                 node: Node(format!("n{node}")),
                 incarnation: Incarnation(u64::from(incarnation)),
             },
-            Op::Unsession { number } => {
+            Op::CloseSession { number } => {
                 Command::CloseSession { session: self.some_session(number) }
             }
             _ => Command::Ledger(Box::new(self.step_command(op))),
@@ -305,7 +307,7 @@
             }
             Op::Pull { workspace, off, groups, newest } => LedgerCommand::Pull {
                 workspace: workspace_name(workspace),
-                cursor: Cursor((self.expected(workspace) + u64::from(off)).saturating_sub(1)),
+                cursor: Cursor((self.next_cursor(workspace) + u64::from(off)).saturating_sub(1)),
                 groups: u32::from(groups),
                 newest: Version(
                     (self.newest(&model_name(workspace)) + u64::from(newest)).saturating_sub(2),
@@ -313,7 +315,7 @@
             },
             Op::Ack { workspace, off } => LedgerCommand::Ack {
                 workspace: workspace_name(workspace),
-                cursor: Cursor((self.expected(workspace) + u64::from(off)).saturating_sub(1)),
+                cursor: Cursor((self.next_cursor(workspace) + u64::from(off)).saturating_sub(1)),
             },
             Op::Close { workspace, step } => {
                 LedgerCommand::Close { key: self.any_step(workspace, step) }
