--- a/components/agreement/src/append.rs
+++ b/components/agreement/src/append.rs
@@ -85,7 +85,8 @@
         matched
     }
 
-    /// Records that writes are synced and acknowledges the votes and entries that waited for it.
+    /// Records that writes are synced, counts the candidate's own vote, and reports newly synced
+    /// entries to the leader.
     pub(crate) fn on_synced(&mut self, write: u64) {
         let before = self.durable.index;
         self.durable.mark_synced(write);
--- a/components/agreement/src/bootstrap.rs
+++ b/components/agreement/src/bootstrap.rs
@@ -5,7 +5,7 @@
 //! members, after every other founder has reported its incarnation and that its disk is empty. The
 //! other founders wait to receive that entry.
 //!
-//! Without this request, a founder that loses its disk later and starts with its original settings
+//! Without these reports, a founder that loses its disk later and starts with its original settings
 //! would bootstrap a second deployment next to the first one. Operators would see two leaders that
 //! are unaware of each other. All founders must reply, and one with a vote, an epoch or an entry
 //! prevents the bootstrap, so a second deployment could only arise if every founder lost its disk.
--- a/components/agreement/src/election.rs
+++ b/components/agreement/src/election.rs
@@ -61,16 +61,16 @@
     }
 
     /// Requests votes in a new epoch.
-    pub(crate) fn campaign(&mut self, leadership_transfer: bool) {
+    pub(crate) fn campaign(&mut self, hand_over: bool) {
         let reachable = self.is_quorum_reachable();
-        self.check(leadership_transfer || reachable, Invariant::QuietWhenCutOff);
+        self.check(hand_over || reachable, Invariant::QuietWhenCutOff);
         let vote = Some(self.settings.id.clone());
         self.set_hard_state(HardState { epoch: self.hard.epoch.next(), vote });
         self.role = Role::Candidate;
         self.forget_leader();
         self.granted.clear();
         self.reset_election_deadline();
-        let body = Body::Vote { last: self.log.last(), leadership_transfer };
+        let body = Body::Vote { last: self.log.last(), hand_over };
         for id in self.other_voters() {
             self.send_synced(id, body.clone());
         }
@@ -100,8 +100,8 @@
     fn is_quorum_reachable(&self) -> bool {
         let window = 2 * self.settings.election_ms;
         self.members().has_majority(|id| {
-            let heard = self.contacts.get(id);
-            *id == self.settings.id || heard.is_some_and(|at| self.now.since(*at) <= window)
+            let contact = self.contacts.get(id);
+            *id == self.settings.id || contact.is_some_and(|at| self.now.since(*at) <= window)
         })
     }
 
@@ -166,10 +166,10 @@
         from: ReplicaId,
         epoch: Epoch,
         last: EntryId,
-        leadership_transfer: bool,
+        hand_over: bool,
     ) {
         let withheld = self.settings.protections.vote_hold && self.has_recent_leader();
-        if withheld && !leadership_transfer {
+        if withheld && !hand_over {
             return;
         }
         if epoch > self.hard.epoch {
@@ -206,8 +206,8 @@
     pub(crate) fn quorum_contact(&self) -> Millis {
         let Some(lead) = &self.leader_state else { return Millis::default() };
         self.members().majority_value(|id| {
-            let heard = lead.peers.get(id).map(|peer| peer.last_contact);
-            if *id == self.settings.id { self.now } else { heard.unwrap_or_default() }
+            let contact = lead.peers.get(id).map(|peer| peer.last_contact);
+            if *id == self.settings.id { self.now } else { contact.unwrap_or_default() }
         })
     }
 
--- a/components/agreement/src/invariant.rs
+++ b/components/agreement/src/invariant.rs
@@ -1,7 +1,7 @@
 //! Invariants that a replica checks at run time, in every build.
 //!
-//! A violation indicates a bug in this program, or a faulty disk or clock. It is logged as `event =
-//! "promise_broken"` and counted. Randomised test runs fail at the first one.
+//! A violation indicates a bug in this program, or a faulty disk or clock. It is counted, and
+//! logged as `event = "promise_broken"`. Randomised test runs fail at the first one.
 
 use serde::Deserialize;
 use serde::Serialize;
--- a/components/agreement/src/membership.rs
+++ b/components/agreement/src/membership.rs
@@ -80,12 +80,12 @@
     }
 
     fn is_live(&self, id: &ReplicaId) -> bool {
-        let heard = self
+        let contact = self
             .leader_state
             .as_ref()
             .and_then(|lead| lead.peers.get(id))
             .map(|peer| peer.last_contact);
-        let recent = heard.is_some_and(|at| self.now.since(at) < self.settings.min_election_ms());
+        let recent = contact.is_some_and(|at| self.now.since(at) < self.settings.min_election_ms());
         *id == self.settings.id || recent
     }
 
--- a/components/agreement/src/message.rs
+++ b/components/agreement/src/message.rs
@@ -51,7 +51,7 @@
         /// Whether the current leader requested this election. If so, recent contact with that
         /// leader is no reason to refuse.
         #[serde(rename = "handed")]
-        leadership_transfer: bool,
+        hand_over: bool,
     },
     /// The reply to a `Vote`.
     VoteReply {
--- a/components/agreement/src/receive.rs
+++ b/components/agreement/src/receive.rs
@@ -20,9 +20,7 @@
             Body::Hello => self.on_hello(from),
             Body::HelloReply { empty } => self.on_hello_reply(from, empty),
             Body::PreVote { next, last } => self.on_pre_vote(from, next, last),
-            Body::Vote { last, leadership_transfer } => {
-                self.on_vote(from, epoch, last, leadership_transfer)
-            }
+            Body::Vote { last, hand_over } => self.on_vote(from, epoch, last, hand_over),
             Body::Append { .. } | Body::SnapshotChunk { .. } => {
                 self.receive_from_leader(from, epoch, body)
             }
@@ -39,8 +37,8 @@
     /// incarnation is lost, and a reply would count as if it still existed. `Hello` and `Restarted`
     /// are addressed to the node, whatever its incarnation.
     fn is_addressed_here(&self, to: &ReplicaId, body: &Body) -> bool {
-        let hello = matches!(body, Body::Hello | Body::Restarted { .. });
-        to.node == self.settings.id.node && (hello || *to == self.settings.id)
+        let to_node = matches!(body, Body::Hello | Body::Restarted { .. });
+        to.node == self.settings.id.node && (to_node || *to == self.settings.id)
     }
 
     fn receive_from_leader(&mut self, from: ReplicaId, epoch: Epoch, body: Body) {
--- a/components/agreement/tests/random/faults.rs
+++ b/components/agreement/tests/random/faults.rs
@@ -21,7 +21,8 @@
         Token(self.token)
     }
 
-    /// Returns a replica that considers itself leader, or else any replica.
+    /// Returns a replica that considers itself leader. Returns a random replica if there is none,
+    /// and otherwise in one of twenty calls.
     fn pick_leader(&mut self) -> usize {
         let leads =
             |p: &usize| self.hosts[*p].replica.as_ref().is_some_and(|r| r.role() == Role::Leader);
