--- a/components/agreement/src/lib.rs
+++ b/components/agreement/src/lib.rs
@@ -1,12 +1,13 @@
-//! The replicated log's decisions: elections, leases, appending, membership.
+//! The consensus protocol of the replicated log: elections, leases, replication, membership
+//! changes.
 //!
-//! A [`Replica`] is a pure state machine: events and readings of the monotonic clock go in,
-//! actions come out. The duties of the control role keep its disk and carry its messages.
-//! docs/AGREEMENT.md tells why it is built so and how it is proved.
+//! A [`Replica`] is a deterministic state machine without I/O: events and readings of the monotonic
+//! clock go in, actions come out. The tasks of the control role persist its log and deliver its
+//! messages. docs/AGREEMENT.md explains the design and how it is tested.
 
 pub mod action;
 mod append;
-mod birth;
+mod bootstrap;
 mod check;
 mod durable;
 mod election;
@@ -14,12 +15,12 @@
 pub mod event;
 mod handover;
 pub mod identity;
+pub mod invariant;
 mod leader;
 mod log;
 mod membership;
 pub mod message;
 mod progress;
-pub mod promise;
 mod read;
 mod receive;
 pub mod replica;
@@ -34,19 +35,19 @@
 pub use action::Committed;
 pub use action::Refusal;
 pub use entry::Entry;
-pub use entry::Mark;
+pub use entry::EntryId;
 pub use entry::Payload;
-pub use event::Change;
 pub use event::Event;
+pub use event::MembershipChange;
 pub use event::Proposal;
 pub use event::Token;
 pub use identity::Founder;
-pub use identity::Members;
+pub use identity::Membership;
 pub use identity::ReplicaId;
-pub use identity::Seat;
+pub use identity::ReplicaInfo;
+pub use invariant::Invariant;
 pub use message::Body;
 pub use message::Message;
-pub use promise::Promise;
 pub use replica::Replica;
 pub use saved::HardState;
 pub use saved::Saved;
--- a/components/agreement/src/receive.rs
+++ b/components/agreement/src/receive.rs
@@ -1,4 +1,4 @@
-//! Sorting of messages by what they say.
+//! Dispatch of received messages.
 
 use chicoryford_types::Epoch;
 
@@ -9,10 +9,10 @@
 use crate::status::Role;
 
 impl Replica {
-    /// Takes a message.
+    /// Processes a received message.
     pub(crate) fn receive(&mut self, message: Message) {
         let Message { from, to, epoch, body } = message;
-        if !self.is_for_me(&to, &body) {
+        if !self.is_addressed_here(&to, &body) {
             return;
         }
         self.contacts.insert(from.clone(), self.now);
@@ -20,24 +20,28 @@
             Body::Hello => self.on_hello(from),
             Body::HelloReply { empty } => self.on_hello_reply(from, empty),
             Body::PreVote { next, last } => self.on_pre_vote(from, next, last),
-            Body::Vote { last, handed } => self.on_vote(from, epoch, last, handed),
-            Body::Append { .. } | Body::Piece { .. } => self.receive_led(from, epoch, body),
+            Body::Vote { last, hand_over } => self.on_vote(from, epoch, last, hand_over),
+            Body::Append { .. } | Body::SnapshotChunk { .. } => {
+                self.receive_from_leader(from, epoch, body)
+            }
             Body::Restarted { number } => self.on_restarted(from, number),
             Body::RestartedReply { number, too } => self.on_restarted_reply(from, number, too),
-            Body::CampaignNow => self.on_campaign_now(&from, epoch),
+            Body::TimeoutNow => self.on_timeout_now(&from, epoch),
             _ => self.receive_reply(from, epoch, body),
         }
     }
 
-    /// A message for an earlier incarnation of this node's folder is not for this replica: what
-    /// the earlier one knew is lost, and an answer would be counted as if it were not. Whether it
-    /// has restarted is asked of the node, whatever its incarnation.
-    fn is_for_me(&self, to: &ReplicaId, body: &Body) -> bool {
-        let hello = matches!(body, Body::Hello | Body::Restarted { .. });
-        to.node == self.settings.id.node && (hello || *to == self.settings.id)
+    /// Returns whether a message is addressed to this replica.
+    ///
+    /// A message for an earlier incarnation of this node's data folder is not: the state of that
+    /// incarnation is lost, and a reply would count as if it still existed. `Hello` and `Restarted`
+    /// are addressed to the node, whatever its incarnation.
+    fn is_addressed_here(&self, to: &ReplicaId, body: &Body) -> bool {
+        let to_node = matches!(body, Body::Hello | Body::Restarted { .. });
+        to.node == self.settings.id.node && (to_node || *to == self.settings.id)
     }
 
-    fn receive_led(&mut self, from: ReplicaId, epoch: Epoch, body: Body) {
+    fn receive_from_leader(&mut self, from: ReplicaId, epoch: Epoch, body: Body) {
         if epoch < self.hard.epoch {
             self.send(from, Body::AppendReply { round: 0, matched: 0, conflict: None });
             return;
@@ -49,8 +53,8 @@
             Body::Append { prev, entries, commit, round } => {
                 self.on_append(from, prev, entries, commit, round);
             }
-            Body::Piece { meta, total, offset, data, round } => {
-                self.on_piece(from, meta, total, offset, &data, round);
+            Body::SnapshotChunk { meta, total, offset, data, round } => {
+                self.on_snapshot_chunk(from, meta, total, offset, &data, round);
             }
             _ => {}
         }
@@ -61,7 +65,7 @@
             self.become_follower(epoch, None);
             return;
         }
-        // A refused pre-vote may come from an epoch that is lower than the asker's.
+        // A pre-vote may be refused from an epoch that is lower than the sender's.
         if let Body::PreVoteReply { next, granted } = body {
             self.on_pre_vote_reply(from, next, granted);
             return;
@@ -74,8 +78,8 @@
             Body::AppendReply { round, matched, conflict } if self.role == Role::Leader => {
                 self.on_append_reply(&from, round, matched, conflict);
             }
-            Body::PieceReply { mark, received, round } if self.role == Role::Leader => {
-                self.on_piece_reply(&from, mark, received, round);
+            Body::SnapshotChunkReply { last, received, round } if self.role == Role::Leader => {
+                self.on_snapshot_chunk_reply(&from, last, received, round);
             }
             _ => {}
         }
--- a/components/state/src/lib.rs
+++ b/components/state/src/lib.rs
@@ -1,7 +1,7 @@
-//! The replicated state: templates, leases, claims, steps, stops.
+//! The replicated state: templates, leases, claims, steps, planned stops.
 //!
-//! [`State::apply`] is a pure function of the state and a committed command, so that every
-//! replica that applies the same commands holds the same state.
+//! [`State::apply`] is a pure function of the state and a committed command, so all replicas that
+//! apply the same commands have the same state.
 
 pub mod changes;
 pub mod claims;
@@ -17,14 +17,14 @@
 pub mod weights;
 
 pub use changes::change_id;
-pub use command::Assigned;
+pub use command::AgentAssignment;
 pub use command::Base;
 pub use command::ClaimEnd;
 pub use command::Command;
 pub use command::Refusal;
 pub use command::Reply;
 pub use machine::State;
-pub use recent::Recent;
-pub use session::Renew;
-pub use session::Renewed;
+pub use recent::RecentChanges;
+pub use session::SessionRenewal;
+pub use session::SessionRenewalReply;
 pub use sessions::Session;
