--- a/components/fleet/benches/round.rs
+++ b/components/fleet/benches/round.rs
@@ -12,17 +12,17 @@
 
 use chicoryford_fleet::Announcement;
 use chicoryford_fleet::Endpoint;
+use chicoryford_fleet::EndpointStatus;
 use chicoryford_fleet::Policy;
 use chicoryford_fleet::Registry;
 use chicoryford_fleet::Sample;
-use chicoryford_fleet::Standing;
 use chicoryford_fleet::Step;
 use chicoryford_fleet::endpoint;
-use chicoryford_fleet::plan::Plan;
-use chicoryford_fleet::plan::Seat;
+use chicoryford_fleet::order_lease::OrderLease;
+use chicoryford_fleet::plan::EngineState;
+use chicoryford_fleet::plan::Planner;
 use chicoryford_fleet::swap;
-use chicoryford_fleet::swap::Claim;
-use chicoryford_fleet::turn::Turn;
+use chicoryford_fleet::swap::ModelDemand;
 use chicoryford_types::Epoch;
 use chicoryford_types::Millis;
 
@@ -45,14 +45,14 @@
         models: MODELS.iter().map(|model| ((*model).to_owned(), 4)).collect(),
         ..said(&format!("i-{number:010x}"), 1)
     };
-    Endpoint { said, standing: Standing::Ready }
+    Endpoint { announcement: said, status: EndpointStatus::Ready }
 }
 
 fn step(id: &str) -> Arc<Step> {
     let sample = |index: usize| Sample {
         id: format!("{id}{index}"),
         path: "/s/1".to_owned(),
-        expected: index as u64,
+        expected_tokens: index as u64,
         group: format!("g{}", index / 8),
         ..Sample::default()
     };
@@ -86,32 +86,34 @@
     for count in ENGINES {
         let engines: Vec<Endpoint> = (0..count).map(engine).collect();
         let known = engines.iter().cloned();
-        let mut registry = Registry::adopt(endpoint::Settings::default(), known, NOW);
-        let mut plan = Plan::new(Epoch(1));
-        engines.iter().for_each(|engine| plan.observe(engine));
-        let claims = MODELS.map(|model| Claim {
+        let mut registry = Registry::from_known(endpoint::Settings::default(), known, NOW);
+        let mut plan = Planner::new(Epoch(1));
+        engines.iter().for_each(|engine| plan.update_engine(engine));
+        let claims = MODELS.map(|model| ModelDemand {
             model: model.to_owned(),
             version: 4,
-            demand: 1_000,
-            samples: 2 * SAMPLES,
+            tokens: 1_000,
+            peak_samples: 2 * SAMPLES,
             starved: 0,
         });
-        let (turn, policy) =
-            (Turn { ordered: BTreeMap::new(), ..Turn::default() }, Policy::default());
+        let (turn, policy) = (
+            OrderLease { last_orders: BTreeMap::new(), ..OrderLease::default() },
+            Policy::default(),
+        );
         let ticks = time(|| drop(registry.tick(NOW)));
         let slow = time(|| drop(plan.slow_runs(NOW)));
         let weights = time(|| {
-            let seats: Vec<&Seat> = plan.seats().collect();
-            drop(swap::wishes(&seats, &claims, &turn, policy, NOW));
+            let seats: Vec<&EngineState> = plan.engines().collect();
+            drop(swap::select_loads(&seats, &claims, &turn, policy, NOW));
         });
         let config = steps_config();
         let mut number = 0;
         let assigned = time(|| {
             let id = format!("s{number}");
             number += 1;
-            plan.open(step(&id), NOW, Millis::default(), |_| false);
+            plan.open_step(step(&id), NOW, Millis::default(), |_| false);
             plan.assign(&config, NOW);
-            plan.close(&id, NOW);
+            plan.close_step(&id, NOW);
         });
         println!("{count:7}  {ticks:11.1}  {slow:12.1}  {weights:10.1}  {assigned:14.1}");
     }
--- a/components/fleet/src/config.rs
+++ b/components/fleet/src/config.rs
@@ -12,7 +12,7 @@
 
 /// What may be repeated of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub enum Kind {
+pub enum RouteKind {
     /// It may run more than once.
     Idempotent,
     /// It may run once at most for each of its caller's attempts.
@@ -42,7 +42,7 @@
     /// The beginning of the path; it ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Milliseconds for which a request may be kept waiting.
     pub timeout_ms: Option<u64>,
     /// Milliseconds within which a reply is worth most.
@@ -60,7 +60,7 @@
     /// Milliseconds after a step's submission at which a sample may be given up.
     pub age_ms: Option<u64>,
     /// Whether a sample must be made by one version of the weights.
-    pub single: bool,
+    pub single_version: bool,
     /// Whether requests need no key, though there are workspaces.
     pub open: bool,
 }
@@ -109,7 +109,7 @@
 
 /// Why a configuration cannot be accepted.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-pub enum Fault {
+pub enum ConfigError {
     /// The document cannot be read.
     #[error("the configuration cannot be read: {0}")]
     Unreadable(String),
@@ -123,7 +123,7 @@
     },
     /// Two routes have the same place.
     #[error("routes {first:?} and {second:?} share the host and the prefix {prefix:?}")]
-    SamePlace {
+    DuplicateRoute {
         /// The route that stands first.
         first: String,
         /// The other.
@@ -133,13 +133,13 @@
     },
     /// All weights of a route are zero.
     #[error("the weights of route {route:?} add up to zero")]
-    NoWeight {
+    ZeroWeight {
         /// The route.
         route: String,
     },
     /// The timeout of a route is zero.
     #[error("the timeout of route {route:?} is zero")]
-    NoTimeout {
+    ZeroTimeout {
         /// The route.
         route: String,
     },
@@ -154,7 +154,7 @@
     },
     /// A workspace stands twice.
     #[error("workspace {name:?} stands twice")]
-    SameWorkspace {
+    DuplicateWorkspace {
         /// The name.
         name: String,
     },
@@ -173,8 +173,8 @@
     ///
     /// # Errors
     ///
-    /// The first [`Fault`] found.
-    pub fn check(&self) -> Result<(), Fault> {
+    /// The first [`ConfigError`] found.
+    pub fn check(&self) -> Result<(), ConfigError> {
         self.workspaces.check()?;
         let known: BTreeSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
         let mut places: BTreeMap<(&str, &str), &str> = BTreeMap::new();
@@ -182,7 +182,7 @@
             check_route(route, &known)?;
             let place = (route.host.as_str(), route.prefix.as_str());
             if let Some(first) = places.insert(place, &route.name) {
-                return Err(Fault::SamePlace {
+                return Err(ConfigError::DuplicateRoute {
                     first: first.to_owned(),
                     second: route.name.clone(),
                     prefix: route.prefix.clone(),
@@ -194,14 +194,14 @@
 
     /// Gives the configuration as entries and stores are told it: without the document, which holds
     /// keys in full. What a process does not hold, neither its dump nor its memory can show.
-    pub fn told(&self) -> Self {
+    pub fn without_source(&self) -> Self {
         Self { source: Bytes::new(), ..self.clone() }
     }
 
     /// Gives the services to which requests other than steps go: their endpoints are called by entries
     /// and hosts, while samples go where the leader says.
     pub fn called_services(&self) -> BTreeSet<&str> {
-        let called = self.routes.iter().filter(|route| route.kind != Kind::Step);
+        let called = self.routes.iter().filter(|route| route.kind != RouteKind::Step);
         let shares = called.flat_map(|route| &route.shares).filter(|share| share.weight > 0);
         shares.map(|share| share.service.as_str()).collect()
     }
@@ -213,19 +213,19 @@
     }
 }
 
-fn check_route(route: &Route, known: &BTreeSet<&str>) -> Result<(), Fault> {
+fn check_route(route: &Route, known: &BTreeSet<&str>) -> Result<(), ConfigError> {
     let name = || route.name.clone();
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-        return Err(Fault::BadPrefix { route: name(), prefix: route.prefix.clone() });
+        return Err(ConfigError::BadPrefix { route: name(), prefix: route.prefix.clone() });
     }
     if let Some(share) = route.shares.iter().find(|s| !known.contains(s.service.as_str())) {
-        return Err(Fault::UnknownService { route: name(), service: share.service.clone() });
+        return Err(ConfigError::UnknownService { route: name(), service: share.service.clone() });
     }
     if route.shares.iter().all(|share| share.weight == 0) {
-        return Err(Fault::NoWeight { route: name() });
+        return Err(ConfigError::ZeroWeight { route: name() });
     }
     if route.timeout_ms == Some(0) {
-        return Err(Fault::NoTimeout { route: name() });
+        return Err(ConfigError::ZeroTimeout { route: name() });
     }
     Ok(())
 }
--- a/components/fleet/src/copies.rs
+++ b/components/fleet/src/copies.rs
@@ -32,7 +32,7 @@
 
 /// Where a part lies.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub enum Place {
+pub enum Placement {
     /// In the log itself, because there were too few stores when it was written.
     Inline(Bytes),
     /// On these stores.
@@ -59,7 +59,7 @@
 #[derive(Debug, Default)]
 pub struct Stores {
     /// The leader's data centre.
-    here: String,
+    data_centre: String,
     known: BTreeMap<String, Known>,
     began: Millis,
     policy: Policy,
@@ -69,11 +69,11 @@
     /// Starts to look at stores from a data centre; for a while, those that are not seen yet still
     /// count.
     pub fn new(here: &str, now: Millis) -> Self {
-        Self { here: here.to_owned(), began: now, ..Self::default() }
+        Self { data_centre: here.to_owned(), began: now, ..Self::default() }
     }
 
     /// Chooses with these mechanisms.
-    pub fn under(self, policy: Policy) -> Self {
+    pub fn with_policy(self, policy: Policy) -> Self {
         Self { policy, ..self }
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Tells whether a copy on a store still counts.
-    pub fn counts(&self, id: &StoreId, now: Millis) -> bool {
+    pub fn is_counted(&self, id: &StoreId, now: Millis) -> bool {
         match self.known.get(&id.node) {
             Some(known) if known.identity != id.identity => false,
             Some(known) => known.connected || now.since(known.seen) < ABSENT_MS,
@@ -153,19 +153,19 @@
     }
 
     /// Gives where a part can be read in a data centre, if a copy lies there.
-    pub fn beside(&self, place: &Place, data_centre: &str) -> Option<SocketAddr> {
-        let Place::Stores(stores) = place else { return None };
+    pub fn address_in(&self, place: &Placement, data_centre: &str) -> Option<SocketAddr> {
+        let Placement::Stores(stores) = place else { return None };
         let live = stores.iter().filter(|id| self.is_connected(id));
         let mut known = live.filter_map(|id| self.known.get(&id.node));
         known.find(|known| known.data_centre == data_centre).map(|known| known.address)
     }
 
     fn is_far(&self, known: &Known) -> bool {
-        self.policy.near_copies && known.data_centre != self.here
+        self.policy.near_copies && known.data_centre != self.data_centre
     }
 
     /// Counts a copy that a store was given.
-    pub fn given(&mut self, id: &StoreId) {
+    pub fn record_put(&mut self, id: &StoreId) {
         if let Some(known) = self.known.get_mut(&id.node) {
             known.puts += 1;
         }
@@ -177,22 +177,22 @@
     }
 
     /// Tells whether a store VM is known.
-    pub fn has(&self, node: &str) -> bool {
+    pub fn is_known(&self, node: &str) -> bool {
         self.known.contains_key(node)
     }
 
     /// Finds the copies of a part that count, leaving out stores that are to be emptied.
-    pub fn counted(
+    pub fn counted_copies(
         &self,
-        place: &Place,
+        place: &Placement,
         leaving: &BTreeSet<String>,
         now: Millis,
     ) -> BTreeSet<StoreId> {
         match place {
-            Place::Inline(_) => BTreeSet::new(),
-            Place::Stores(stores) => stores
+            Placement::Inline(_) => BTreeSet::new(),
+            Placement::Stores(stores) => stores
                 .iter()
-                .filter(|id| self.counts(id, now) && !leaving.contains(&id.node))
+                .filter(|id| self.is_counted(id, now) && !leaving.contains(&id.node))
                 .cloned()
                 .collect(),
         }
--- a/components/fleet/src/crashes.rs
+++ b/components/fleet/src/crashes.rs
@@ -28,14 +28,14 @@
 
 /// What the fleet knows of such contents, as the log holds it.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Book {
+pub struct CrashState {
     suspects: BTreeMap<Fingerprint, BTreeSet<String>>,
     convictions: BTreeMap<Fingerprint, Conviction>,
 }
 
-impl Book {
+impl CrashState {
     /// Takes in a crash; tells whether it was not known. `at` is the fleet's clock.
-    pub fn crashed(&mut self, crash: Crash, at: u64) -> bool {
+    pub fn record_crash(&mut self, crash: Crash, at: u64) -> bool {
         let (rule, now) = (Rule::default(), Unix(at));
         let Crash { content, endpoint } = crash;
         let known = self.suspects.get(&content).is_some_and(|by| by.contains(&endpoint));
@@ -68,7 +68,7 @@
     }
 
     /// Takes in that a content ran to its end; tells whether it was suspected.
-    pub fn cleared(&mut self, content: Fingerprint) -> bool {
+    pub fn clear_suspect(&mut self, content: Fingerprint) -> bool {
         self.suspects.remove(&content).is_some()
     }
 
@@ -86,19 +86,19 @@
 /// What one process knows: what the fleet refuses, and what it saw by itself, so that it refuses a content
 /// also while no leader can be told.
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct LocalCrashes {
     refused: BTreeSet<Fingerprint>,
     seen: BTreeMap<Fingerprint, BTreeSet<String>>,
 }
 
-impl Watch {
+impl LocalCrashes {
     /// Takes in what the fleet refuses.
-    pub fn refuse(&mut self, refused: BTreeSet<Fingerprint>) {
+    pub fn set_refused(&mut self, refused: BTreeSet<Fingerprint>) {
         self.refused = refused;
     }
 
     /// Takes in a crash that this process saw.
-    pub fn crashed(&mut self, crash: &Crash) {
+    pub fn record_crash(&mut self, crash: &Crash) {
         if self.seen.len() >= KEPT && !self.seen.contains_key(&crash.content) {
             self.seen.pop_first();
         }
@@ -106,7 +106,7 @@
     }
 
     /// Takes in that a content ran to its end; tells whether this process saw it crash an endpoint.
-    pub fn cleared(&mut self, content: Fingerprint) -> bool {
+    pub fn clear_suspect(&mut self, content: Fingerprint) -> bool {
         self.seen.remove(&content).is_some()
     }
 
--- a/components/fleet/src/duty.rs
+++ b/components/fleet/src/duty.rs
@@ -34,34 +34,34 @@
 
 /// What one who wants to call does next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Turn {
+pub enum DutyAction {
     /// It calls, and abandons the call after so many milliseconds.
     Call(u64),
     /// It writes into the log that it holds the duty.
-    Take,
+    Acquire,
     /// It waits: another may still be calling.
     Wait,
 }
 
 impl Holding {
     /// Makes the holding of one who takes the duty when the fleet's clock reads `now`.
-    pub fn taken(holder: &str, token: u64, now: u64) -> Self {
+    pub fn new(holder: &str, token: u64, now: u64) -> Self {
         Self { holder: holder.to_owned(), token, until: now + HOLD_MS + MARGIN_MS }
     }
 
     /// Tells whether another one may come after this one, in a command of this time.
-    pub fn yields_to(&self, next: &Self, at: u64) -> bool {
+    pub fn can_pass_to(&self, next: &Self, at: u64) -> bool {
         next.token >= self.token && (next.holder == self.holder || at >= self.until)
     }
 
     /// Decides what the VM does that has this token.
-    pub fn turn(held: Option<&Self>, holder: &str, token: u64, now: u64) -> Turn {
-        let Some(held) = held else { return Turn::Take };
+    pub fn next_action(held: Option<&Self>, holder: &str, token: u64, now: u64) -> DutyAction {
+        let Some(held) = held else { return DutyAction::Acquire };
         if held.holder == holder && held.token == token {
             let left = held.until.saturating_sub(MARGIN_MS).saturating_sub(now);
-            return if left >= LEAST_MS { Turn::Call(left) } else { Turn::Take };
+            return if left >= LEAST_MS { DutyAction::Call(left) } else { DutyAction::Acquire };
         }
-        let next = Self::taken(holder, token, now);
-        if held.yields_to(&next, now) { Turn::Take } else { Turn::Wait }
+        let next = Self::new(holder, token, now);
+        if held.can_pass_to(&next, now) { DutyAction::Acquire } else { DutyAction::Wait }
     }
 }
--- a/components/fleet/src/endpoint.rs
+++ b/components/fleet/src/endpoint.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use crate::config::Config;
-use crate::hearing::Sign;
+use crate::heartbeats::Heartbeat;
 
 /// What an endpoint says of itself.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
@@ -20,7 +20,7 @@
     pub id: String,
     /// The Unix millisecond of its start, by its own clock; zero if it does not say. An endpoint may
     /// start again under its old identity, with nothing of before, and counts anew from then on.
-    pub born: u64,
+    pub started_ms: u64,
     /// The service that it belongs to.
     pub service: String,
     /// Where it answers.
@@ -39,14 +39,14 @@
 
 impl Announcement {
     /// Tells whether this says just what another one said, but for its number.
-    pub fn repeats(&self, other: &Self) -> bool {
+    pub fn is_repeat_of(&self, other: &Self) -> bool {
         Self { sequence: other.sequence, ..self.clone() } == *other
     }
 }
 
 /// Whether an endpoint may be given work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub enum Standing {
+pub enum EndpointStatus {
     /// It may.
     Ready,
     /// It leaves: no new work, but what it has may finish.
@@ -61,9 +61,9 @@
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Endpoint {
     /// What it last said.
-    pub said: Announcement,
+    pub announcement: Announcement,
     /// Whether it may be given work.
-    pub standing: Standing,
+    pub status: EndpointStatus,
 }
 
 /// What an announcement changed.
@@ -72,9 +72,9 @@
     /// Something that others must be told.
     Changed,
     /// Nothing but the time at which it was heard.
-    Heard,
+    Refreshed,
     /// Nothing: it was older than what is known, or its endpoint is gone.
-    Old,
+    Stale,
 }
 
 struct Held {
@@ -106,7 +106,7 @@
 #[derive(Default)]
 pub struct Registry {
     settings: Settings,
-    held: BTreeMap<String, Held>,
+    entries: BTreeMap<String, Held>,
     /// Endpoints that were not known when they said that they are gone, and when they said so.
     left: BTreeMap<String, Millis>,
 }
@@ -114,9 +114,14 @@
 impl Registry {
     /// Starts from what another process knew; all count as heard now, since nothing tells when
     /// they were.
-    pub fn adopt(settings: Settings, known: impl Iterator<Item = Endpoint>, now: Millis) -> Self {
-        let held = known.map(|endpoint| (endpoint.said.id.clone(), Held { endpoint, heard: now }));
-        Self { settings, held: held.collect(), left: BTreeMap::new() }
+    pub fn from_known(
+        settings: Settings,
+        known: impl Iterator<Item = Endpoint>,
+        now: Millis,
+    ) -> Self {
+        let held =
+            known.map(|endpoint| (endpoint.announcement.id.clone(), Held { endpoint, heard: now }));
+        Self { settings, entries: held.collect(), left: BTreeMap::new() }
     }
 
     /// Tells whether an announcement names a service that the configuration does not. Somebody else
@@ -124,52 +129,54 @@
     /// change nothing. Without a configuration nothing can be told yet.
     pub fn is_foreign(&self, said: &Announcement, config: Option<&Config>) -> bool {
         let Some(config) = config else { return false };
-        let known = self.get(&said.id).is_some_and(|known| known.said.service == said.service);
+        let known =
+            self.get(&said.id).is_some_and(|known| known.announcement.service == said.service);
         !known && config.services.iter().all(|service| service.name != said.service)
     }
 
     /// Takes in an announcement.
     pub fn announce(&mut self, said: Announcement, now: Millis) -> Effect {
-        let standing = if said.draining { Standing::Draining } else { Standing::Ready };
-        let Some(held) = self.held.get_mut(&said.id) else {
+        let standing = if said.draining { EndpointStatus::Draining } else { EndpointStatus::Ready };
+        let Some(held) = self.entries.get_mut(&said.id) else {
             if self.left.contains_key(&said.id) {
-                return Effect::Old;
+                return Effect::Stale;
             }
             let id = said.id.clone();
-            let endpoint = Endpoint { said, standing };
-            self.held.insert(id, Held { endpoint, heard: now });
+            let endpoint = Endpoint { announcement: said, status: standing };
+            self.entries.insert(id, Held { endpoint, heard: now });
             return Effect::Changed;
         };
         let before = &held.endpoint;
         // Its numbers begin anew with each start. Went the numbers alone, an endpoint that started
         // again under its identity would be taken for its own past, and get no work until it had
         // announced itself as often as before.
-        let started_again = said.born > before.said.born;
-        let gone = before.standing == Standing::Gone;
-        let late = said.born < before.said.born || said.sequence <= before.said.sequence;
+        let started_again = said.started_ms > before.announcement.started_ms;
+        let gone = before.status == EndpointStatus::Gone;
+        let late = said.started_ms < before.announcement.started_ms
+            || said.sequence <= before.announcement.sequence;
         if !started_again && (gone || late) {
-            return Effect::Old;
+            return Effect::Stale;
         }
         held.heard = now;
         // An endpoint that leaves does not come back without a new start; a word that it is ready
         // is one that was overtaken.
-        let leaves = before.standing == Standing::Draining;
-        if !started_again && leaves && standing == Standing::Ready {
-            return Effect::Old;
+        let leaves = before.status == EndpointStatus::Draining;
+        if !started_again && leaves && standing == EndpointStatus::Ready {
+            return Effect::Stale;
         }
-        let changed = !said.repeats(&before.said) || before.standing != standing;
-        held.endpoint = Endpoint { said, standing };
-        if changed { Effect::Changed } else { Effect::Heard }
+        let changed = !said.is_repeat_of(&before.announcement) || before.status != standing;
+        held.endpoint = Endpoint { announcement: said, status: standing };
+        if changed { Effect::Changed } else { Effect::Refreshed }
     }
 
     /// Takes in that a control process has heard an endpoint say again what is known; tells whether
     /// that is news of it. A sign changes nothing but the time at which it was heard: one of an endpoint
     /// that leaves, that was taken for silent or that started again meanwhile is older than that.
-    pub fn heard(&mut self, sign: &Sign, now: Millis) -> bool {
-        let Some(held) = self.held.get_mut(&sign.id) else { return false };
-        let said = &mut held.endpoint.said;
-        let ready = held.endpoint.standing == Standing::Ready;
-        if !ready || sign.born != said.born || sign.sequence <= said.sequence {
+    pub fn record_heartbeat(&mut self, sign: &Heartbeat, now: Millis) -> bool {
+        let Some(held) = self.entries.get_mut(&sign.id) else { return false };
+        let said = &mut held.endpoint.announcement;
+        let ready = held.endpoint.status == EndpointStatus::Ready;
+        if !ready || sign.started_ms != said.started_ms || sign.sequence <= said.sequence {
             return false;
         }
         said.sequence = sign.sequence;
@@ -180,33 +187,34 @@
     /// Notes that an endpoint says it is gone. One that is not known is noted too, so that an
     /// announcement of it that comes later is not believed.
     pub fn leave(&mut self, id: &str, now: Millis) -> Effect {
-        let Some(held) = self.held.get_mut(id) else {
+        let Some(held) = self.entries.get_mut(id) else {
             self.left.insert(id.to_owned(), now);
-            return Effect::Old;
+            return Effect::Stale;
         };
         held.heard = now;
-        if held.endpoint.standing == Standing::Gone {
-            return Effect::Old;
+        if held.endpoint.status == EndpointStatus::Gone {
+            return Effect::Stale;
         }
-        held.endpoint.standing = Standing::Gone;
+        held.endpoint.status = EndpointStatus::Gone;
         Effect::Changed
     }
 
     /// Notes what was learned of an endpoint's weights other than by its announcements.
-    pub fn learn(&mut self, id: &str, model: &str, version: u64) -> Effect {
-        let Some(held) = self.held.get_mut(id) else { return Effect::Old };
-        let known = held.endpoint.said.models.insert(model.to_owned(), version);
-        if known == Some(version) { Effect::Heard } else { Effect::Changed }
+    pub fn set_version(&mut self, id: &str, model: &str, version: u64) -> Effect {
+        let Some(held) = self.entries.get_mut(id) else { return Effect::Stale };
+        let known = held.endpoint.announcement.models.insert(model.to_owned(), version);
+        if known == Some(version) { Effect::Refreshed } else { Effect::Changed }
     }
 
     /// Lets time pass. Gives the endpoints that changed, and those that are forgotten.
     pub fn tick(&mut self, now: Millis) -> (Vec<Endpoint>, Vec<String>) {
         let mut changed = Vec::new();
-        for held in self.held.values_mut() {
+        for held in self.entries.values_mut() {
             let silent = now.since(held.heard) >= self.settings.silent_ms;
-            let live = matches!(held.endpoint.standing, Standing::Ready | Standing::Draining);
+            let live =
+                matches!(held.endpoint.status, EndpointStatus::Ready | EndpointStatus::Draining);
             if silent && live {
-                held.endpoint.standing = Standing::Silent;
+                held.endpoint.status = EndpointStatus::Silent;
                 changed.push(held.endpoint.clone());
             }
         }
@@ -214,32 +222,34 @@
         self.left.retain(|_, left| now.since(*left) < left_ms);
         let old = |held: &Held| now.since(held.heard) >= self.settings.forget_ms;
         let forgotten: Vec<String> =
-            self.held.iter().filter(|(_, held)| old(held)).map(|(id, _)| id.clone()).collect();
+            self.entries.iter().filter(|(_, held)| old(held)).map(|(id, _)| id.clone()).collect();
         for id in &forgotten {
-            self.held.remove(id);
+            self.entries.remove(id);
         }
         (changed, forgotten)
     }
 
     /// Compares with the endpoints that are noted: gives those that may be given work and are new or
     /// otherwise than noted, and those noted that may not any more.
-    pub fn unlike(&self, noted: &BTreeMap<String, Endpoint>) -> (Vec<Endpoint>, Vec<String>) {
-        let ready = |id: &str| self.get(id).filter(|known| known.standing == Standing::Ready);
+    pub fn diff(&self, noted: &BTreeMap<String, Endpoint>) -> (Vec<Endpoint>, Vec<String>) {
+        let ready = |id: &str| self.get(id).filter(|known| known.status == EndpointStatus::Ready);
         let same = |known: &Endpoint| {
-            noted.get(&known.said.id).is_some_and(|noted| known.said.repeats(&noted.said))
+            noted
+                .get(&known.announcement.id)
+                .is_some_and(|noted| known.announcement.is_repeat_of(&noted.announcement))
         };
-        let live = self.all().filter(|known| known.standing == Standing::Ready && !same(known));
+        let live = self.all().filter(|known| known.status == EndpointStatus::Ready && !same(known));
         let gone = noted.keys().filter(|id| ready(id).is_none());
         (live.cloned().collect(), gone.cloned().collect())
     }
 
     /// Gives an endpoint.
     pub fn get(&self, id: &str) -> Option<&Endpoint> {
-        self.held.get(id).map(|held| &held.endpoint)
+        self.entries.get(id).map(|held| &held.endpoint)
     }
 
     /// Gives all endpoints.
     pub fn all(&self) -> impl Iterator<Item = &Endpoint> {
-        self.held.values().map(|held| &held.endpoint)
+        self.entries.values().map(|held| &held.endpoint)
     }
 }
--- a/components/fleet/src/hearing.rs
+++ b/components/fleet/src/heartbeats.rs
@@ -3,7 +3,7 @@
 //! Each endpoint announces itself about every second, and nearly all of it is what everybody knows.
 //! Were each passed on to the leader, that one process would take 2,500 of them a second from 3,000
 //! endpoints, and have no time left to lead. So a control process answers those itself and tells the
-//! leader once a second whom it heard ([`Hearing::signs`]); docs/SCALE.md has the figures.
+//! leader once a second whom it heard ([`HeartbeatBuffer::signs`]); docs/SCALE.md has the figures.
 
 use std::collections::BTreeMap;
 
@@ -13,15 +13,15 @@
 
 use crate::endpoint::Announcement;
 use crate::endpoint::Endpoint;
-use crate::endpoint::Standing;
+use crate::endpoint::EndpointStatus;
 
 /// That an endpoint was heard, as a control process tells the leader.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Sign {
+pub struct Heartbeat {
     /// The endpoint's incarnation.
     pub id: String,
     /// Its start.
-    pub born: u64,
+    pub started_ms: u64,
     /// The number of its newest announcement.
     pub sequence: u64,
     /// Milliseconds since that was heard, by the hearer's own clock. No clocks of two VMs are
@@ -37,22 +37,22 @@
 
 /// What a control process has heard and not told the leader yet: one entry an endpoint at most.
 #[derive(Default)]
-pub struct Hearing {
+pub struct HeartbeatBuffer {
     noted: BTreeMap<String, Noted>,
 }
 
-impl Hearing {
+impl HeartbeatBuffer {
     /// Takes in an announcement if it changes nothing of what is `known`; tells whether it did. All
     /// others are the leader's: new endpoints, those that leave or have left, and those that it
     /// took for silent.
-    pub fn hear(&mut self, known: Option<&Endpoint>, said: &Announcement, now: Millis) -> bool {
-        let Some(known) = known.filter(|known| known.standing == Standing::Ready) else {
+    pub fn record(&mut self, known: Option<&Endpoint>, said: &Announcement, now: Millis) -> bool {
+        let Some(known) = known.filter(|known| known.status == EndpointStatus::Ready) else {
             return false;
         };
-        if !said.repeats(&known.said) {
+        if !said.is_repeat_of(&known.announcement) {
             return false;
         }
-        let (born, sequence) = (said.born, said.sequence);
+        let (born, sequence) = (said.started_ms, said.sequence);
         // One that was overtaken on its way is no sign of life of now.
         let noted = self.noted.get(&said.id);
         if noted.is_none_or(|noted| (noted.born, noted.sequence) < (born, sequence)) {
@@ -62,10 +62,10 @@
     }
 
     /// Gives what the leader is to be told.
-    pub fn signs(&self, now: Millis) -> Vec<Sign> {
-        let sign = |(id, noted): (&String, &Noted)| Sign {
+    pub fn pending(&self, now: Millis) -> Vec<Heartbeat> {
+        let sign = |(id, noted): (&String, &Noted)| Heartbeat {
             id: id.clone(),
-            born: noted.born,
+            started_ms: noted.born,
             sequence: noted.sequence,
             age_ms: now.since(noted.at),
         };
--- a/components/fleet/src/turn.rs
+++ b/components/fleet/src/order_lease.rs
@@ -15,21 +15,25 @@
 
 /// What a leader knows of the orders before its own.
 #[derive(Clone, Debug, Default)]
-pub struct Turn {
+pub struct OrderLease {
     /// When its leadership began.
-    pub began: Millis,
+    pub leader_since: Millis,
     /// Milliseconds for which an order of the leader before counts.
     pub lease_ms: u64,
     /// Whether engines refuse orders of an epoch before one that they have seen.
-    pub fenced: bool,
+    pub engines_fence: bool,
     /// When the leader before told of an order, by the engine's incarnation.
-    pub ordered: BTreeMap<String, Millis>,
+    pub last_orders: BTreeMap<String, Millis>,
 }
 
-impl Turn {
+impl OrderLease {
     /// Tells whether an engine may be given orders.
     pub fn may_order(&self, engine: &str, now: Millis) -> bool {
-        let since = if self.fenced { self.ordered.get(engine) } else { Some(&self.began) };
+        let since = if self.engines_fence {
+            self.last_orders.get(engine)
+        } else {
+            Some(&self.leader_since)
+        };
         since.is_none_or(|since| now.since(*since) >= self.lease_ms)
     }
 }
--- a/components/fleet/src/pick.rs
+++ b/components/fleet/src/pick.rs
@@ -19,7 +19,7 @@
 use rand::rngs::SmallRng;
 
 use crate::endpoint::Endpoint;
-use crate::endpoint::Standing;
+use crate::endpoint::EndpointStatus;
 use crate::policy::Policy;
 
 /// The weight of the newest measurement in the mean: about the last five count.
@@ -42,7 +42,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// With an answer, after so many milliseconds.
     Answered(u64),
     /// With a refusal: it is full.
@@ -57,7 +57,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Seat {
+struct EndpointState {
     endpoint: Endpoint,
     running: u32,
     /// How many times as long as usual it takes.
@@ -86,7 +86,7 @@
 
 /// Why there is no endpoint to go to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Nowhere {
+pub enum PickError {
     /// The service has no endpoint that is ready.
     NoneReady,
     /// None of those that are ready fits.
@@ -95,17 +95,17 @@
 
 /// Chooses endpoints.
 pub struct Picker {
-    seats: BTreeMap<String, Seat>,
-    usual: BTreeMap<String, Usual>,
+    endpoints: BTreeMap<String, EndpointState>,
+    recent_times: BTreeMap<String, RecentTimes>,
     rng: SmallRng,
     policy: Policy,
 }
 
 /// The latest answers of a route, in milliseconds.
 #[derive(Clone, Debug, Default)]
-struct Usual(VecDeque<f64>);
+struct RecentTimes(VecDeque<f64>);
 
-impl Usual {
+impl RecentTimes {
     fn note(&mut self, ms: f64) {
         if self.0.len() == ANSWERS {
             self.0.pop_front();
@@ -125,67 +125,71 @@
     pub fn new(seed: u64) -> Self {
         let rng = SmallRng::seed_from_u64(seed);
         let (seats, usual) = (BTreeMap::new(), BTreeMap::new());
-        Self { seats, usual, rng, policy: Policy::default() }
+        Self { endpoints: seats, recent_times: usual, rng, policy: Policy::default() }
     }
 
     /// Chooses with these mechanisms.
-    pub fn under(self, policy: Policy) -> Self {
+    pub fn with_policy(self, policy: Policy) -> Self {
         Self { policy, ..self }
     }
 
     /// Takes in what is known of an endpoint.
     pub fn observe(&mut self, endpoint: &Endpoint) {
-        match self.seats.get_mut(&endpoint.said.id) {
+        match self.endpoints.get_mut(&endpoint.announcement.id) {
             // Attempts at the start before are still counted, until they end.
-            Some(seat) if seat.endpoint.said.born < endpoint.said.born => {
-                *seat = Seat { running: seat.running, ..Seat::new(endpoint) };
+            Some(seat)
+                if seat.endpoint.announcement.started_ms < endpoint.announcement.started_ms =>
+            {
+                *seat = EndpointState { running: seat.running, ..EndpointState::new(endpoint) };
             }
             Some(seat) => {
-                if seat.endpoint.said.sequence < endpoint.said.sequence {
+                if seat.endpoint.announcement.sequence < endpoint.announcement.sequence {
                     seat.moved = false;
                 }
                 seat.endpoint = endpoint.clone();
             }
             None => {
-                self.seats.insert(endpoint.said.id.clone(), Seat::new(endpoint));
+                self.endpoints
+                    .insert(endpoint.announcement.id.clone(), EndpointState::new(endpoint));
             }
         }
     }
 
     /// Forgets an endpoint.
     pub fn forget(&mut self, id: &str) {
-        self.seats.remove(id);
+        self.endpoints.remove(id);
     }
 
     /// Forgets all endpoints that `known` does not name.
     pub fn retain(&mut self, known: impl Fn(&str) -> bool) {
-        self.seats.retain(|id, _| known(id));
+        self.endpoints.retain(|id, _| known(id));
     }
 
     /// Forgets what is usual on all routes that `known` does not name.
     pub fn retain_routes(&mut self, known: impl Fn(&str) -> bool) {
-        self.usual.retain(|route, _| known(route));
+        self.recent_times.retain(|route, _| known(route));
     }
 
     /// Chooses an endpoint of a service among those that fit, and counts the attempt.
     ///
     /// # Errors
     ///
-    /// [`Nowhere`] if there is none.
+    /// [`PickError`] if there is none.
     pub fn pick(
         &mut self,
         service: &str,
         route: &str,
         fits: impl Fn(&str) -> bool,
         now: Millis,
-    ) -> Result<Target, Nowhere> {
-        let usual = self.usual_ms(route).unwrap_or(UNKNOWN_MS);
-        let ready: Vec<&Seat> = self.seats.values().filter(|seat| seat.serves(service)).collect();
+    ) -> Result<Target, PickError> {
+        let usual = self.median_ms(route).unwrap_or(UNKNOWN_MS);
+        let ready: Vec<&EndpointState> =
+            self.endpoints.values().filter(|seat| seat.serves(service)).collect();
         if ready.is_empty() {
-            return Err(Nowhere::NoneReady);
+            return Err(PickError::NoneReady);
         }
-        let fresh: Vec<&Seat> =
-            ready.into_iter().filter(|seat| fits(&seat.endpoint.said.id)).collect();
+        let fresh: Vec<&EndpointState> =
+            ready.into_iter().filter(|seat| fits(&seat.endpoint.announcement.id)).collect();
         // Endpoints that failed lately come last, but one of them is better than none.
         let best = fresh.iter().map(|seat| {
             let penalty = if self.policy.penalties { seat.until.since(now) } else { 0 };
@@ -194,8 +198,8 @@
             (penalty, expected * (1.0 + self.rng.random_range(0.0..0.1)), seat)
         });
         let best = best.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        let Some((penalty, expected, seat)) = best else { return Err(Nowhere::AllTried) };
-        let said = &seat.endpoint.said;
+        let Some((penalty, expected, seat)) = best else { return Err(PickError::AllTried) };
+        let said = &seat.endpoint.announcement;
         let target = Target {
             id: said.id.clone(),
             address: said.address,
@@ -203,7 +207,7 @@
             running: seat.running,
             penalty_ms: penalty as u32,
         };
-        if let Some(seat) = self.seats.get_mut(&target.id) {
+        if let Some(seat) = self.endpoints.get_mut(&target.id) {
             seat.running += 1;
         }
         Ok(target)
@@ -211,7 +215,9 @@
 
     /// Tells whether an endpoint of a service is ready that fits.
     pub fn has_ready(&self, service: &str, fits: impl Fn(&str) -> bool) -> bool {
-        self.seats.values().any(|seat| seat.serves(service) && fits(&seat.endpoint.said.id))
+        self.endpoints
+            .values()
+            .any(|seat| seat.serves(service) && fits(&seat.endpoint.announcement.id))
     }
 
     /// Gives the endpoints of a service, among those that fit, that all processes prefer for one request, by
@@ -223,8 +229,8 @@
         count: usize,
         fits: impl Fn(&str) -> bool,
     ) -> BTreeSet<String> {
-        let ready = self.seats.values().filter(|seat| seat.serves(service));
-        let ready = ready.map(|seat| &*seat.endpoint.said.id).filter(|id| fits(id));
+        let ready = self.endpoints.values().filter(|seat| seat.serves(service));
+        let ready = ready.map(|seat| &*seat.endpoint.announcement.id).filter(|id| fits(id));
         let weigh = |id: &str| Fingerprint::of(format!("{request} {id}").as_bytes());
         let mut weighed: Vec<(Fingerprint, &str)> = ready.map(|id| (weigh(id), id)).collect();
         weighed.sort_unstable();
@@ -233,46 +239,46 @@
 
     /// Tells whether an endpoint may still be given work.
     pub fn is_ready(&self, id: &str) -> bool {
-        self.seats.get(id).is_some_and(|seat| seat.endpoint.standing == Standing::Ready)
+        self.endpoints.get(id).is_some_and(|seat| seat.endpoint.status == EndpointStatus::Ready)
     }
 
     /// Gives the time that half of a route's answers took lately, as measured here.
-    pub fn usual_ms(&self, route: &str) -> Option<f64> {
-        self.usual.get(route)?.median()
+    pub fn median_ms(&self, route: &str) -> Option<f64> {
+        self.recent_times.get(route)?.median()
     }
 
     /// Takes in how an attempt of a route ended.
-    pub fn ended(&mut self, id: &str, route: &str, ending: Ending, now: Millis) {
-        if let Ending::Answered(ms) = ending {
-            self.usual.entry(route.to_owned()).or_default().note(ms as f64);
+    pub fn record_outcome(&mut self, id: &str, route: &str, ending: AttemptOutcome, now: Millis) {
+        if let AttemptOutcome::Answered(ms) = ending {
+            self.recent_times.entry(route.to_owned()).or_default().note(ms as f64);
         }
-        let usual = self.usual_ms(route).unwrap_or(UNKNOWN_MS).max(1.0);
-        let Some(seat) = self.seats.get_mut(id) else { return };
+        let usual = self.median_ms(route).unwrap_or(UNKNOWN_MS).max(1.0);
+        let Some(seat) = self.endpoints.get_mut(id) else { return };
         seat.running = seat.running.saturating_sub(1);
         match ending {
-            Ending::Answered(ms) => {
+            AttemptOutcome::Answered(ms) => {
                 seat.failures = 0;
                 seat.until = Millis::default();
                 seat.measure(ms as f64 / usual, now);
             }
-            Ending::Dropped(ms) => {
+            AttemptOutcome::Dropped(ms) => {
                 let slowness = ms as f64 / usual;
                 if slowness > seat.slowness {
                     seat.measure(slowness, now);
                 }
             }
-            Ending::Refused => seat.until = now + PENALTY_MS,
-            Ending::Failed => {
+            AttemptOutcome::Refused => seat.until = now + PENALTY_MS,
+            AttemptOutcome::Failed => {
                 seat.failures += 1;
                 let doublings = (seat.failures - 1).min(DOUBLINGS);
                 seat.until = now + (PENALTY_MS << doublings);
             }
-            Ending::Moved => seat.moved = true,
+            AttemptOutcome::Moved => seat.moved = true,
         }
     }
 }
 
-impl Seat {
+impl EndpointState {
     fn new(endpoint: &Endpoint) -> Self {
         Self {
             endpoint: endpoint.clone(),
@@ -286,8 +292,8 @@
     }
 
     fn serves(&self, service: &str) -> bool {
-        let Endpoint { said, standing } = &self.endpoint;
-        said.service == service && *standing == Standing::Ready && !self.moved
+        let Endpoint { announcement: said, status: standing } = &self.endpoint;
+        said.service == service && *standing == EndpointStatus::Ready && !self.moved
     }
 
     fn measure(&mut self, slowness: f64, now: Millis) {
@@ -304,7 +310,7 @@
 
     /// Estimates how long one more attempt takes here that takes so long by itself.
     fn expected(&self, alone_ms: f64) -> f64 {
-        let slots = f64::from(self.endpoint.said.slots.max(1));
+        let slots = f64::from(self.endpoint.announcement.slots.max(1));
         alone_ms * (1.0 + f64::from(self.running) / slots)
     }
 }
--- a/components/fleet/src/plan/free.rs
+++ b/components/fleet/src/plan/candidates.rs
@@ -10,8 +10,8 @@
 
 use chicoryford_types::Millis;
 
-use super::seat::Seat;
-use super::seat::rank;
+use super::engine::EngineState;
+use super::engine::rank;
 
 /// An engine's rank when it was last looked at.
 #[derive(Clone, Copy, Debug)]
@@ -43,7 +43,7 @@
 /// Engines that fit a step, by rank.
 pub(super) struct Free<'a> {
     /// In the order of their identities.
-    seats: Vec<&'a mut Seat>,
+    seats: Vec<&'a mut EngineState>,
     /// A rank may be out of date: an engine can be taken for its group's sake while it is not first.
     order: BinaryHeap<Reverse<Ranked>>,
     usual: f64,
@@ -52,9 +52,13 @@
 
 impl<'a> Free<'a> {
     /// Ranks engines, which come in the order of their identities.
-    pub(super) fn new(seats: impl Iterator<Item = &'a mut Seat>, usual: f64, now: Millis) -> Self {
-        let seats: Vec<&'a mut Seat> = seats.filter(|seat| seat.room() > 0).collect();
-        let ranked = |(place, seat): (usize, &&mut Seat)| {
+    pub(super) fn new(
+        seats: impl Iterator<Item = &'a mut EngineState>,
+        usual: f64,
+        now: Millis,
+    ) -> Self {
+        let seats: Vec<&'a mut EngineState> = seats.filter(|seat| seat.free_slots() > 0).collect();
+        let ranked = |(place, seat): (usize, &&mut EngineState)| {
             Reverse(Ranked { rank: rank(seat, usual, now), place })
         };
         let order = seats.iter().enumerate().map(ranked).collect();
@@ -68,7 +72,7 @@
         model: &str,
         avoid: Option<&str>,
         home: Option<&str>,
-    ) -> Option<&Seat> {
+    ) -> Option<&EngineState> {
         let mut avoided = None;
         let best = loop {
             let Some(best) = self.first() else { break None };
@@ -80,11 +84,11 @@
         self.order.extend(avoided.map(Reverse));
         let best = best?;
         let home = home.filter(|home| avoid != Some(home)).and_then(|home| self.find(home));
-        let home =
-            home.filter(|place| self.seats[*place].room() > 0 && self.rank(*place) <= best.rank);
+        let home = home
+            .filter(|place| self.seats[*place].free_slots() > 0 && self.rank(*place) <= best.rank);
         let place = home.unwrap_or(best.place);
         *self.seats[place].running.entry(model.to_owned()).or_default() += 1;
-        if self.seats[best.place].room() > 0 {
+        if self.seats[best.place].free_slots() > 0 {
             self.order.push(Reverse(Ranked { rank: self.rank(best.place), ..best }));
         }
         Some(self.seats[place])
@@ -94,7 +98,7 @@
     fn first(&mut self) -> Option<Ranked> {
         loop {
             let Reverse(first) = self.order.pop()?;
-            if self.seats[first.place].room() == 0 {
+            if self.seats[first.place].free_slots() == 0 {
                 continue;
             }
             let rank = self.rank(first.place);
@@ -110,10 +114,10 @@
     }
 
     fn id(&self, place: usize) -> &str {
-        &self.seats[place].endpoint.said.id
+        &self.seats[place].endpoint.announcement.id
     }
 
     fn find(&self, id: &str) -> Option<usize> {
-        self.seats.binary_search_by(|seat| seat.endpoint.said.id.as_str().cmp(id)).ok()
+        self.seats.binary_search_by(|seat| seat.endpoint.announcement.id.as_str().cmp(id)).ok()
     }
 }
--- a/components/fleet/src/plan/seat.rs
+++ b/components/fleet/src/plan/engine.rs
@@ -5,14 +5,14 @@
 use chicoryford_types::Millis;
 
 use crate::endpoint::Endpoint;
-use crate::endpoint::Standing;
+use crate::endpoint::EndpointStatus;
 
 /// Milliseconds without news of a pace after which half of it is forgotten.
 pub(super) const HALF_MS: f64 = 2_000.0;
 
 /// What the planner knows of an engine.
 #[derive(Clone, Debug)]
-pub struct Seat {
+pub struct EngineState {
     /// What the engine announced.
     pub endpoint: Endpoint,
     /// Runs there, by model.
@@ -20,13 +20,13 @@
     /// The model that is being loaded there, or is about to be.
     pub loading: Option<String>,
     pub(super) pace_ms: f64,
-    pub(super) paced: Millis,
+    pub(super) paced_at: Millis,
     pub(super) failures: u32,
-    pub(super) until: Millis,
-    pub(super) moved: Option<u64>,
+    pub(super) blocked_until: Millis,
+    pub(super) moved_sequence: Option<u64>,
 }
 
-impl Seat {
+impl EngineState {
     /// Starts without runs.
     pub(super) fn new(endpoint: &Endpoint) -> Self {
         Self {
@@ -34,10 +34,10 @@
             running: BTreeMap::new(),
             loading: None,
             pace_ms: 0.0,
-            paced: Millis::default(),
+            paced_at: Millis::default(),
             failures: 0,
-            until: Millis::default(),
-            moved: None,
+            blocked_until: Millis::default(),
+            moved_sequence: None,
         }
     }
 
@@ -48,22 +48,23 @@
 
     /// Tells whether it may be given work.
     pub fn is_ready(&self, now: Millis) -> bool {
-        let heard_again = self.moved.is_none_or(|since| self.endpoint.said.sequence > since);
-        self.endpoint.standing == Standing::Ready && now >= self.until && heard_again
+        let heard_again =
+            self.moved_sequence.is_none_or(|since| self.endpoint.announcement.sequence > since);
+        self.endpoint.status == EndpointStatus::Ready && now >= self.blocked_until && heard_again
     }
 
-    pub(super) fn room(&self) -> u32 {
-        self.endpoint.said.slots.saturating_sub(self.load())
+    pub(super) fn free_slots(&self) -> u32 {
+        self.endpoint.announcement.slots.saturating_sub(self.load())
     }
 
     pub(super) fn pace(&self, now: Millis) -> f64 {
-        self.pace_ms * 0.5_f64.powf(now.since(self.paced) as f64 / HALF_MS)
+        self.pace_ms * 0.5_f64.powf(now.since(self.paced_at) as f64 / HALF_MS)
     }
 }
 
 /// Ranks an engine for one more run: the least loaded first, a slow one by how slow it is.
-pub(super) fn rank(seat: &Seat, usual: f64, now: Millis) -> f64 {
-    let slots = f64::from(seat.endpoint.said.slots.max(1));
+pub(super) fn rank(seat: &EngineState, usual: f64, now: Millis) -> f64 {
+    let slots = f64::from(seat.endpoint.announcement.slots.max(1));
     let load = f64::from(seat.load()) / slots;
     let slow = if usual > 0.0 { (seat.pace(now) / usual).max(1.0) } else { 1.0 };
     (1.0 + load) * slow
--- a/components/fleet/src/plan/gather.rs
+++ b/components/fleet/src/plan/listing.rs
@@ -4,18 +4,18 @@
 
 use chicoryford_types::Millis;
 
-use super::Plan;
-use super::work::Phase;
-use super::work::Work;
+use super::Planner;
+use super::samples::Phase;
+use super::samples::Work;
 
 /// Milliseconds for which verdicts wait for others in any case, so that they share a part, an entry of
 /// the log and a sync. It is short beside the half second between two reads of a trainer.
-pub const GATHER_MS: u64 = 25;
+pub const LIST_DELAY_MS: u64 = 25;
 /// Milliseconds for which the last verdicts of a step wait for each other while nobody waits for them:
 /// the time between two reads of a trainer.
-pub const LAST_MS: u64 = 500;
+pub const FINAL_LIST_DELAY_MS: u64 = 500;
 /// Milliseconds for which they wait at most: as long as a read of a trainer waits.
-pub const MOST_MS: u64 = 1_000;
+pub const MAX_LIST_DELAY_MS: u64 = 1_000;
 /// Milliseconds before a read is over at which what it waits for is listed. To write a part to the
 /// stores and to commit takes 10 to 20 ms.
 const LISTING_MS: u64 = 50;
@@ -32,7 +32,7 @@
 /// The share of a step's samples that are its last: one of ten.
 const FEW: usize = 10;
 
-impl Plan {
+impl Planner {
     /// Tells when verdicts of a step are to be listed. The first has waited since `since`; the read
     /// that waits for results and ends first does so at `read`.
     ///
@@ -47,12 +47,12 @@
     /// A read that would end less than half a second before the last results are expected is
     /// answered earlier, so that the next one has begun by then and lasts until they come.
     pub fn list_at(&self, step: &str, since: Millis, read: Option<Millis>) -> Millis {
-        let soon = since + GATHER_MS;
-        let work = self.works.get(step).filter(|_| self.policy.last_together);
+        let soon = since + LIST_DELAY_MS;
+        let work = self.steps.get(step).filter(|_| self.policy.last_together);
         if !work.is_some_and(Work::ends_soon) {
             return soon;
         }
-        let Some(read) = read else { return since + LAST_MS };
+        let Some(read) = read else { return since + FINAL_LIST_DELAY_MS };
         let mut at = read.0.saturating_sub(LISTING_MS);
         if let Some(Millis(end)) = work.and_then(|work| self.expected_end(work))
             && self.policy.timed_reads
@@ -62,13 +62,13 @@
         {
             at = at.min(end.saturating_sub(READ_AHEAD_MS));
         }
-        Millis(at).clamp(soon, since + MOST_MS)
+        Millis(at).clamp(soon, since + MAX_LIST_DELAY_MS)
     }
 
     /// Tells when the last results of a step are expected: when its runs are as long as the longest
     /// sample that its model made lately. Shorter ones end before; none if some have not begun.
     fn expected_end(&self, work: &Work) -> Option<Millis> {
-        let longest = self.longest.get(&work.step.model)?.most();
+        let longest = self.longest_outputs.get(&work.step.model)?.most();
         let mut end = Millis::default();
         for progress in &work.progress {
             match progress.phase {
@@ -76,23 +76,23 @@
                 Phase::Waiting => return None,
                 Phase::Running => {}
             }
-            let seat = self.seats.get(progress.seat.as_ref()?)?;
-            let pace = if seat.pace_ms > 0.0 { seat.pace_ms } else { self.usual_ms };
-            let left = longest.saturating_sub(progress.made.events.len());
-            end = end.max(progress.heard + (left as f64 * pace) as u64 + SCORING_MS);
+            let seat = self.engines.get(progress.engine.as_ref()?)?;
+            let pace = if seat.pace_ms > 0.0 { seat.pace_ms } else { self.median_pace_ms };
+            let left = longest.saturating_sub(progress.output.events.len());
+            end = end.max(progress.last_event + (left as f64 * pace) as u64 + SCORING_MS);
         }
         Some(end)
     }
 
     /// Notes how many events a sample of a model came to.
-    pub(super) fn note_length(&mut self, model: &str, events: usize) {
-        let longest = self.longest.entry(model.to_owned()).or_default();
+    pub(super) fn record_length(&mut self, model: &str, events: usize) {
+        let longest = self.longest_outputs.entry(model.to_owned()).or_default();
         longest.now = longest.now.max(events);
     }
 
     /// Begins to look anew for the longest sample of a model: a step of it was opened.
-    pub(super) fn note_step(&mut self, model: &str) {
-        let longest = self.longest.entry(model.to_owned()).or_default();
+    pub(super) fn record_step_opened(&mut self, model: &str) {
+        let longest = self.longest_outputs.entry(model.to_owned()).or_default();
         longest.before = std::mem::take(&mut longest.now);
     }
 }
@@ -125,6 +125,6 @@
             let group = if sample.group.is_empty() { &sample.id } else { &sample.group };
             *whole.entry(group).or_insert(true) &= progress.phase == Phase::Settled;
         }
-        whole.values().filter(|whole| **whole).count() as u64 >= self.step.wanted
+        whole.values().filter(|whole| **whole).count() as u64 >= self.step.wanted_groups
     }
 }
--- a/components/fleet/src/plan/reports.rs
+++ b/components/fleet/src/plan/reports.rs
@@ -2,15 +2,15 @@
 
 use chicoryford_types::Millis;
 
-use super::Plan;
-use super::work::Next;
-use super::work::Phase;
-use super::work::Progress;
-use super::work::RunEnd;
-use super::work::Told;
+use super::Planner;
+use super::samples::AfterRun;
+use super::samples::Phase;
+use super::samples::Progress;
+use super::samples::ReportAction;
+use super::samples::RunEnd;
 use crate::config::Config;
 use crate::run;
-use crate::run::Report;
+use crate::run::RunReport;
 use crate::step::Sample;
 
 /// Milliseconds for which an engine is left alone after a failure; doubled for each further one.
@@ -40,100 +40,101 @@
     }
 }
 
-impl Plan {
+impl Planner {
     /// Takes in what a host tells of a run, and tells what follows.
-    pub fn told(&mut self, host: &str, report: &Report, now: Millis) -> Told {
-        let Some(work) = self.works.get_mut(&report.step) else { return Told::Stop };
+    pub fn record_report(&mut self, host: &str, report: &RunReport, now: Millis) -> ReportAction {
+        let Some(work) = self.steps.get_mut(&report.step) else { return ReportAction::Stop };
         let Some(progress) = work.progress.get_mut(report.index as usize) else {
-            return Told::Stop;
+            return ReportAction::Stop;
         };
         progress.cost.merge(&report.cost);
-        progress.until = progress.until.min(now + report.left_ms);
+        progress.deadline = progress.deadline.min(now + report.remaining_ms);
         let live = matches!(progress.phase, Phase::Running | Phase::Scoring);
         let same = progress.host.as_deref() == Some(host) && progress.run == report.run;
         let claimed = progress.phase == Phase::Waiting && progress.claimable;
         if claimed && report.from > 0 {
             // It was sent before the host was asked to tell all of it. Stopped for this, the run
             // would begin anew, and with it all that it has made.
-            return Told::Later;
+            return ReportAction::Defer;
         }
         if claimed {
             // The leader did not know of this run: it was begun under the leader before.
             work.waiting -= 1;
             progress.phase = Phase::Running;
-            progress.seat = Some(report.endpoint.clone());
+            progress.engine = Some(report.endpoint.clone());
             progress.host = Some(host.to_owned());
             progress.run = report.run;
             progress.cost.crashes = report.cost.crashes;
-            progress.began = now;
-            if let Some(seat) = self.seats.get_mut(&report.endpoint) {
+            progress.started = now;
+            if let Some(seat) = self.engines.get_mut(&report.endpoint) {
                 *seat.running.entry(work.step.model.clone()).or_default() += 1;
             }
         } else if !live || !same {
-            return Told::Stop;
+            return ReportAction::Stop;
         }
-        progress.told = true;
-        let before = progress.made.events.len();
-        if !report.add_to(&mut progress.made) {
-            return Told::Stop;
+        progress.reported = true;
+        let before = progress.output.events.len();
+        if !report.append_to(&mut progress.output) {
+            return ReportAction::Stop;
         }
-        progress.noted = progress.noted.min(progress.made.events.len());
-        if progress.made.events.len() > before {
-            progress.heard = now;
+        progress.checkpointed = progress.checkpointed.min(progress.output.events.len());
+        if progress.output.events.len() > before {
+            progress.last_event = now;
             progress.cost.crashes = 0;
         }
-        if report.standing == run::Standing::Scoring && progress.phase == Phase::Running {
+        if report.status == run::RunStatus::Scoring && progress.phase == Phase::Running {
             progress.phase = Phase::Scoring;
-            let seat = progress.seat.take();
+            let seat = progress.engine.take();
             let model = work.step.model.clone();
-            let events = progress.made.events.len();
-            self.free(seat.as_deref(), &model);
-            self.note_length(&model, events);
+            let events = progress.output.events.len();
+            self.release_slot(seat.as_deref(), &model);
+            self.record_length(&model, events);
         }
         if report.gap_ms > 0 {
-            self.pace(&report.endpoint, f64::from(report.gap_ms), now);
+            self.record_pace(&report.endpoint, f64::from(report.gap_ms), now);
         }
-        Told::GoOn
+        ReportAction::Continue
     }
 
-    pub(super) fn pace(&mut self, seat: &str, gap: f64, now: Millis) {
-        let Some(seat) = self.seats.get_mut(seat) else { return };
+    pub(super) fn record_pace(&mut self, seat: &str, gap: f64, now: Millis) {
+        let Some(seat) = self.engines.get_mut(seat) else { return };
         let pace = seat.pace_ms;
         seat.pace_ms = if pace > 0.0 { pace + NEWEST * (gap - pace) } else { gap };
-        seat.paced = now;
+        seat.paced_at = now;
         seat.failures = 0;
-        if self.usual_ms == 0.0 {
-            self.usual_ms = gap;
+        if self.median_pace_ms == 0.0 {
+            self.median_pace_ms = gap;
         }
     }
 
     /// Takes the runs of a host away: it is lost. They go on elsewhere after the last event told.
-    pub fn orphan(&mut self, host: &str) -> usize {
-        self.orphan_if(host, |_| true)
+    pub fn orphan_runs(&mut self, host: &str) -> usize {
+        self.orphan_runs_if(host, |_| true)
     }
 
     /// Notes that a host has connected anew and is about to tell of its runs.
-    pub fn mark_untold(&mut self, host: &str) {
-        let all = self.works.values_mut().flat_map(|work| &mut work.progress);
-        all.filter(|progress| progress.host.as_deref() == Some(host)).for_each(|p| p.told = false);
+    pub fn mark_unreported(&mut self, host: &str) {
+        let all = self.steps.values_mut().flat_map(|work| &mut work.progress);
+        all.filter(|progress| progress.host.as_deref() == Some(host))
+            .for_each(|p| p.reported = false);
     }
 
     /// Takes the runs of a host away of which it did not tell since it connected: its process is
     /// another one than that which had them.
-    pub fn orphan_untold(&mut self, host: &str) -> usize {
-        self.orphan_if(host, |progress| !progress.told)
+    pub fn orphan_unreported_runs(&mut self, host: &str) -> usize {
+        self.orphan_runs_if(host, |progress| !progress.reported)
     }
 
-    fn orphan_if(&mut self, host: &str, lost: impl Fn(&Progress) -> bool) -> usize {
+    fn orphan_runs_if(&mut self, host: &str, lost: impl Fn(&Progress) -> bool) -> usize {
         let mut orphaned = Vec::new();
-        for work in self.works.values_mut() {
+        for work in self.steps.values_mut() {
             for progress in &mut work.progress {
                 let live = matches!(progress.phase, Phase::Running | Phase::Scoring);
                 if !live || progress.host.as_deref() != Some(host) || !lost(progress) {
                     continue;
                 }
                 let ran = progress.phase == Phase::Running;
-                orphaned.push((ran, progress.seat.take(), work.step.model.clone()));
+                orphaned.push((ran, progress.engine.take(), work.step.model.clone()));
                 progress.phase = Phase::Waiting;
                 progress.host = None;
                 progress.claimable = true;
@@ -141,60 +142,61 @@
             }
         }
         for (_, seat, model) in orphaned.iter().filter(|(ran, _, _)| *ran) {
-            self.free(seat.as_deref(), model);
+            self.release_slot(seat.as_deref(), model);
         }
         orphaned.len()
     }
 
     /// Takes in how a run ended. A sample that is to be given up stands as it did until its verdict is
     /// noted ([`Self::settled`]).
-    pub fn ended(&mut self, step: &str, index: u32, end: RunEnd, now: Millis) -> Next {
-        let Some(work) = self.works.get_mut(step) else { return Next::Nothing };
+    pub fn record_run_end(&mut self, step: &str, index: u32, end: RunEnd, now: Millis) -> AfterRun {
+        let Some(work) = self.steps.get_mut(step) else { return AfterRun::Nothing };
         let attempts = work.step.attempts;
         let model = work.step.model.clone();
         let progress = &mut work.progress[index as usize];
         if progress.phase != Phase::Running {
-            return Next::Nothing;
+            return AfterRun::Nothing;
         }
-        let seat = progress.seat.clone();
+        let seat = progress.engine.clone();
         progress.host = None;
-        progress.avoid = None;
+        progress.avoided_engine = None;
         match end {
             RunEnd::Unfit => progress.cost.unfit = true,
             RunEnd::Failed => progress.cost.failures += 1,
             RunEnd::Taken => {
-                progress.moved += 1;
-                progress.avoid.clone_from(&seat);
+                progress.moves += 1;
+                progress.avoided_engine.clone_from(&seat);
             }
             RunEnd::Crashed => {
                 progress.cost.crashes += 1;
-                progress.rests = now + rest_ms(progress.cost.crashes);
+                progress.blocked_until = now + rest_ms(progress.cost.crashes);
             }
             RunEnd::Full | RunEnd::Moved | RunEnd::Broken | RunEnd::Late => {}
         }
-        let next = if progress.cost.is_over(attempts) { Next::GiveUp } else { Next::Again };
-        if next == Next::Again {
+        let next =
+            if progress.cost.is_exhausted(attempts) { AfterRun::GiveUp } else { AfterRun::Again };
+        if next == AfterRun::Again {
             progress.phase = Phase::Waiting;
-            progress.seat = None;
+            progress.engine = None;
             work.waiting += 1;
-            self.free(seat.as_deref(), &model);
+            self.release_slot(seat.as_deref(), &model);
         }
-        self.judge(seat.as_deref(), end, now);
+        self.penalize(seat.as_deref(), end, now);
         next
     }
 
-    pub(super) fn judge(&mut self, seat: Option<&str>, end: RunEnd, now: Millis) {
-        let Some(seat) = seat.and_then(|id| self.seats.get_mut(id)) else { return };
+    pub(super) fn penalize(&mut self, seat: Option<&str>, end: RunEnd, now: Millis) {
+        let Some(seat) = seat.and_then(|id| self.engines.get_mut(id)) else { return };
         match end {
-            RunEnd::Full => seat.until = now + FULL_MS,
-            RunEnd::Moved => seat.moved = Some(seat.endpoint.said.sequence),
+            RunEnd::Full => seat.blocked_until = now + FULL_MS,
+            RunEnd::Moved => seat.moved_sequence = Some(seat.endpoint.announcement.sequence),
             // An engine that fails at once is always the idlest. Given work again at once, it has samples
             // of whole steps fail as often as they may; a sample that fails by itself costs a good engine
             // 0.2 s, in which others take what comes.
             RunEnd::Broken | RunEnd::Crashed | RunEnd::Failed => {
                 seat.failures += 1;
                 let doublings = (seat.failures - 1).min(DOUBLINGS);
-                seat.until = now + (PENALTY_MS << doublings);
+                seat.blocked_until = now + (PENALTY_MS << doublings);
             }
             RunEnd::Unfit | RunEnd::Taken | RunEnd::Late => {}
         }
@@ -202,25 +204,25 @@
 
     /// Notes that a sample's verdict is on its way into the log. Gives the sample's identity; none
     /// if its step is over, or it had a verdict before.
-    pub fn settled(&mut self, step: &str, index: u32) -> Option<String> {
-        let work = self.works.get_mut(step)?;
+    pub fn settle(&mut self, step: &str, index: u32) -> Option<String> {
+        let work = self.steps.get_mut(step)?;
         let progress = &mut work.progress[index as usize];
         let before = std::mem::replace(&mut progress.phase, Phase::Settled);
-        let (seat, model) = (progress.seat.take(), work.step.model.clone());
+        let (seat, model) = (progress.engine.take(), work.step.model.clone());
         let sample = work.step.samples[index as usize].id.clone();
         work.waiting -= usize::from(before == Phase::Waiting);
         if before == Phase::Running {
-            self.free(seat.as_deref(), &model);
+            self.release_slot(seat.as_deref(), &model);
         }
         (before != Phase::Settled).then_some(sample)
     }
 
     /// Gives the waiting samples that have failed as often as they may, in a step before this one.
-    pub fn failed_before(&self) -> Vec<(String, u32)> {
+    pub fn exhausted_samples(&self) -> Vec<(String, u32)> {
         let mut failed = Vec::new();
-        for (id, work) in self.works.iter().filter(|(_, work)| work.waiting > 0) {
+        for (id, work) in self.steps.iter().filter(|(_, work)| work.waiting > 0) {
             for (index, progress) in work.progress.iter().enumerate() {
-                let over = progress.cost.is_over(work.step.attempts);
+                let over = progress.cost.is_exhausted(work.step.attempts);
                 if progress.phase == Phase::Waiting && over {
                     failed.push((id.clone(), index as u32));
                 }
@@ -230,10 +232,10 @@
     }
 
     /// Gives the samples that have become too old, or whose route is gone.
-    pub fn too_old(&self, config: &Config, now: Millis) -> Vec<(String, u32)> {
+    pub fn expired_samples(&self, config: &Config, now: Millis) -> Vec<(String, u32)> {
         let mut lost = Vec::new();
-        for (id, work) in &self.works {
-            let old = now.since(work.at) >= work.step.age_ms;
+        for (id, work) in &self.steps {
+            let old = now.since(work.submitted_at) >= work.step.age_ms;
             let gone = |sample: &Sample| config.find(&work.step.host, &sample.path).is_none();
             for (index, progress) in work.progress.iter().enumerate() {
                 let waits = progress.phase == Phase::Waiting;
--- a/components/fleet/src/plan/work.rs
+++ b/components/fleet/src/plan/samples.rs
@@ -12,24 +12,24 @@
 
 /// What was made of a sample so far.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Made {
+pub struct SampleOutput {
     /// The data of the events, in order.
     pub events: Vec<String>,
     /// The number of the last event.
-    pub last: Option<String>,
+    pub last_id: Option<String>,
     /// The versions that made them, oldest first.
     pub versions: Vec<u64>,
 }
 
 /// What was made of a sample from an event on, as it is noted on the stores.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Note {
+pub struct Checkpoint {
     /// The place of the sample in its step.
     pub index: u32,
     /// The place of the first event.
     pub from: u32,
     /// The events from there on, the number of the last, and all versions so far.
-    pub made: Made,
+    pub output: SampleOutput,
 }
 
 /// How a run ended.
@@ -55,7 +55,7 @@
 
 /// What becomes of a sample after its run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Next {
+pub enum AfterRun {
     /// It waits for another run.
     Again,
     /// It is given up.
@@ -66,13 +66,13 @@
 
 /// What follows from a host's report.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Told {
+pub enum ReportAction {
     /// The host goes on with the run.
-    GoOn,
+    Continue,
     /// The host is to stop it: it was begun elsewhere, or it is over.
     Stop,
     /// Nothing yet: the run is of the leader before, and the host is about to tell all of it.
-    Later,
+    Defer,
 }
 
 /// A sample that is to run now.
@@ -91,15 +91,15 @@
     /// The version of the model there.
     pub version: u64,
     /// What was made of it so far.
-    pub made: Made,
+    pub output: SampleOutput,
     /// What it has cost so far.
     pub cost: Cost,
     /// Milliseconds until it is too old.
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     /// Runs that the engine had already.
-    pub beside: u32,
+    pub other_runs: u32,
     /// When it was assigned.
-    pub began: Millis,
+    pub started: Millis,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -112,28 +112,28 @@
 
 pub(super) struct Progress {
     pub(super) phase: Phase,
-    pub(super) seat: Option<String>,
+    pub(super) engine: Option<String>,
     /// The run, and the VM that hosts it.
     pub(super) run: u64,
     pub(super) host: Option<String>,
     /// An engine that was too slow for it.
-    pub(super) avoid: Option<String>,
+    pub(super) avoided_engine: Option<String>,
     /// Whether a host that is not known yet may be running it, as one does that was cut off, or
     /// that was told to by the leader before.
     pub(super) claimable: bool,
     /// Whether its host has told of it since it connected.
-    pub(super) told: bool,
-    pub(super) began: Millis,
-    pub(super) heard: Millis,
-    pub(super) made: Made,
+    pub(super) reported: bool,
+    pub(super) started: Millis,
+    pub(super) last_event: Millis,
+    pub(super) output: SampleOutput,
     /// Events that are noted on the stores.
-    pub(super) noted: usize,
+    pub(super) checkpointed: usize,
     pub(super) cost: Cost,
     /// When it is too old, as endpoints were told.
-    pub(super) until: Millis,
+    pub(super) deadline: Millis,
     /// Until when it is run nowhere, because it crashes engines.
-    pub(super) rests: Millis,
-    pub(super) moved: u32,
+    pub(super) blocked_until: Millis,
+    pub(super) moves: u32,
 }
 
 pub(super) struct Work {
@@ -141,11 +141,11 @@
     /// The samples' places, the longest expected first: a step is over when its last sample is,
     /// and the longest take most of the time that there is.
     pub(super) order: Vec<u32>,
-    pub(super) at: Millis,
+    pub(super) submitted_at: Millis,
     /// Until then its samples wait for hosts that may be running them.
-    pub(super) held: Millis,
+    pub(super) held_until: Millis,
     /// Whether all hosts were asked what they run of it.
-    pub(super) asked: bool,
+    pub(super) hosts_asked: bool,
     pub(super) progress: Vec<Progress>,
     pub(super) waiting: usize,
 }
--- a/components/fleet/src/plan/takeover.rs
+++ b/components/fleet/src/plan/takeover.rs
@@ -9,26 +9,26 @@
 
 use chicoryford_types::Millis;
 
-use super::Plan;
+use super::Planner;
 
-impl Plan {
+impl Planner {
     /// Notes which hosts have been asked what they run. Steps that are held now are held no longer
     /// than until all of them have told.
     pub fn await_hosts(&mut self, hosts: BTreeSet<String>, now: Millis) {
-        for work in self.works.values_mut().filter(|work| work.held > now) {
-            work.asked = true;
+        for work in self.steps.values_mut().filter(|work| work.held_until > now) {
+            work.hosts_asked = true;
         }
-        self.untold = hosts;
+        self.unreported_hosts = hosts;
     }
 
     /// Notes that a host has told of all its runs. One that was not asked yet tells when it
     /// connects, which is as good.
-    pub fn host_told(&mut self, host: &str) {
-        if !self.untold.remove(host) || !self.untold.is_empty() {
+    pub fn record_host_reported(&mut self, host: &str) {
+        if !self.unreported_hosts.remove(host) || !self.unreported_hosts.is_empty() {
             return;
         }
-        for work in self.works.values_mut().filter(|work| work.asked) {
-            work.held = Millis::default();
+        for work in self.steps.values_mut().filter(|work| work.hosts_asked) {
+            work.held_until = Millis::default();
         }
     }
 }
--- a/components/fleet/src/recent.rs
+++ b/components/fleet/src/result_cache.rs
@@ -6,12 +6,12 @@
 
 use std::collections::BTreeMap;
 
-use crate::step::REPLY_BYTES;
-use crate::step::Verdict;
+use crate::step::MAX_REPLY_BYTES;
+use crate::step::SampleResult;
 use crate::step::reply_bytes;
 
 /// The result of a sample, at some place of its step.
-type Placed = (String, Verdict);
+type Placed = (String, SampleResult);
 
 struct Known {
     total: u64,
@@ -22,7 +22,7 @@
 }
 
 /// What was read lately, within a bound.
-pub struct Recent {
+pub struct ResultCache {
     bound: usize,
     bytes: usize,
     uses: u64,
@@ -31,18 +31,18 @@
 
 /// Results from a place on.
 #[derive(Debug, Eq, PartialEq)]
-pub struct Read<'a> {
+pub struct CachedResults<'a> {
     /// The samples of the step.
     pub total: u64,
     /// Sample and verdict, in the order of their places; one at least.
-    pub results: Vec<(&'a str, &'a Verdict)>,
+    pub results: Vec<(&'a str, &'a SampleResult)>,
     /// Whether there can be no more in one reply: the step has none, or they would not fit. Others
     /// may have been listed since; a reader who begins at the same place each time would never
     /// see them if nobody asked.
-    pub whole: bool,
+    pub full: bool,
 }
 
-impl Recent {
+impl ResultCache {
     /// Starts with nothing; keeps about this many bytes.
     pub fn new(bound: usize) -> Self {
         Self { bound, bytes: 0, uses: 0, steps: BTreeMap::new() }
@@ -73,24 +73,24 @@
 
     /// Gives the results from a place on, as many as are known in a row and fit into one reply;
     /// none if the first is not known.
-    pub fn get(&mut self, step: &str, after: u64) -> Option<Read<'_>> {
+    pub fn get(&mut self, step: &str, after: u64) -> Option<CachedResults<'_>> {
         let known = self.steps.get_mut(step)?;
         let mut results = Vec::new();
         let mut bytes = 0;
         for (place, (found, placed)) in (after..).zip(known.results.range(after..)) {
             bytes += size(placed);
-            if *found != place || (bytes > REPLY_BYTES && !results.is_empty()) {
+            if *found != place || (bytes > MAX_REPLY_BYTES && !results.is_empty()) {
                 break;
             }
             results.push((placed.0.as_str(), &placed.1));
         }
-        let whole = bytes > REPLY_BYTES || after + results.len() as u64 >= known.total;
+        let whole = bytes > MAX_REPLY_BYTES || after + results.len() as u64 >= known.total;
         if results.is_empty() {
             return None;
         }
         self.uses += 1;
         known.used = self.uses;
-        Some(Read { total: known.total, results, whole })
+        Some(CachedResults { total: known.total, results, full: whole })
     }
 
     /// Forgets the steps that were used least lately until the rest fits.
@@ -107,8 +107,8 @@
 
 fn size((sample, verdict): &Placed) -> usize {
     let text = match verdict {
-        Verdict::Completed { text, .. } => text.len(),
-        Verdict::GivenUp => 0,
+        SampleResult::Completed { text, .. } => text.len(),
+        SampleResult::GivenUp => 0,
     };
     reply_bytes(sample, text)
 }
--- a/components/fleet/src/run.rs
+++ b/components/fleet/src/run.rs
@@ -10,21 +10,21 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::plan::Made;
 use crate::plan::RunEnd;
+use crate::plan::SampleOutput;
 use crate::step::Sample;
 
 /// What a request has cost so far, over all passes in which it was carried: each goes from endpoint to
 /// endpoint until one answers or its time is up.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Spent {
+pub struct CallCost {
     /// Answers that it failed.
     pub failures: u32,
     /// The endpoints that may have run it.
     pub endpoints: BTreeSet<String>,
 }
 
-impl Spent {
+impl CallCost {
     /// Adds what another process knows.
     pub fn merge(&mut self, other: &Self) {
         self.failures = self.failures.max(other.failures);
@@ -43,7 +43,7 @@
     /// Engines that crashed since the last event of it was made.
     pub crashes: u32,
     /// The calls of its scorer.
-    pub scorer: Spent,
+    pub scorer: CallCost,
 }
 
 impl Cost {
@@ -60,7 +60,7 @@
     }
 
     /// Tells whether the sample is not to run again on a route that allows so many failures.
-    pub fn is_over(&self, attempts: u32) -> bool {
+    pub fn is_exhausted(&self, attempts: u32) -> bool {
         self.unfit || self.failures >= attempts.max(1)
     }
 }
@@ -88,20 +88,20 @@
     /// The version of the model there.
     pub version: u64,
     /// The oldest version that may generate.
-    pub least: u64,
+    pub min_version: u64,
     /// Whether one version must generate all of it.
-    pub single: bool,
+    pub single_version: bool,
     /// Milliseconds until the sample is too old, and no endpoint is to work for it any more.
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     /// What was made so far.
-    pub made: Made,
+    pub output: SampleOutput,
     /// What it has cost so far.
     pub cost: Cost,
 }
 
 /// What a host is to do.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub enum Work {
+pub enum HostCommand {
     /// Carry out a run, in place of one of the same sample.
     Run(Box<Job>),
     /// Tell of all runs again: the leader may not have known of their steps.
@@ -119,7 +119,7 @@
 
 /// How a run stands.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub enum Standing {
+pub enum RunStatus {
     /// Events are coming.
     Running,
     /// All events came; the scorer is being called.
@@ -134,7 +134,7 @@
 
 /// What a host tells of a run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Report {
+pub struct RunReport {
     /// The run.
     pub run: u64,
     /// The step.
@@ -144,31 +144,31 @@
     /// The incarnation of the engine.
     pub endpoint: String,
     /// How the run stands.
-    pub standing: Standing,
+    pub status: RunStatus,
     /// The place of the first event that is told here.
     pub from: u32,
     /// The events from there on, the number of the last, and all versions so far.
-    pub made: Made,
+    pub output: SampleOutput,
     /// Mean milliseconds between the events told here; zero if there are too few.
     pub gap_ms: u32,
     /// What the sample had cost before this run ended.
     pub cost: Cost,
     /// Milliseconds until the sample is too old, as the host was told; the next leader may know less of how
     /// long ago it was submitted.
-    pub left_ms: u64,
+    pub remaining_ms: u64,
 }
 
-impl Report {
+impl RunReport {
     /// Adds what is told to what was known; tells whether they fit together.
-    pub fn add_to(&self, known: &mut Made) -> bool {
+    pub fn append_to(&self, known: &mut SampleOutput) -> bool {
         let from = self.from as usize;
         if from > known.events.len() {
             return false;
         }
         known.events.truncate(from);
-        known.events.extend(self.made.events.iter().cloned());
-        known.last.clone_from(&self.made.last);
-        known.versions.clone_from(&self.made.versions);
+        known.events.extend(self.output.events.iter().cloned());
+        known.last_id.clone_from(&self.output.last_id);
+        known.versions.clone_from(&self.output.versions);
         true
     }
 }
--- a/components/fleet/src/events.rs
+++ b/components/fleet/src/sse.rs
@@ -6,12 +6,12 @@
 /// Takes pieces of a stream and gives whole events. A piece may end anywhere, also in the middle
 /// of a line; what a stream that breaks off leaves unfinished is no event.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct SseReader {
     rest: Vec<u8>,
     fields: Fields,
 }
 
-impl Reader {
+impl SseReader {
     /// Takes a piece and gives the events that it completes.
     pub fn feed(&mut self, piece: &[u8]) -> Vec<Fields> {
         self.rest.extend_from_slice(piece);
@@ -34,7 +34,7 @@
     }
 
     /// Tells whether the stream stands between two events, so that its end loses nothing.
-    pub fn is_between(&self) -> bool {
+    pub fn is_at_boundary(&self) -> bool {
         self.rest.is_empty() && self.fields.is_empty()
     }
 }
--- a/components/fleet/src/state.rs
+++ b/components/fleet/src/state.rs
@@ -10,16 +10,16 @@
 
 use crate::config::Config;
 use crate::copies::PartId;
-use crate::copies::Place;
+use crate::copies::Placement;
 use crate::copies::StoreId;
 use crate::crashes;
 use crate::crashes::Crash;
 use crate::duty::Holding;
 use crate::endpoint::Endpoint;
-use crate::step::Listed;
-use crate::step::Outline;
-use crate::usage::Book;
+use crate::step::ListedResult;
+use crate::step::StepSummary;
 use crate::usage::Totals;
+use crate::usage::UsageState;
 
 /// A change of the state.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
@@ -36,18 +36,18 @@
     /// Submits a step, whose samples lie in a part.
     Submit {
         /// The step.
-        step: Arc<Outline>,
+        step: Arc<StepSummary>,
         /// Where the part lies.
-        place: Place,
+        place: Placement,
     },
     /// Lists results of a step. A sample that is listed already stays as it is.
     List {
         /// The step.
         step: String,
         /// The part that holds their texts, and where it lies; none if there are no texts.
-        part: Option<(PartId, Place)>,
+        part: Option<(PartId, Placement)>,
         /// The results, in the order of their places.
-        results: Vec<Arc<Listed>>,
+        results: Vec<Arc<ListedResult>>,
     },
     /// Notes that a part holds what was made so far of some samples of a step.
     Note {
@@ -56,7 +56,7 @@
         /// The part.
         part: PartId,
         /// Where it lies.
-        place: Place,
+        place: Placement,
     },
     /// Notes what has changed of the endpoints that are known, for a leader that finds nobody who knows
     /// them. Were all noted each time, one of 3,000 endpoints that leaves would wait for half a
@@ -119,7 +119,7 @@
 
 /// What a command did.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Done {
+pub enum ApplyOutcome {
     /// It changed the state.
     Changed,
     /// The state held it already, or something newer.
@@ -132,11 +132,11 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct StepState {
     /// The step.
-    pub step: Arc<Outline>,
+    pub step: Arc<StepSummary>,
     /// When it was submitted, by the fleet's clock.
     pub at: u64,
     /// The results at their places.
-    pub results: Vec<Arc<Listed>>,
+    pub results: Vec<Arc<ListedResult>>,
     /// The samples that have a result.
     pub listed: BTreeSet<u32>,
     /// Parts with what was made so far of samples without results, oldest first.
@@ -163,7 +163,7 @@
     /// The step.
     pub step: String,
     /// Where it lies.
-    pub place: Place,
+    pub place: Placement,
 }
 
 /// The state.
@@ -186,14 +186,14 @@
     /// Who may call the platform; nobody before the first.
     pub holding: Option<Holding>,
     /// What workspaces have used.
-    pub usage: Book,
+    pub usage: UsageState,
     /// Contents that crash endpoints.
-    pub crashes: crashes::Book,
+    pub crashes: crashes::CrashState,
 }
 
 impl State {
     /// Applies a command.
-    pub fn apply(&mut self, stamped: Stamped) -> Done {
+    pub fn apply(&mut self, stamped: Stamped) -> ApplyOutcome {
         let Stamped { at, command } = stamped;
         self.clock = self.clock.max(at);
         match command {
@@ -202,47 +202,47 @@
             Command::Submit { step, place } => self.submit(step, place),
             Command::List { step, part, results } => self.list(&step, part, results),
             Command::Note { step, part, place } => self.note(&step, part, place),
-            Command::Know { live, gone } => self.know(live, &gone),
+            Command::Know { live, gone } => self.update_endpoints(live, &gone),
             Command::Move { part, stores } => self.move_part(part, stores),
             Command::End { step } => self.end(&step),
             Command::Forget { steps } => self.forget(&steps),
             Command::Hold(holding) => self.hold(holding),
-            Command::Use(totals) => self.take_usage(totals),
+            Command::Use(totals) => self.merge_usage(totals),
             Command::CloseWindow { window, accepted } => {
                 changed(self.usage.close(window, accepted))
             }
-            Command::Crash(crash) => changed(self.crashes.crashed(crash, self.clock)),
-            Command::Clear(content) => changed(self.crashes.cleared(content)),
+            Command::Crash(crash) => changed(self.crashes.record_crash(crash, self.clock)),
+            Command::Clear(content) => changed(self.crashes.clear_suspect(content)),
             Command::Retire { node } => changed(self.retired.insert(node)),
         }
     }
 
-    fn hold(&mut self, next: Holding) -> Done {
-        let yields = self.holding.as_ref().is_none_or(|held| held.yields_to(&next, self.clock));
+    fn hold(&mut self, next: Holding) -> ApplyOutcome {
+        let yields = self.holding.as_ref().is_none_or(|held| held.can_pass_to(&next, self.clock));
         if yields {
             self.holding = Some(next);
         }
         changed(yields)
     }
 
-    fn take_usage(&mut self, totals: Vec<Totals>) -> Done {
-        let late = self.usage.take(totals);
+    fn merge_usage(&mut self, totals: Vec<Totals>) -> ApplyOutcome {
+        let late = self.usage.merge(totals);
         if late > 0 {
             tracing::warn!(event = "usage_late", requests = late);
         }
-        Done::Changed
+        ApplyOutcome::Changed
     }
 
-    fn know(&mut self, live: Vec<Endpoint>, gone: &[String]) -> Done {
+    fn update_endpoints(&mut self, live: Vec<Endpoint>, gone: &[String]) -> ApplyOutcome {
         for id in gone {
             self.endpoints.remove(id);
         }
-        let live = live.into_iter().map(|endpoint| (endpoint.said.id.clone(), endpoint));
+        let live = live.into_iter().map(|endpoint| (endpoint.announcement.id.clone(), endpoint));
         self.endpoints.extend(live);
-        Done::Changed
+        ApplyOutcome::Changed
     }
 
-    fn configure(&mut self, config: Arc<Config>) -> Done {
+    fn configure(&mut self, config: Arc<Config>) -> ApplyOutcome {
         let newer = self.config.as_ref().is_none_or(|held| held.version < config.version);
         if newer {
             self.config = Some(config);
@@ -250,16 +250,16 @@
         changed(newer)
     }
 
-    fn publish(&mut self, model: String, version: u64) -> Done {
+    fn publish(&mut self, model: String, version: u64) -> ApplyOutcome {
         let held = self.versions.entry(model).or_default();
         let newer = *held < version;
         *held = version.max(*held);
         changed(newer)
     }
 
-    fn submit(&mut self, step: Arc<Outline>, place: Place) -> Done {
+    fn submit(&mut self, step: Arc<StepSummary>, place: Placement) -> ApplyOutcome {
         if self.steps.contains_key(&step.id) {
-            return Done::Held;
+            return ApplyOutcome::Held;
         }
         let id = step.id.clone();
         self.parts.insert(step.part, Part { step: id.clone(), place });
@@ -272,16 +272,16 @@
             ended: None,
         };
         self.steps.insert(id, state);
-        Done::Changed
+        ApplyOutcome::Changed
     }
 
     fn list(
         &mut self,
         step: &str,
-        part: Option<(PartId, Place)>,
-        results: Vec<Arc<Listed>>,
-    ) -> Done {
-        let Some(state) = self.steps.get_mut(step) else { return Done::Unknown };
+        part: Option<(PartId, Placement)>,
+        results: Vec<Arc<ListedResult>>,
+    ) -> ApplyOutcome {
+        let Some(state) = self.steps.get_mut(step) else { return ApplyOutcome::Unknown };
         let before = state.results.len();
         for listed in results {
             if listed.index < state.step.samples && state.listed.insert(listed.index) {
@@ -297,24 +297,24 @@
         changed(more)
     }
 
-    fn note(&mut self, step: &str, part: PartId, place: Place) -> Done {
+    fn note(&mut self, step: &str, part: PartId, place: Placement) -> ApplyOutcome {
         let Some(state) = self.steps.get_mut(step).filter(|state| state.is_open()) else {
-            return Done::Held;
+            return ApplyOutcome::Held;
         };
         state.notes.push(part);
         self.parts.insert(part, Part { step: step.to_owned(), place });
-        Done::Changed
+        ApplyOutcome::Changed
     }
 
-    fn move_part(&mut self, part: PartId, stores: BTreeSet<StoreId>) -> Done {
-        let Some(known) = self.parts.get_mut(&part) else { return Done::Held };
-        known.place = Place::Stores(stores);
-        Done::Changed
+    fn move_part(&mut self, part: PartId, stores: BTreeSet<StoreId>) -> ApplyOutcome {
+        let Some(known) = self.parts.get_mut(&part) else { return ApplyOutcome::Held };
+        known.place = Placement::Stores(stores);
+        ApplyOutcome::Changed
     }
 
-    fn end(&mut self, step: &str) -> Done {
+    fn end(&mut self, step: &str) -> ApplyOutcome {
         let clock = self.clock;
-        let Some(state) = self.steps.get_mut(step) else { return Done::Unknown };
+        let Some(state) = self.steps.get_mut(step) else { return ApplyOutcome::Unknown };
         let first = state.ended.is_none();
         state.ended.get_or_insert(clock);
         let needless = std::mem::take(&mut state.notes);
@@ -322,7 +322,7 @@
         changed(first)
     }
 
-    fn forget(&mut self, steps: &[String]) -> Done {
+    fn forget(&mut self, steps: &[String]) -> ApplyOutcome {
         let before = self.steps.len();
         self.steps.retain(|id, _| !steps.contains(id));
         self.parts.retain(|_, part| !steps.contains(&part.step));
@@ -333,8 +333,8 @@
     pub fn store_nodes(&self) -> BTreeSet<String> {
         let places = self.parts.values().map(|part| &part.place);
         let stores = places.filter_map(|place| match place {
-            Place::Stores(stores) => Some(stores),
-            Place::Inline(_) => None,
+            Placement::Stores(stores) => Some(stores),
+            Placement::Inline(_) => None,
         });
         stores.flatten().map(|store| store.node.clone()).collect()
     }
@@ -349,6 +349,6 @@
     }
 }
 
-fn changed(yes: bool) -> Done {
-    if yes { Done::Changed } else { Done::Held }
+fn changed(yes: bool) -> ApplyOutcome {
+    if yes { ApplyOutcome::Changed } else { ApplyOutcome::Held }
 }
--- a/components/fleet/src/step.rs
+++ b/components/fleet/src/step.rs
@@ -9,13 +9,13 @@
 use crate::copies::PartId;
 
 /// Bytes of results in one reply; the bound of a reply is a megabyte.
-pub const REPLY_BYTES: usize = 900 << 10;
+pub const MAX_REPLY_BYTES: usize = 900 << 10;
 /// Bytes of a result beside its text and its sample's identity: field names, versions, score.
-const RESULT_FRAME: usize = 256;
+const RESULT_OVERHEAD_BYTES: usize = 256;
 
 /// Gives about how many bytes a result takes in a reply.
 pub fn reply_bytes(sample: &str, text: usize) -> usize {
-    text + sample.len() + RESULT_FRAME
+    text + sample.len() + RESULT_OVERHEAD_BYTES
 }
 
 /// A call that scores a finished sample.
@@ -45,7 +45,7 @@
     /// Tokens of the prompt and the most that may be generated.
     pub tokens: u64,
     /// Tokens that will be generated, as its sender guesses; right at the median, often far off.
-    pub expected: u64,
+    pub expected_tokens: u64,
     /// The group that shares its prompt; empty for a sample by itself.
     pub group: String,
     /// The call that scores it, if there is one.
@@ -66,9 +66,9 @@
     /// The number of the step at its trainer.
     pub number: u64,
     /// The oldest version of the weights that may generate.
-    pub least: u64,
+    pub min_version: u64,
     /// The groups that its trainer waits for.
-    pub wanted: u64,
+    pub wanted_groups: u64,
     /// The samples.
     pub samples: Vec<Sample>,
     /// Milliseconds after the submission at which results are due.
@@ -78,7 +78,7 @@
     /// Failures of a sample after which it may be given up.
     pub attempts: u32,
     /// Whether each sample must be made by one version.
-    pub single: bool,
+    pub single_version: bool,
     /// Its rank, zero first: that of its workspace, or else of its route.
     pub priority: u32,
     /// The workspace that submitted it, if a key was needed; endpoints are told.
@@ -87,7 +87,7 @@
 
 /// What became of a sample.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub enum Verdict {
+pub enum SampleResult {
     /// It was generated whole and scored.
     Completed {
         /// The data of its events, joined by line feeds.
@@ -103,30 +103,30 @@
 
 /// A result at its place among a step's results, as the log holds it.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Listed {
+pub struct ListedResult {
     /// The place of the sample in its step.
     pub index: u32,
     /// The sample.
     pub sample: String,
     /// What became of it.
-    pub result: Result,
+    pub result: StoredResult,
 }
 
-impl Listed {
+impl ListedResult {
     /// Gives the part that holds its text, if it has one.
     pub fn part(&self) -> Option<PartId> {
         match &self.result {
-            Result::Completed { part, .. } => Some(*part),
-            Result::GivenUp => None,
+            StoredResult::Completed { part, .. } => Some(*part),
+            StoredResult::GivenUp => None,
         }
     }
 
     /// Puts the verdict together with the texts of parts; none if its text is not among them.
-    pub fn verdict(&self, texts: &BTreeMap<PartId, Vec<String>>) -> Option<Verdict> {
-        let Result::Completed { part, place, versions, score, .. } = &self.result else {
-            return Some(Verdict::GivenUp);
+    pub fn with_text(&self, texts: &BTreeMap<PartId, Vec<String>>) -> Option<SampleResult> {
+        let StoredResult::Completed { part, place, versions, score, .. } = &self.result else {
+            return Some(SampleResult::GivenUp);
         };
-        Some(Verdict::Completed {
+        Some(SampleResult::Completed {
             text: texts.get(part)?.get(*place as usize)?.clone(),
             versions: versions.clone(),
             score: score.clone(),
@@ -136,7 +136,7 @@
 
 /// What the log holds of a verdict.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub enum Result {
+pub enum StoredResult {
     /// It was generated whole and scored.
     Completed {
         /// The part that holds its text.
@@ -156,7 +156,7 @@
 
 /// What the log holds of a step; the samples are in its first part.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Outline {
+pub struct StepSummary {
     /// Identifies the step.
     pub id: String,
     /// The model that generates.
--- a/components/fleet/src/swap.rs
+++ b/components/fleet/src/swap.rs
@@ -9,9 +9,9 @@
 
 use chicoryford_types::Millis;
 
-use crate::plan::Seat;
+use crate::order_lease::OrderLease;
+use crate::plan::EngineState;
 use crate::policy::Policy;
-use crate::turn::Turn;
 
 /// The share of a service's engines that may load at once: two of nine. Loads beyond it take
 /// longer in proportion, so more at once only takes more engines out of work.
@@ -29,22 +29,22 @@
 
 /// A model's claim to engines.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Claim {
+pub struct ModelDemand {
     /// The model.
     pub model: String,
     /// The version that its engines are to have.
     pub version: u64,
     /// How much it asks for, in tokens.
-    pub demand: u64,
+    pub tokens: u64,
     /// The most samples that it had open at once.
-    pub samples: usize,
+    pub peak_samples: usize,
     /// Samples that wait because no engine is new enough.
     pub starved: usize,
 }
 
 /// An engine that is to take new weights.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Wish {
+pub struct WeightLoad {
     /// The engine's incarnation.
     pub endpoint: String,
     /// The model.
@@ -61,22 +61,25 @@
 /// Divides engines among models by demand: each gets [`LEAST`] where there are enough, the rest
 /// goes by tokens, up to what a model has samples for. Engines keep their order, so that a change of
 /// demand moves few of them; those that nobody needs have no owner.
-pub fn divide<'a>(engines: &[&'a str], claims: &'a [Claim]) -> BTreeMap<&'a str, &'a str> {
+pub fn assign_engines<'a>(
+    engines: &[&'a str],
+    claims: &'a [ModelDemand],
+) -> BTreeMap<&'a str, &'a str> {
     let (count, models) = (engines.len(), claims.len());
     if models == 0 {
         return BTreeMap::new();
     }
     let least = LEAST.min(count / models);
     let spare = count - least * models;
-    let total: u64 = claims.iter().map(|claim| claim.demand.max(1)).sum();
+    let total: u64 = claims.iter().map(|claim| claim.tokens.max(1)).sum();
     let mut owners = BTreeMap::new();
     let (mut next, mut sum) = (0, 0);
     for (place, claim) in claims.iter().enumerate() {
-        sum += claim.demand.max(1);
+        sum += claim.tokens.max(1);
         let share = (spare as u64 * sum + total / 2) / total;
         let end = (least * (place + 1) + share as usize).min(count);
         let end = end.max(next);
-        let needed = claim.samples.div_ceil(EACH_SERVES).max(LEAST);
+        let needed = claim.peak_samples.div_ceil(EACH_SERVES).max(LEAST);
         for engine in engines[next..end].iter().take(needed) {
             owners.insert(*engine, claim.model.as_str());
         }
@@ -87,22 +90,24 @@
 
 /// Chooses the engines that take new weights now: first for models whose samples wait for them,
 /// then those furthest behind, then the idlest.
-pub fn wishes(
-    seats: &[&Seat],
-    claims: &[Claim],
-    turn: &Turn,
+pub fn select_loads(
+    seats: &[&EngineState],
+    claims: &[ModelDemand],
+    turn: &OrderLease,
     policy: Policy,
     now: Millis,
-) -> Vec<Wish> {
-    let mut engines: Vec<&str> = seats.iter().map(|seat| &*seat.endpoint.said.id).collect();
+) -> Vec<WeightLoad> {
+    let mut engines: Vec<&str> = seats.iter().map(|seat| &*seat.endpoint.announcement.id).collect();
     engines.sort_unstable();
-    let owners = divide(&engines, claims);
+    let owners = assign_engines(&engines, claims);
     let most = (seats.len() * AT_ONCE.0 / AT_ONCE.1).max(1);
     let busy = seats.iter().filter(|seat| seat.loading.is_some()).count();
-    let mut behind: Vec<(Urgency, Wish)> = Vec::new();
+    let mut behind: Vec<(Urgency, WeightLoad)> = Vec::new();
     for claim in claims {
-        let own = |seat: &&&Seat| owners.get(&*seat.endpoint.said.id) == Some(&&*claim.model);
-        let own: Vec<&Seat> = seats.iter().filter(own).copied().collect();
+        let own = |seat: &&&EngineState| {
+            owners.get(&*seat.endpoint.announcement.id) == Some(&&*claim.model)
+        };
+        let own: Vec<&EngineState> = seats.iter().filter(own).copied().collect();
         behind.extend(behind_of(&own, claim, turn, now));
     }
     if policy.load_order {
@@ -123,19 +128,24 @@
 /// held, then the runs there.
 type Urgency = (bool, bool, u64, u32);
 
-fn behind_of(own: &[&Seat], claim: &Claim, turn: &Turn, now: Millis) -> Vec<(Urgency, Wish)> {
-    let held = |seat: &Seat| seat.endpoint.said.models.get(&claim.model).copied();
-    let loading = |seat: &Seat| seat.loading.as_deref() == Some(&claim.model);
+fn behind_of(
+    own: &[&EngineState],
+    claim: &ModelDemand,
+    turn: &OrderLease,
+    now: Millis,
+) -> Vec<(Urgency, WeightLoad)> {
+    let held = |seat: &EngineState| seat.endpoint.announcement.models.get(&claim.model).copied();
+    let loading = |seat: &EngineState| seat.loading.as_deref() == Some(&claim.model);
     let new = own.iter().filter(|seat| held(seat) >= Some(claim.version) || loading(seat)).count();
     let enough = (own.len() * EACH.0).div_ceil(EACH.1);
     let mut left = enough.saturating_sub(new);
-    let mut able: Vec<&&Seat> = own
+    let mut able: Vec<&&EngineState> = own
         .iter()
         .filter(|seat| seat.loading.is_none() && seat.is_ready(now))
-        .filter(|seat| turn.may_order(&seat.endpoint.said.id, now))
+        .filter(|seat| turn.may_order(&seat.endpoint.announcement.id, now))
         .filter(|seat| held(seat).is_some_and(|held| held < claim.version))
         .collect();
-    able.sort_by_key(|seat| (held(seat), running(seat, claim), &seat.endpoint.said.id));
+    able.sort_by_key(|seat| (held(seat), running(seat, claim), &seat.endpoint.announcement.id));
     let mut behind = Vec::new();
     for seat in able {
         let version = held(seat).unwrap_or_default();
@@ -144,8 +154,8 @@
         let spare = !useless && left == 0;
         left = left.saturating_sub(1);
         let urgency = (spare, claim.starved == 0, version, running(seat, claim));
-        let wish = Wish {
-            endpoint: seat.endpoint.said.id.clone(),
+        let wish = WeightLoad {
+            endpoint: seat.endpoint.announcement.id.clone(),
             model: claim.model.clone(),
             version: claim.version,
         };
@@ -154,6 +164,6 @@
     behind
 }
 
-fn running(seat: &Seat, claim: &Claim) -> u32 {
+fn running(seat: &EngineState, claim: &ModelDemand) -> u32 {
     seat.running.get(&claim.model).copied().unwrap_or_default()
 }
--- a/components/fleet/src/usage/meter.rs
+++ b/components/fleet/src/usage/meter.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeSet;
 
 use super::Counts;
-use super::Life;
-use super::Told;
+use super::EntryProcess;
 use super::Totals;
+use super::UsageReport;
 
 /// Windows that are kept, to be told again to the next leader.
 const KEPT: usize = 12;
@@ -14,31 +14,31 @@
 /// Counts the requests that began to run, by window and workspace.
 #[derive(Debug, Default)]
 pub struct Meter {
-    life: Life,
+    process: EntryProcess,
     counts: BTreeMap<u64, Counts>,
     /// Counts that were not told since they grew.
-    untold: BTreeSet<(u64, String)>,
+    unreported: BTreeSet<(u64, String)>,
     /// Requests that are under way, by the window in which they came.
     running: BTreeMap<u64, u32>,
     /// The window before which all was told.
-    before: u64,
+    complete_before: u64,
 }
 
 impl Meter {
     /// Starts to count in a life that is told from all others.
-    pub fn new(life: Life) -> Self {
-        Self { life, ..Self::default() }
+    pub fn new(life: EntryProcess) -> Self {
+        Self { process: life, ..Self::default() }
     }
 
     /// Notes that a request came in a window. Until it has ended, the window is not told as complete:
     /// it is known only then whether it began to run, and when.
-    pub fn came(&mut self, window: u64) {
+    pub fn begin_request(&mut self, window: u64) {
         *self.running.entry(window).or_default() += 1;
     }
 
     /// Notes that a request has ended that came in a window, and in which window it began to run, if
     /// it did.
-    pub fn ended(&mut self, came: u64, workspace: &str, began: Option<u64>) {
+    pub fn end_request(&mut self, came: u64, workspace: &str, began: Option<u64>) {
         if let Some(running) = self.running.get_mut(&came) {
             *running -= 1;
             if *running == 0 {
@@ -48,39 +48,43 @@
         let Some(window) = began else { return };
         let count = self.counts.entry(window).or_default();
         *count.entry(workspace.to_owned()).or_default() += 1;
-        self.untold.insert((window, workspace.to_owned()));
+        self.unreported.insert((window, workspace.to_owned()));
         while self.counts.len() > KEPT {
             self.counts.pop_first();
         }
     }
 
     /// Begins to tell a leader that knows nothing.
-    pub fn start_over(&mut self) {
-        self.before = 0;
+    pub fn resend_all(&mut self) {
+        self.complete_before = 0;
         let all = self.counts.iter().flat_map(|(window, counts)| {
             counts.keys().map(move |workspace| (*window, workspace.clone()))
         });
-        self.untold = all.collect();
+        self.unreported = all.collect();
     }
 
     /// Gives what is to be told in the window that lasts now; none if there is no news.
-    pub fn tell(&mut self, window: u64) -> Option<Told> {
+    pub fn next_report(&mut self, window: u64) -> Option<UsageReport> {
         let first = self.running.first_key_value().map(|(first, _)| *first);
         let before = first.unwrap_or(window).min(window);
-        if self.untold.is_empty() && before <= self.before {
+        if self.unreported.is_empty() && before <= self.complete_before {
             return None;
         }
-        self.before = self.before.max(before);
+        self.complete_before = self.complete_before.max(before);
         let mut totals: BTreeMap<u64, Counts> = BTreeMap::new();
-        for (window, workspace) in std::mem::take(&mut self.untold) {
+        for (window, workspace) in std::mem::take(&mut self.unreported) {
             let count = self.counts.get(&window).and_then(|counts| counts.get(&workspace));
             if let Some(count) = count {
                 totals.entry(window).or_default().insert(workspace, *count);
             }
         }
-        let life = || self.life.clone();
+        let life = || self.process.clone();
         let totals =
-            totals.into_iter().map(|(window, counts)| Totals { life: life(), window, counts });
-        Some(Told { life: life(), before: self.before, totals: totals.collect() })
+            totals.into_iter().map(|(window, counts)| Totals { process: life(), window, counts });
+        Some(UsageReport {
+            process: life(),
+            complete_before: self.complete_before,
+            totals: totals.collect(),
+        })
     }
 }
--- a/components/fleet/src/usage/mod.rs
+++ b/components/fleet/src/usage/mod.rs
@@ -1,12 +1,12 @@
 //! What each workspace used: the requests that began to run in each window of time.
 //!
 //! Entries count ([`Meter`]) and tell the leader running totals, which it writes into the log
-//! ([`Book`]). A window is closed once all entries have told of it, or have been waited for long
-//! enough ([`Lives`]); from then on its counts never change, so whoever leads reports the same.
+//! ([`UsageState`]). A window is closed once all entries have told of it, or have been waited for long
+//! enough ([`ReportTracker`]); from then on its counts never change, so whoever leads reports the same.
 
-mod book;
-mod lives;
 mod meter;
+mod state;
+mod tracker;
 
 use std::collections::BTreeMap;
 
@@ -14,9 +14,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-pub use book::Book;
-pub use lives::Lives;
 pub use meter::Meter;
+pub use state::UsageState;
+pub use tracker::ReportTracker;
 
 /// Requests by workspace.
 pub type Counts = BTreeMap<String, u64>;
@@ -24,7 +24,7 @@
 /// One life of an entry's process. What it counted is gone with it, but for what it has told; the
 /// process that is started in its place counts anew, beside it.
 #[derive(Clone, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
-pub struct Life {
+pub struct EntryProcess {
     /// The VM.
     pub node: String,
     /// A number drawn at its start, not read from a clock that may be set back.
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Totals {
     /// The life.
-    pub life: Life,
+    pub process: EntryProcess,
     /// The window.
     pub window: u64,
     /// Its totals of the workspaces that have more than was told before.
@@ -45,11 +45,11 @@
 
 /// What an entry tells.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Told {
+pub struct UsageReport {
     /// Its life.
-    pub life: Life,
+    pub process: EntryProcess,
     /// It has told all of the windows before this one.
-    pub before: u64,
+    pub complete_before: u64,
     /// What it has counted since it told last.
     pub totals: Vec<Totals>,
 }
--- a/components/fleet/src/usage/book.rs
+++ b/components/fleet/src/usage/state.rs
@@ -6,26 +6,26 @@
 use serde::Serialize;
 
 use super::Counts;
-use super::Life;
+use super::EntryProcess;
 use super::Totals;
 
 /// Windows as the replicas agree on them.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Book {
+pub struct UsageState {
     /// The window that is closed next; none before the first.
     next: Option<u64>,
-    open: BTreeMap<u64, BTreeMap<Life, Counts>>,
+    open: BTreeMap<u64, BTreeMap<EntryProcess, Counts>>,
     /// Windows that are closed and not known to be accepted.
     closed: BTreeMap<u64, Counts>,
 }
 
-impl Book {
+impl UsageState {
     /// Takes in what entries have counted. What comes after its window was closed is left out: the
     /// window may have been reported, and a second report must say the same. Tells how many
     /// requests were left out so.
-    pub fn take(&mut self, totals: Vec<Totals>) -> u64 {
+    pub fn merge(&mut self, totals: Vec<Totals>) -> u64 {
         let mut late = 0;
-        for Totals { life, window, counts } in totals {
+        for Totals { process: life, window, counts } in totals {
             if self.next.is_some_and(|next| window < next) {
                 late += counts.values().sum::<u64>();
                 continue;
@@ -68,7 +68,7 @@
     }
 
     /// Gives the lives that have counted anything in windows that are open.
-    pub fn lives(&self) -> impl Iterator<Item = &Life> {
+    pub fn processes(&self) -> impl Iterator<Item = &EntryProcess> {
         self.open.values().flat_map(|lives| lives.keys())
     }
 
--- a/components/fleet/src/usage/lives.rs
+++ b/components/fleet/src/usage/tracker.rs
@@ -4,8 +4,8 @@
 
 use chicoryford_types::Millis;
 
-use super::Life;
-use super::Told;
+use super::EntryProcess;
+use super::UsageReport;
 
 /// Milliseconds after its end before which no window is closed: entries tell each quarter of a second.
 const LEAST_MS: u64 = 600;
@@ -18,24 +18,24 @@
 
 /// The lives of entries that a leader has heard of.
 #[derive(Debug)]
-pub struct Lives {
-    began: Millis,
-    before: BTreeMap<Life, u64>,
+pub struct ReportTracker {
+    leader_since: Millis,
+    complete_before: BTreeMap<EntryProcess, u64>,
 }
 
-impl Lives {
+impl ReportTracker {
     /// Starts when the leadership begins, with the lives that the log knows.
-    pub fn new(began: Millis, known: impl Iterator<Item = Life>) -> Self {
-        Self { began, before: known.map(|life| (life, 0)).collect() }
+    pub fn new(began: Millis, known: impl Iterator<Item = EntryProcess>) -> Self {
+        Self { leader_since: began, complete_before: known.map(|life| (life, 0)).collect() }
     }
 
     /// Takes in how far an entry has told. Its process before, if there was one on its VM, tells
     /// nothing more.
-    pub fn heard(&mut self, told: &Told) {
-        let Life { node, number } = &told.life;
-        self.before.retain(|life, _| life.node != *node || life.number == *number);
-        let before = self.before.entry(told.life.clone()).or_default();
-        *before = told.before.max(*before);
+    pub fn record(&mut self, told: &UsageReport) {
+        let EntryProcess { node, number } = &told.process;
+        self.complete_before.retain(|life, _| life.node != *node || life.number == *number);
+        let before = self.complete_before.entry(told.process.clone()).or_default();
+        *before = told.complete_before.max(*before);
     }
 
     /// Tells whether a window may be closed that ended `ended_ms` ago. Entries that are waited for in
@@ -45,15 +45,15 @@
             return false;
         }
         if ended_ms < LATEST_MS {
-            let whole = self.before.values().all(|before| *before > window);
-            return whole && now.since(self.began) >= GATHER_MS;
+            let whole = self.complete_before.values().all(|before| *before > window);
+            return whole && now.since(self.leader_since) >= GATHER_MS;
         }
-        if now.since(self.began) < GATHER_MS {
+        if now.since(self.leader_since) < GATHER_MS {
             // All processes may just have been lost, so that no window could be closed in time; what
             // entries that live have counted is still on its way.
             return false;
         }
-        self.before.retain(|_, before| *before > window);
+        self.complete_before.retain(|_, before| *before > window);
         true
     }
 }
--- a/components/fleet/src/line.rs
+++ b/components/fleet/src/wait_queue.rs
@@ -18,7 +18,7 @@
 
 /// A request's place: its rank, its virtual time, and a number that tells it from others.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Place {
+pub struct QueuePosition {
     rank: u32,
     tag: u64,
     number: u64,
@@ -26,51 +26,51 @@
 
 /// Requests that wait for a service.
 #[derive(Clone, Debug, Default)]
-pub struct Line {
+pub struct WaitQueue {
     fair: Fair,
-    waiting: BTreeSet<Place>,
-    number: u64,
-    opens: Millis,
+    waiting: BTreeSet<QueuePosition>,
+    last_number: u64,
+    paused_until: Millis,
 }
 
-impl Line {
+impl WaitQueue {
     /// Tells whether a request that comes now waits: others do, or all endpoints were full just now.
-    pub fn is_closed(&self, now: Millis) -> bool {
-        !self.waiting.is_empty() || now < self.opens
+    pub fn must_wait(&self, now: Millis) -> bool {
+        !self.waiting.is_empty() || now < self.paused_until
     }
 
     /// Takes in that a request found all endpoints full.
-    pub fn found_full(&mut self, now: Millis) {
-        self.opens = now + PAUSE_MS;
+    pub fn pause(&mut self, now: Millis) {
+        self.paused_until = now + PAUSE_MS;
     }
 
     /// Adds a request of a workspace.
-    pub fn join(&mut self, workspace: &str, rank: u32) -> Place {
-        self.number += 1;
+    pub fn push(&mut self, workspace: &str, rank: u32) -> QueuePosition {
+        self.last_number += 1;
         let tag = self.fair.tag(&Workspace::from(workspace), 1);
-        let place = Place { rank, tag, number: self.number };
+        let place = QueuePosition { rank, tag, number: self.last_number };
         self.waiting.insert(place);
         place
     }
 
     /// Adds a request again that was first and found all endpoints full: it keeps its place.
-    pub fn rejoin(&mut self, place: Place) {
+    pub fn requeue(&mut self, place: QueuePosition) {
         self.waiting.insert(place);
     }
 
     /// Gives the milliseconds until this request may ask endpoints; none while others go before it.
-    pub fn turn_ms(&self, place: Place, now: Millis) -> Option<u64> {
-        (self.waiting.first() == Some(&place)).then(|| self.opens.since(now))
+    pub fn wait_ms(&self, place: QueuePosition, now: Millis) -> Option<u64> {
+        (self.waiting.first() == Some(&place)).then(|| self.paused_until.since(now))
     }
 
     /// Takes out a request that goes on to ask endpoints.
-    pub fn go(&mut self, place: Place) {
+    pub fn admit(&mut self, place: QueuePosition) {
         self.waiting.remove(&place);
         self.fair.advance(place.tag);
     }
 
     /// Takes out a request that has given up.
-    pub fn leave(&mut self, place: Place) {
+    pub fn remove(&mut self, place: QueuePosition) {
         self.waiting.remove(&place);
     }
 }
--- a/components/fleet/src/walltime.rs
+++ b/components/fleet/src/walltime.rs
@@ -31,7 +31,7 @@
     }
 
     /// Gives the milliseconds between two offsets.
-    pub fn apart(self, other: Self) -> u64 {
+    pub fn distance_ms(self, other: Self) -> u64 {
         self.0.abs_diff(other.0)
     }
 }
@@ -46,7 +46,7 @@
 
 /// Gives within how many milliseconds of the median half of the clocks lie: how exact it can be.
 pub fn error_ms(offsets: impl IntoIterator<Item = Offset>, median: Offset) -> u64 {
-    let mut apart: Vec<u64> = offsets.into_iter().map(|one| one.apart(median)).collect();
+    let mut apart: Vec<u64> = offsets.into_iter().map(|one| one.distance_ms(median)).collect();
     apart.sort_unstable();
     apart.get(apart.len() / 2).copied().unwrap_or_default()
 }
@@ -55,25 +55,25 @@
 #[derive(Debug)]
 pub struct WallTime {
     own: Offset,
-    told: VecDeque<Offset>,
+    leader_offsets: VecDeque<Offset>,
 }
 
 impl WallTime {
     /// Starts with the VM's own time of day, until a leader has told another.
     pub fn new(own: Unix, now: Millis) -> Self {
-        Self { own: Offset::of(own, now), told: VecDeque::with_capacity(WORDS) }
+        Self { own: Offset::of(own, now), leader_offsets: VecDeque::with_capacity(WORDS) }
     }
 
     /// Takes in what the leader told.
-    pub fn tell(&mut self, wall: Unix, now: Millis) {
-        if self.told.len() == WORDS {
-            self.told.pop_front();
+    pub fn record(&mut self, wall: Unix, now: Millis) {
+        if self.leader_offsets.len() == WORDS {
+            self.leader_offsets.pop_front();
         }
-        self.told.push_back(Offset::of(wall, now));
+        self.leader_offsets.push_back(Offset::of(wall, now));
     }
 
     /// Gives the time of day when the steady clock reads `now`.
     pub fn at(&self, now: Millis) -> Unix {
-        median(self.told.iter().copied()).unwrap_or(self.own).at(now)
+        median(self.leader_offsets.iter().copied()).unwrap_or(self.own).at(now)
     }
 }
--- a/components/fleet/src/workspace.rs
+++ b/components/fleet/src/workspace.rs
@@ -13,9 +13,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::config::Fault;
-use crate::config::Kind;
+use crate::config::ConfigError;
 use crate::config::Route;
+use crate::config::RouteKind;
 
 /// A workspace.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
@@ -43,7 +43,7 @@
     /// The request is let in without a workspace.
     Open,
     /// The request is one of this workspace's.
-    Of(&'a Workspace),
+    Workspace(&'a Workspace),
     /// No workspace holds the key, or none was presented.
     Unknown,
 }
@@ -53,16 +53,16 @@
 /// A key may have been taken away meanwhile, and the process cannot know. To go on serves the callers
 /// whose keys still hold; to stop keeps out the one whose key does not. The operator chooses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Trust {
+pub struct StaleKeyPolicy {
     /// Whether callers with keys are refused after the limit.
     pub strict: bool,
     /// Milliseconds of the leader's silence.
     pub limit_ms: u64,
 }
 
-impl Trust {
+impl StaleKeyPolicy {
     /// Tells whether keys are believed after so long a silence.
-    pub fn holds(&self, silent_ms: u64) -> bool {
+    pub fn allows(&self, silent_ms: u64) -> bool {
         !self.strict || silent_ms <= self.limit_ms
     }
 }
@@ -117,15 +117,15 @@
         if self.is_empty() || route.open {
             return Access::Open;
         }
-        self.holder(key).map_or(Access::Unknown, Access::Of)
+        self.holder(key).map_or(Access::Unknown, Access::Workspace)
     }
 
     /// Decides for whom steps are read and ended: the workspace that holds the key. Without a known
     /// key these are the steps of routes that are open, if there are any.
-    pub fn asker<'a>(&'a self, routes: &[Route], key: Option<&str>) -> Access<'a> {
-        let open = || routes.iter().any(|route| route.open && route.kind == Kind::Step);
+    pub fn step_access<'a>(&'a self, routes: &[Route], key: Option<&str>) -> Access<'a> {
+        let open = || routes.iter().any(|route| route.open && route.kind == RouteKind::Step);
         match self.holder(key) {
-            Some(workspace) => Access::Of(workspace),
+            Some(workspace) => Access::Workspace(workspace),
             None if self.is_empty() || open() => Access::Open,
             None => Access::Unknown,
         }
@@ -141,19 +141,19 @@
     ///
     /// # Errors
     ///
-    /// The [`Fault`] names the workspaces, never a key.
-    pub fn check(&self) -> Result<(), Fault> {
+    /// The [`ConfigError`] names the workspaces, never a key.
+    pub fn check(&self) -> Result<(), ConfigError> {
         let mut names: BTreeSet<&str> = BTreeSet::new();
         let mut holders: BTreeMap<Digest, &str> = BTreeMap::new();
         for workspace in &self.all {
             let name = workspace.name.as_str();
             if !names.insert(name) {
-                return Err(Fault::SameWorkspace { name: name.to_owned() });
+                return Err(ConfigError::DuplicateWorkspace { name: name.to_owned() });
             }
             for key in &workspace.keys {
                 let first = *holders.entry(*key).or_insert(name);
                 if first != name {
-                    return Err(Fault::SharedKey {
+                    return Err(ConfigError::SharedKey {
                         first: first.to_owned(),
                         second: name.to_owned(),
                     });
--- a/components/fleet/tests/config.rs
+++ b/components/fleet/tests/config.rs
@@ -1,9 +1,9 @@
 //! Which configurations are accepted, and which route a request takes.
 
 use chicoryford_fleet::Config;
-use chicoryford_fleet::Fault;
-use chicoryford_fleet::Kind;
+use chicoryford_fleet::ConfigError;
 use chicoryford_fleet::Route;
+use chicoryford_fleet::RouteKind;
 use chicoryford_fleet::Service;
 use chicoryford_fleet::Share;
 
@@ -14,7 +14,7 @@
         name: name.to_owned(),
         host: "desk.example".to_owned(),
         prefix: prefix.to_owned(),
-        kind: Kind::Idempotent,
+        kind: RouteKind::Idempotent,
         timeout_ms: Some(1_000),
         target_ms: 150,
         priority: 2,
@@ -23,7 +23,7 @@
         resumable: false,
         due_ms: None,
         age_ms: None,
-        single: false,
+        single_version: false,
         open: false,
     }
 }
@@ -43,18 +43,18 @@
 #[test]
 fn each_fault_is_named() {
     let unknown = config(vec![route("one", "/x/", &[("c", 1)])]);
-    let fault = Fault::UnknownService { route: "one".to_owned(), service: "c".to_owned() };
+    let fault = ConfigError::UnknownService { route: "one".to_owned(), service: "c".to_owned() };
     assert_eq!(unknown.check(), Err(fault));
     let twice = config(vec![route("one", "/x/", &[("a", 1)]), route("two", "/x/", &[("b", 1)])]);
-    assert!(matches!(twice.check(), Err(Fault::SamePlace { .. })));
+    assert!(matches!(twice.check(), Err(ConfigError::DuplicateRoute { .. })));
     let weightless = config(vec![route("one", "/x/", &[("a", 0), ("b", 0)])]);
-    assert!(matches!(weightless.check(), Err(Fault::NoWeight { .. })));
+    assert!(matches!(weightless.check(), Err(ConfigError::ZeroWeight { .. })));
     let mut timeless = config(vec![route("one", "/x/", &[("a", 1)])]);
     timeless.routes[0].timeout_ms = Some(0);
-    assert!(matches!(timeless.check(), Err(Fault::NoTimeout { .. })));
+    assert!(matches!(timeless.check(), Err(ConfigError::ZeroTimeout { .. })));
     for prefix in ["x/", "/x", ""] {
         let bad = config(vec![route("one", prefix, &[("a", 1)])]);
-        assert!(matches!(bad.check(), Err(Fault::BadPrefix { .. })), "{prefix}");
+        assert!(matches!(bad.check(), Err(ConfigError::BadPrefix { .. })), "{prefix}");
     }
 }
 
--- a/components/fleet/tests/copies.rs
+++ b/components/fleet/tests/copies.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use chicoryford_fleet::copies::Place;
+use chicoryford_fleet::copies::Placement;
 use chicoryford_fleet::copies::StoreId;
 use chicoryford_fleet::copies::Stores;
 use chicoryford_types::Millis;
@@ -38,7 +38,7 @@
     let mut stores = stores();
     let chosen = stores.choose(&BTreeSet::new(), &BTreeSet::new());
     assert_eq!(nodes(&chosen), ["a", "c", "d", "b"]);
-    stores.given(&id("a", 1));
+    stores.record_put(&id("a", 1));
     let chosen = stores.choose(&BTreeSet::from([id("c", 1)]), &BTreeSet::from(["d".to_owned()]));
     assert_eq!(nodes(&chosen), ["b", "a"]);
 }
@@ -51,7 +51,7 @@
     for _ in 0..10 {
         let chosen = stores.choose(&BTreeSet::new(), &BTreeSet::new());
         assert_eq!(chosen[0], id("c", 1), "however many copies it has");
-        chosen[..2].iter().for_each(|id| stores.given(id));
+        chosen[..2].iter().for_each(|id| stores.record_put(id));
     }
     let second = stores.choose(&BTreeSet::from([id("c", 1)]), &BTreeSet::new());
     assert!(!nodes(&second[..1]).contains(&"c"));
@@ -72,11 +72,11 @@
 #[test]
 fn a_store_that_lost_its_disk_is_another_store() {
     let mut stores = stores();
-    let place = Place::Stores(BTreeSet::from([id("a", 1), id("c", 1)]));
-    assert_eq!(stores.counted(&place, &BTreeSet::new(), Millis(1)).len(), 2);
+    let place = Placement::Stores(BTreeSet::from([id("a", 1), id("c", 1)]));
+    assert_eq!(stores.counted_copies(&place, &BTreeSet::new(), Millis(1)).len(), 2);
     stores.disconnected(&id("a", 1), Millis(10));
     stores.connected(id("a", 2), "x".to_owned(), address(), Millis(20));
-    let counted = stores.counted(&place, &BTreeSet::new(), Millis(20));
+    let counted = stores.counted_copies(&place, &BTreeSet::new(), Millis(20));
     assert_eq!(nodes(&counted.iter().cloned().collect::<Vec<_>>()), ["c"]);
     let chosen = stores.choose(&counted, &BTreeSet::new());
     assert!(chosen.contains(&id("a", 2)), "its new disk can take a copy");
@@ -88,22 +88,22 @@
 fn a_store_that_is_away_for_a_moment_still_counts() {
     let mut stores = stores();
     stores.disconnected(&id("a", 1), Millis(1_000));
-    assert!(stores.counts(&id("a", 1), Millis(3_400)));
-    assert!(!stores.counts(&id("a", 1), Millis(3_500)));
+    assert!(stores.is_counted(&id("a", 1), Millis(3_400)));
+    assert!(!stores.is_counted(&id("a", 1), Millis(3_500)));
     assert!(!stores.is_connected(&id("a", 1)));
     let unseen = id("e", 1);
-    assert!(stores.counts(&unseen, Millis(2_400)), "it may not have found this leader yet");
-    assert!(!stores.counts(&unseen, Millis(2_500)));
+    assert!(stores.is_counted(&unseen, Millis(2_400)), "it may not have found this leader yet");
+    assert!(!stores.is_counted(&unseen, Millis(2_500)));
 }
 
 #[test]
 fn a_store_that_is_to_be_emptied_counts_no_more() {
     let stores = stores();
-    let place = Place::Stores(BTreeSet::from([id("a", 1), id("c", 1)]));
+    let place = Placement::Stores(BTreeSet::from([id("a", 1), id("c", 1)]));
     let leaving = BTreeSet::from(["a".to_owned()]);
-    assert_eq!(stores.counted(&place, &leaving, Millis(1)).len(), 1);
+    assert_eq!(stores.counted_copies(&place, &leaving, Millis(1)).len(), 1);
     assert_eq!(stores.count(|node| node != "a"), 3);
-    assert!(stores.counted(&Place::Inline("x".into()), &leaving, Millis(1)).is_empty());
+    assert!(stores.counted_copies(&Placement::Inline("x".into()), &leaving, Millis(1)).is_empty());
 }
 
 /// Pattern: many entries of several data centres read the same results. Texts that come through the
@@ -116,12 +116,12 @@
     for (place, (node, data_centre)) in [("a", "x"), ("b", "y"), ("c", "z")].iter().enumerate() {
         stores.connected(id(node, 1), (*data_centre).to_owned(), addresses[place], Millis(0));
     }
-    let place = Place::Stores(BTreeSet::from([id("a", 1), id("b", 1), id("c", 2)]));
+    let place = Placement::Stores(BTreeSet::from([id("a", 1), id("b", 1), id("c", 2)]));
 
-    assert_eq!(stores.beside(&place, "y"), Some(addresses[1]));
-    assert_eq!(stores.beside(&place, "z"), None, "its disk is another one");
-    assert_eq!(stores.beside(&place, "w"), None, "no copy lies there");
-    assert_eq!(stores.beside(&Place::Inline("text".into()), "y"), None);
+    assert_eq!(stores.address_in(&place, "y"), Some(addresses[1]));
+    assert_eq!(stores.address_in(&place, "z"), None, "its disk is another one");
+    assert_eq!(stores.address_in(&place, "w"), None, "no copy lies there");
+    assert_eq!(stores.address_in(&Placement::Inline("text".into()), "y"), None);
     stores.disconnected(&id("b", 1), Millis(1));
-    assert_eq!(stores.beside(&place, "y"), None, "it may be gone");
+    assert_eq!(stores.address_in(&place, "y"), None, "it may be gone");
 }
--- a/components/fleet/tests/duty.rs
+++ b/components/fleet/tests/duty.rs
@@ -1,7 +1,7 @@
 //! One VM at a time calls the platform, whatever leaders believe of themselves.
 
+use chicoryford_fleet::duty::DutyAction;
 use chicoryford_fleet::duty::Holding;
-use chicoryford_fleet::duty::Turn;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -14,20 +14,20 @@
 
 #[test]
 fn the_duty_is_taken_before_the_first_call_and_again_before_it_ends() {
-    assert_eq!(Holding::turn(None, "a", 1, 0), Turn::Take);
-    let held = Holding::taken("a", 1, 1_000);
-    assert_eq!(Holding::turn(Some(&held), "a", 1, 1_000), Turn::Call(3_000));
-    assert_eq!(Holding::turn(Some(&held), "a", 1, 3_801), Turn::Take);
+    assert_eq!(Holding::next_action(None, "a", 1, 0), DutyAction::Acquire);
+    let held = Holding::new("a", 1, 1_000);
+    assert_eq!(Holding::next_action(Some(&held), "a", 1, 1_000), DutyAction::Call(3_000));
+    assert_eq!(Holding::next_action(Some(&held), "a", 1, 3_801), DutyAction::Acquire);
 }
 
 #[test]
 fn another_one_waits_until_the_holder_has_surely_stopped() {
-    let held = Holding::taken("a", 1, 1_000);
-    assert_eq!(Holding::turn(Some(&held), "b", 2, 4_699), Turn::Wait);
-    assert_eq!(Holding::turn(Some(&held), "b", 2, 4_700), Turn::Take);
-    assert!(!held.yields_to(&Holding::taken("b", 2, 4_000), 4_699));
-    assert!(!held.yields_to(&Holding::taken("a", 0, 9_000), 9_000), "a token never falls");
-    assert!(held.yields_to(&Holding::taken("a", 2, 1_100), 1_100), "the VM itself need not wait");
+    let held = Holding::new("a", 1, 1_000);
+    assert_eq!(Holding::next_action(Some(&held), "b", 2, 4_699), DutyAction::Wait);
+    assert_eq!(Holding::next_action(Some(&held), "b", 2, 4_700), DutyAction::Acquire);
+    assert!(!held.can_pass_to(&Holding::new("b", 2, 4_000), 4_699));
+    assert!(!held.can_pass_to(&Holding::new("a", 0, 9_000), 9_000), "a token never falls");
+    assert!(held.can_pass_to(&Holding::new("a", 2, 1_100), 1_100), "the VM itself need not wait");
 }
 
 /// Which protection is off, to see that the check would notice.
@@ -102,32 +102,34 @@
             }
             let fleet = leader.fleet_now(now);
             let node = leader.vm.to_string();
-            let turn = match (off, Holding::turn(leader.known.as_ref(), &node, leader.epoch, fleet))
-            {
-                (Off::Log, _) => Turn::Call(LEASE_MS),
-                (Off::Wait, Turn::Wait) => Turn::Take,
-                (Off::End, Turn::Take)
+            let turn = match (
+                off,
+                Holding::next_action(leader.known.as_ref(), &node, leader.epoch, fleet),
+            ) {
+                (Off::Log, _) => DutyAction::Call(LEASE_MS),
+                (Off::Wait, DutyAction::Wait) => DutyAction::Acquire,
+                (Off::End, DutyAction::Acquire)
                     if leader.known.as_ref().is_some_and(|k| k.token == leader.epoch) =>
                 {
-                    Turn::Call(LEASE_MS)
+                    DutyAction::Call(LEASE_MS)
                 }
                 (_, turn) => turn,
             };
             match turn {
-                Turn::Take if number == newest => {
+                DutyAction::Acquire if number == newest => {
                     clock = clock.max(fleet);
-                    let next = Holding::taken(&node, leader.epoch, fleet);
-                    let free = log.as_ref().is_none_or(|held| held.yields_to(&next, clock));
+                    let next = Holding::new(&node, leader.epoch, fleet);
+                    let free = log.as_ref().is_none_or(|held| held.can_pass_to(&next, clock));
                     if free || off == Off::Wait {
                         log = Some(next);
                     }
                     leader.known.clone_from(&log);
                 }
-                Turn::Call(_) => {
+                DutyAction::Call(_) => {
                     let at = now + rng.random_range(1..WAY_MS);
                     arrived.push(Arrived { at, vm: leader.vm, token: leader.epoch });
                 }
-                Turn::Take | Turn::Wait => {}
+                DutyAction::Acquire | DutyAction::Wait => {}
             }
         }
     }
--- a/components/fleet/tests/endpoint.rs
+++ b/components/fleet/tests/endpoint.rs
@@ -6,9 +6,9 @@
 
 use chicoryford_fleet::Announcement;
 use chicoryford_fleet::Config;
+use chicoryford_fleet::EndpointStatus;
 use chicoryford_fleet::Registry;
 use chicoryford_fleet::Service;
-use chicoryford_fleet::Standing;
 use chicoryford_fleet::endpoint::Effect;
 use chicoryford_types::Millis;
 
@@ -18,15 +18,15 @@
     Announcement { draining: true, ..said(id, sequence) }
 }
 
-fn standing(registry: &Registry, id: &str) -> Option<Standing> {
-    registry.get(id).map(|endpoint| endpoint.standing)
+fn standing(registry: &Registry, id: &str) -> Option<EndpointStatus> {
+    registry.get(id).map(|endpoint| endpoint.status)
 }
 
 #[test]
 fn an_announcement_is_spread_once() {
     let mut registry = Registry::default();
     assert_eq!(registry.announce(said("i", 1), Millis(0)), Effect::Changed);
-    assert_eq!(registry.announce(said("i", 2), Millis(1)), Effect::Heard);
+    assert_eq!(registry.announce(said("i", 2), Millis(1)), Effect::Refreshed);
     let newer = Announcement { models: BTreeMap::from([("m".to_owned(), 2)]), ..said("i", 3) };
     assert_eq!(registry.announce(newer, Millis(2)), Effect::Changed);
 }
@@ -39,12 +39,12 @@
     let mut registry = Registry::default();
     registry.announce(said("i", 1), Millis(0));
     assert_eq!(registry.announce(draining("i", 3), Millis(1)), Effect::Changed);
-    assert_eq!(registry.announce(said("i", 2), Millis(2)), Effect::Old);
-    assert_eq!(registry.announce(said("i", 3), Millis(2)), Effect::Old);
-    assert_eq!(standing(&registry, "i"), Some(Standing::Draining));
+    assert_eq!(registry.announce(said("i", 2), Millis(2)), Effect::Stale);
+    assert_eq!(registry.announce(said("i", 3), Millis(2)), Effect::Stale);
+    assert_eq!(standing(&registry, "i"), Some(EndpointStatus::Draining));
     assert_eq!(registry.leave("i", Millis(3)), Effect::Changed);
-    assert_eq!(registry.announce(said("i", 9), Millis(4)), Effect::Old);
-    assert_eq!(standing(&registry, "i"), Some(Standing::Gone));
+    assert_eq!(registry.announce(said("i", 9), Millis(4)), Effect::Stale);
+    assert_eq!(standing(&registry, "i"), Some(EndpointStatus::Gone));
 }
 
 /// Symptom: work goes to an endpoint of another service.
@@ -57,8 +57,8 @@
     let other = Announcement { service: "b".to_owned(), ..said("new", 1) };
     registry.announce(other, Millis(1));
     registry.announce(said("old", 8), Millis(2));
-    assert_eq!(registry.get("new").unwrap().said.service, "b");
-    assert_eq!(registry.get("old").unwrap().said.service, "a");
+    assert_eq!(registry.get("new").unwrap().announcement.service, "b");
+    assert_eq!(registry.get("old").unwrap().announcement.service, "a");
 }
 
 #[test]
@@ -67,9 +67,9 @@
     registry.announce(said("i", 1), Millis(0));
     assert!(registry.tick(Millis(5_000)).0.is_empty());
     let (changed, _) = registry.tick(Millis(6_000));
-    assert_eq!(changed[0].standing, Standing::Silent);
+    assert_eq!(changed[0].status, EndpointStatus::Silent);
     assert_eq!(registry.announce(said("i", 2), Millis(7_000)), Effect::Changed);
-    assert_eq!(standing(&registry, "i"), Some(Standing::Ready));
+    assert_eq!(standing(&registry, "i"), Some(EndpointStatus::Ready));
     let (_, forgotten) = registry.tick(Millis(70_000));
     assert_eq!(forgotten, ["i"]);
 }
@@ -80,15 +80,15 @@
     registry.announce(said("i", 5), Millis(0));
     let known: Vec<_> = registry.all().cloned().collect();
     let settings = chicoryford_fleet::endpoint::Settings::default();
-    let mut adopted = Registry::adopt(settings, known.into_iter(), Millis(100_000));
+    let mut adopted = Registry::from_known(settings, known.into_iter(), Millis(100_000));
     assert!(adopted.tick(Millis(103_000)).0.is_empty());
-    assert_eq!(adopted.announce(said("i", 5), Millis(103_000)), Effect::Old);
-    assert_eq!(adopted.learn("i", "m", 4), Effect::Changed);
-    assert_eq!(adopted.learn("i", "m", 4), Effect::Heard);
+    assert_eq!(adopted.announce(said("i", 5), Millis(103_000)), Effect::Stale);
+    assert_eq!(adopted.set_version("i", "m", 4), Effect::Changed);
+    assert_eq!(adopted.set_version("i", "m", 4), Effect::Refreshed);
 }
 
 fn reborn(id: &str, born: u64, sequence: u64) -> Announcement {
-    Announcement { born, ..said(id, sequence) }
+    Announcement { started_ms: born, ..said(id, sequence) }
 }
 
 /// Symptom: an endpoint that is well gets no work for minutes.
@@ -101,10 +101,10 @@
     let again =
         Announcement { models: BTreeMap::from([("m".to_owned(), 2)]), ..reborn("i", 200, 1) };
     assert_eq!(registry.announce(again, Millis(1)), Effect::Changed);
-    assert_eq!(registry.get("i").unwrap().said.models["m"], 2);
+    assert_eq!(registry.get("i").unwrap().announcement.models["m"], 2);
     assert_eq!(registry.announce(reborn("i", 200, 2), Millis(2)), Effect::Changed);
-    assert_eq!(registry.announce(reborn("i", 100, 51), Millis(3)), Effect::Old, "of before");
-    assert_eq!(registry.get("i").unwrap().said.born, 200);
+    assert_eq!(registry.announce(reborn("i", 100, 51), Millis(3)), Effect::Stale, "of before");
+    assert_eq!(registry.get("i").unwrap().announcement.started_ms, 200);
 }
 
 /// A start ends what the endpoint said before: that it leaves, and that it is gone.
@@ -116,9 +116,9 @@
         if leave {
             registry.leave("i", Millis(1));
         }
-        assert_eq!(registry.announce(reborn("i", 100, 6), Millis(2)), Effect::Old);
+        assert_eq!(registry.announce(reborn("i", 100, 6), Millis(2)), Effect::Stale);
         assert_eq!(registry.announce(reborn("i", 200, 1), Millis(3)), Effect::Changed);
-        assert_eq!(standing(&registry, "i"), Some(Standing::Ready));
+        assert_eq!(standing(&registry, "i"), Some(EndpointStatus::Ready));
     }
 }
 
@@ -149,17 +149,17 @@
     for number in 0..3_000 {
         registry.announce(said(&format!("i{number}"), 1), Millis(0));
     }
-    let (live, gone) = registry.unlike(&BTreeMap::new());
+    let (live, gone) = registry.diff(&BTreeMap::new());
     assert_eq!((live.len(), gone.len()), (3_000, 0));
     let noted: BTreeMap<_, _> =
-        live.into_iter().map(|endpoint| (endpoint.said.id.clone(), endpoint)).collect();
+        live.into_iter().map(|endpoint| (endpoint.announcement.id.clone(), endpoint)).collect();
     registry.announce(said("i7", 2), Millis(1));
-    assert_eq!(registry.unlike(&noted), (Vec::new(), Vec::new()), "a number is no change");
+    assert_eq!(registry.diff(&noted), (Vec::new(), Vec::new()), "a number is no change");
     let newer = Announcement { models: BTreeMap::from([("m".to_owned(), 2)]), ..said("i7", 3) };
     registry.announce(newer, Millis(2));
     registry.announce(draining("i8", 2), Millis(2));
-    let (live, gone) = registry.unlike(&noted);
-    assert_eq!(live.iter().map(|endpoint| &*endpoint.said.id).collect::<Vec<_>>(), ["i7"]);
+    let (live, gone) = registry.diff(&noted);
+    assert_eq!(live.iter().map(|endpoint| &*endpoint.announcement.id).collect::<Vec<_>>(), ["i7"]);
     assert_eq!(gone, ["i8"]);
 }
 
@@ -170,8 +170,8 @@
 #[test]
 fn an_endpoint_that_left_before_it_was_known_is_not_believed_to_be_there() {
     let mut registry = Registry::default();
-    assert_eq!(registry.leave("i", Millis(0)), Effect::Old);
-    assert_eq!(registry.announce(said("i", 4), Millis(3_000)), Effect::Old);
+    assert_eq!(registry.leave("i", Millis(0)), Effect::Stale);
+    assert_eq!(registry.announce(said("i", 4), Millis(3_000)), Effect::Stale);
     assert_eq!(standing(&registry, "i"), None);
     registry.tick(Millis(20_000));
     assert_eq!(registry.announce(said("i", 1), Millis(20_000)), Effect::Changed, "a new start");
--- a/components/fleet/tests/turn.rs
+++ b/components/fleet/tests/order_lease.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use chicoryford_fleet::turn::Turn;
+use chicoryford_fleet::order_lease::OrderLease;
 use chicoryford_types::Millis;
 
 const BEGAN: Millis = Millis(10_000);
 
-fn turn(fenced: bool) -> Turn {
+fn turn(fenced: bool) -> OrderLease {
     let ordered = BTreeMap::from([("lately".to_owned(), BEGAN), ("old".to_owned(), Millis(7_000))]);
-    Turn { began: BEGAN, lease_ms: 3_000, fenced, ordered }
+    OrderLease { leader_since: BEGAN, lease_ms: 3_000, engines_fence: fenced, last_orders: ordered }
 }
 
 /// Symptom: after a change of leader a step waits for two seconds until its first sample runs.
--- a/components/fleet/tests/pick.rs
+++ b/components/fleet/tests/pick.rs
@@ -4,16 +4,16 @@
 
 use chicoryford_fleet::Announcement;
 use chicoryford_fleet::Endpoint;
-use chicoryford_fleet::Standing;
-use chicoryford_fleet::pick::Ending;
-use chicoryford_fleet::pick::Nowhere;
+use chicoryford_fleet::EndpointStatus;
+use chicoryford_fleet::pick::AttemptOutcome;
+use chicoryford_fleet::pick::PickError;
 use chicoryford_fleet::pick::Picker;
 use chicoryford_types::Millis;
 
 fn endpoint(id: &str, sequence: u64) -> Endpoint {
     let said = Announcement {
         id: id.to_owned(),
-        born: 0,
+        started_ms: 0,
         service: "desk".to_owned(),
         address: "10.0.0.1:80".parse().unwrap(),
         data_centre: "z".to_owned(),
@@ -22,7 +22,7 @@
         models: BTreeMap::new(),
         sequence,
     };
-    Endpoint { said, standing: Standing::Ready }
+    Endpoint { announcement: said, status: EndpointStatus::Ready }
 }
 
 fn picker(ids: &[&str]) -> Picker {
@@ -54,14 +54,19 @@
         now += 10;
         let id = pick(&mut picker, now);
         slow += u32::from(id == "a");
-        picker.ended(&id, "route", Ending::Answered(if id == "a" { 100 } else { 25 }), Millis(now));
+        picker.record_outcome(
+            &id,
+            "route",
+            AttemptOutcome::Answered(if id == "a" { 100 } else { 25 }),
+            Millis(now),
+        );
     }
     assert!(slow < 30, "{slow}");
     let later: Vec<String> = (0..30)
         .map(|n| {
             let at = now + 20_000 + n;
             let id = pick(&mut picker, at);
-            picker.ended(&id, "route", Ending::Answered(25), Millis(at));
+            picker.record_outcome(&id, "route", AttemptOutcome::Answered(25), Millis(at));
             id
         })
         .collect();
@@ -77,9 +82,9 @@
     let mut failed = 0;
     for n in 0..100 {
         let id = pick(&mut picker, n * 10);
-        let ending = if id == "a" { Ending::Failed } else { Ending::Answered(25) };
+        let ending = if id == "a" { AttemptOutcome::Failed } else { AttemptOutcome::Answered(25) };
         failed += u32::from(id == "a");
-        picker.ended(&id, "route", ending, Millis(n * 10));
+        picker.record_outcome(&id, "route", ending, Millis(n * 10));
     }
     assert!(failed <= 5, "{failed}");
 }
@@ -88,18 +93,18 @@
 fn a_failing_endpoint_is_better_than_none() {
     let mut picker = picker(&["a"]);
     let id = pick(&mut picker, 0);
-    picker.ended(&id, "route", Ending::Failed, Millis(0));
+    picker.record_outcome(&id, "route", AttemptOutcome::Failed, Millis(0));
     assert_eq!(pick(&mut picker, 1), "a");
-    assert_eq!(picker.pick("desk", "route", |id| id != "a", Millis(1)), Err(Nowhere::AllTried));
-    assert_eq!(picker.pick("none", "route", |_| true, Millis(1)), Err(Nowhere::NoneReady));
+    assert_eq!(picker.pick("desk", "route", |id| id != "a", Millis(1)), Err(PickError::AllTried));
+    assert_eq!(picker.pick("none", "route", |_| true, Millis(1)), Err(PickError::NoneReady));
 }
 
 #[test]
 fn an_endpoint_that_moved_is_not_used_until_it_is_heard_again() {
     let mut picker = picker(&["a"]);
     let id = pick(&mut picker, 0);
-    picker.ended(&id, "route", Ending::Moved, Millis(0));
-    assert_eq!(picker.pick("desk", "route", |_| true, Millis(1)), Err(Nowhere::NoneReady));
+    picker.record_outcome(&id, "route", AttemptOutcome::Moved, Millis(0));
+    assert_eq!(picker.pick("desk", "route", |_| true, Millis(1)), Err(PickError::NoneReady));
     picker.observe(&endpoint("a", 2));
     assert_eq!(pick(&mut picker, 2), "a");
 }
@@ -107,8 +112,8 @@
 #[test]
 fn a_leaving_endpoint_gets_no_work() {
     let mut picker = picker(&["a"]);
-    picker.observe(&Endpoint { standing: Standing::Draining, ..endpoint("a", 2) });
-    assert_eq!(picker.pick("desk", "route", |_| true, Millis(1)), Err(Nowhere::NoneReady));
+    picker.observe(&Endpoint { status: EndpointStatus::Draining, ..endpoint("a", 2) });
+    assert_eq!(picker.pick("desk", "route", |_| true, Millis(1)), Err(PickError::NoneReady));
     assert!(!picker.is_ready("a"));
 }
 
@@ -119,10 +124,10 @@
 fn a_new_start_under_the_same_identity_is_a_new_endpoint() {
     let mut picker = picker(&["a"]);
     assert_eq!(pick(&mut picker, 0), "a");
-    picker.ended("a", "route", Ending::Moved, Millis(1));
-    assert_eq!(picker.pick("desk", "route", |_| true, Millis(2)), Err(Nowhere::NoneReady));
+    picker.record_outcome("a", "route", AttemptOutcome::Moved, Millis(1));
+    assert_eq!(picker.pick("desk", "route", |_| true, Millis(2)), Err(PickError::NoneReady));
     let mut again = endpoint("a", 1);
-    again.said.born = 10;
+    again.announcement.started_ms = 10;
     picker.observe(&again);
     assert_eq!(pick(&mut picker, 3), "a");
 }
@@ -138,12 +143,12 @@
     for n in 0..300 {
         let (route, ms) = if n % 4 == 0 { ("long", 200) } else { ("quick", 25) };
         let id = picker.pick("desk", route, |_| true, Millis(n * 10)).unwrap().id;
-        picker.ended(&id, route, Ending::Answered(ms), Millis(n * 10));
+        picker.record_outcome(&id, route, AttemptOutcome::Answered(ms), Millis(n * 10));
         *counts.entry(id).or_insert(0) += 1;
     }
-    assert_eq!(picker.usual_ms("quick"), Some(25.0));
-    assert_eq!(picker.usual_ms("long"), Some(200.0));
-    assert_eq!(picker.usual_ms("other"), None);
+    assert_eq!(picker.median_ms("quick"), Some(25.0));
+    assert_eq!(picker.median_ms("long"), Some(200.0));
+    assert_eq!(picker.median_ms("other"), None);
     assert!(counts.values().all(|count| (80..=120).contains(count)), "{counts:?}");
 }
 
@@ -153,7 +158,12 @@
     let mut picker = picker(&["a", "b"]);
     for n in 0..40 {
         let id = picker.pick("desk", "quick", |_| true, Millis(n * 10)).unwrap().id;
-        picker.ended(&id, "quick", Ending::Answered(if id == "a" { 150 } else { 25 }), Millis(n));
+        picker.record_outcome(
+            &id,
+            "quick",
+            AttemptOutcome::Answered(if id == "a" { 150 } else { 25 }),
+            Millis(n),
+        );
     }
     assert_eq!(picker.pick("desk", "long", |_| true, Millis(410)).unwrap().id, "b");
 }
@@ -161,9 +171,9 @@
 #[test]
 fn a_route_that_is_gone_is_forgotten() {
     let mut picker = picker(&["a"]);
-    picker.ended("a", "route", Ending::Answered(25), Millis(1));
+    picker.record_outcome("a", "route", AttemptOutcome::Answered(25), Millis(1));
     picker.retain_routes(|route| route != "route");
-    assert_eq!(picker.usual_ms("route"), None);
+    assert_eq!(picker.median_ms("route"), None);
 }
 
 /// Guards against processes that carry the same request and ask different endpoints.
--- a/components/fleet/tests/plan.rs
+++ b/components/fleet/tests/plan.rs
@@ -9,21 +9,21 @@
 use chicoryford_fleet::Announcement;
 use chicoryford_fleet::Config;
 use chicoryford_fleet::Endpoint;
+use chicoryford_fleet::EndpointStatus;
 use chicoryford_fleet::Sample;
-use chicoryford_fleet::Standing;
 use chicoryford_fleet::Step;
+use chicoryford_fleet::plan::AfterRun;
 use chicoryford_fleet::plan::Assignment;
-use chicoryford_fleet::plan::GATHER_MS;
-use chicoryford_fleet::plan::LAST_MS;
-use chicoryford_fleet::plan::MOST_MS;
-use chicoryford_fleet::plan::Made;
-use chicoryford_fleet::plan::Next;
-use chicoryford_fleet::plan::Plan;
+use chicoryford_fleet::plan::EngineState;
+use chicoryford_fleet::plan::FINAL_LIST_DELAY_MS;
+use chicoryford_fleet::plan::LIST_DELAY_MS;
+use chicoryford_fleet::plan::MAX_LIST_DELAY_MS;
+use chicoryford_fleet::plan::Planner;
+use chicoryford_fleet::plan::ReportAction;
 use chicoryford_fleet::plan::RunEnd;
-use chicoryford_fleet::plan::Seat;
-use chicoryford_fleet::plan::Told;
+use chicoryford_fleet::plan::SampleOutput;
 use chicoryford_fleet::run;
-use chicoryford_fleet::run::Report;
+use chicoryford_fleet::run::RunReport;
 use chicoryford_types::Epoch;
 use chicoryford_types::Millis;
 
@@ -34,7 +34,7 @@
 fn engine(id: &str, slots: u32, version: u64) -> Endpoint {
     let said = Announcement {
         id: id.to_owned(),
-        born: 0,
+        started_ms: 0,
         service: "engines".to_owned(),
         address: "10.0.0.1:80".parse().unwrap(),
         data_centre: "z".to_owned(),
@@ -43,14 +43,14 @@
         models: BTreeMap::from([("m".to_owned(), version)]),
         sequence: 1,
     };
-    Endpoint { said, standing: Standing::Ready }
+    Endpoint { announcement: said, status: EndpointStatus::Ready }
 }
 
 fn step(id: &str, expected: &[u64]) -> Arc<Step> {
     let sample = |(index, expected): (usize, &u64)| Sample {
         id: format!("{id}{index}"),
         path: "/s/1".to_owned(),
-        expected: *expected,
+        expected_tokens: *expected,
         tokens: *expected,
         ..Sample::default()
     };
@@ -58,7 +58,7 @@
         id: id.to_owned(),
         host: "h".to_owned(),
         model: "m".to_owned(),
-        least: 1,
+        min_version: 1,
         due_ms: 7_500,
         age_ms: 40_000,
         attempts: 3,
@@ -68,42 +68,42 @@
     })
 }
 
-fn plan(engines: &[Endpoint], steps: &[Arc<Step>]) -> Plan {
-    let mut plan = Plan::new(Epoch(1));
+fn plan(engines: &[Endpoint], steps: &[Arc<Step>]) -> Planner {
+    let mut plan = Planner::new(Epoch(1));
     for engine in engines {
-        plan.observe(engine);
+        plan.update_engine(engine);
     }
     for step in steps {
-        plan.open(step.clone(), NOW, Millis::default(), |_| false);
+        plan.open_step(step.clone(), NOW, Millis::default(), |_| false);
     }
     plan
 }
 
 /// Assigns what can be, to the host "a".
-fn assign(plan: &mut Plan, now: Millis) -> Vec<Assignment> {
+fn assign(plan: &mut Planner, now: Millis) -> Vec<Assignment> {
     let assigned = plan.assign(&steps_config(), now);
     for one in &assigned {
-        plan.hosted(&one.step.id, one.index, "a");
+        plan.set_host(&one.step.id, one.index, "a");
     }
     assigned
 }
 
-fn report(run: &Assignment, standing: run::Standing, events: &[&str]) -> Report {
-    Report {
+fn report(run: &Assignment, standing: run::RunStatus, events: &[&str]) -> RunReport {
+    RunReport {
         run: run.run,
         step: run.step.id.clone(),
         index: run.index,
         endpoint: run.endpoint.clone(),
-        standing,
+        status: standing,
         from: 0,
-        made: Made {
+        output: SampleOutput {
             events: events.iter().map(|event| (*event).to_owned()).collect(),
-            last: Some(events.len().to_string()),
+            last_id: Some(events.len().to_string()),
             versions: vec![1],
         },
         gap_ms: 0,
         cost: run::Cost::default(),
-        left_ms: 40_000,
+        remaining_ms: 40_000,
     }
 }
 
@@ -133,7 +133,7 @@
     let mut group = Step::clone(&step("a", &[900, 30, 20, 10]));
     group.samples.iter_mut().for_each(|sample| sample.group = "g".to_owned());
     let mut plan = plan(&[engine("e1", 4, 1), engine("e2", 4, 1)], &[Arc::new(group)]);
-    let beside: Vec<u32> = assign(&mut plan, NOW).iter().map(|run| run.beside).collect();
+    let beside: Vec<u32> = assign(&mut plan, NOW).iter().map(|run| run.other_runs).collect();
     assert_eq!(beside, [0, 0, 1, 1]);
 }
 
@@ -143,14 +143,17 @@
     let late = step("late", &[1]);
     let urgent = Arc::new(Step { priority: 0, ..(*step("urgent", &[1])).clone() });
     let mut plan = plan(&[engine("e1", 1, 1)], &[]);
-    plan.open(late, Millis(500), Millis::default(), |_| false);
-    plan.open(step("later", &[1]), NOW, Millis::default(), |_| false);
-    plan.open(urgent, NOW, Millis::default(), |_| false);
+    plan.open_step(late, Millis(500), Millis::default(), |_| false);
+    plan.open_step(step("later", &[1]), NOW, Millis::default(), |_| false);
+    plan.open_step(urgent, NOW, Millis::default(), |_| false);
     let mut order = Vec::new();
     for _ in 0..3 {
         let run = assign(&mut plan, NOW).remove(0);
         order.push(run.step.id.clone());
-        assert_eq!(plan.told("a", &report(&run, run::Standing::Scoring, &["x"]), NOW), Told::GoOn);
+        assert_eq!(
+            plan.record_report("a", &report(&run, run::RunStatus::Scoring, &["x"]), NOW),
+            ReportAction::Continue
+        );
     }
     assert_eq!(order, ["urgent", "late", "later"]);
 }
@@ -163,12 +166,18 @@
 fn a_report_that_crosses_a_word_to_stop_does_not_touch_the_next_run() {
     let mut plan = plan(&[engine("e1", 1, 1), engine("e2", 1, 1)], &[step("a", &[1])]);
     let first = assign(&mut plan, NOW).remove(0);
-    assert_eq!(plan.ended("a", 0, RunEnd::Taken, NOW), Next::Again);
+    assert_eq!(plan.record_run_end("a", 0, RunEnd::Taken, NOW), AfterRun::Again);
     let second = assign(&mut plan, NOW).remove(0);
     assert_ne!(first.endpoint, second.endpoint, "it was too slow there");
-    assert_eq!(plan.told("a", &report(&first, run::Standing::Scoring, &["x"]), NOW), Told::Stop);
-    assert_eq!(plan.told("a", &report(&second, run::Standing::Running, &["y"]), NOW), Told::GoOn);
-    assert_eq!(plan.made("a", 0).unwrap().events, ["y"]);
+    assert_eq!(
+        plan.record_report("a", &report(&first, run::RunStatus::Scoring, &["x"]), NOW),
+        ReportAction::Stop
+    );
+    assert_eq!(
+        plan.record_report("a", &report(&second, run::RunStatus::Running, &["y"]), NOW),
+        ReportAction::Continue
+    );
+    assert_eq!(plan.output("a", 0).unwrap().events, ["y"]);
 }
 
 /// Symptom: the longest samples are late whenever a host is lost.
@@ -178,11 +187,14 @@
 fn a_lost_hosts_runs_go_on_after_the_last_event_that_it_told() {
     let mut plan = plan(&[engine("e1", 1, 1)], &[step("a", &[1])]);
     let run = assign(&mut plan, NOW).remove(0);
-    assert_eq!(plan.told("a", &report(&run, run::Standing::Running, &["x", "y"]), NOW), Told::GoOn);
-    assert_eq!(plan.orphan("a"), 1);
+    assert_eq!(
+        plan.record_report("a", &report(&run, run::RunStatus::Running, &["x", "y"]), NOW),
+        ReportAction::Continue
+    );
+    assert_eq!(plan.orphan_runs("a"), 1);
     let again = assign(&mut plan, NOW).remove(0);
-    assert_eq!(again.made.events, ["x", "y"]);
-    assert_eq!(again.made.last.as_deref(), Some("2"));
+    assert_eq!(again.output.events, ["x", "y"]);
+    assert_eq!(again.output.last_id.as_deref(), Some("2"));
 }
 
 /// Symptom: a step has all its samples but one, and its trainer waits until it gives up.
@@ -194,15 +206,24 @@
     let engines = [engine("e1", 1, 1), engine("e2", 1, 1), engine("e3", 1, 1)];
     let mut plan = plan(&engines, &[step("a", &[3, 2, 1])]);
     let runs = assign(&mut plan, NOW);
-    assert_eq!(plan.told("a", &report(&runs[0], run::Standing::Scoring, &["x"]), NOW), Told::GoOn);
-    assert_eq!(plan.told("a", &report(&runs[1], run::Standing::Running, &["y"]), NOW), Told::GoOn);
-    plan.mark_untold("a");
-    assert_eq!(plan.told("a", &report(&runs[2], run::Standing::Running, &["z"]), NOW), Told::GoOn);
-    assert_eq!(plan.orphan_untold("a"), 2);
+    assert_eq!(
+        plan.record_report("a", &report(&runs[0], run::RunStatus::Scoring, &["x"]), NOW),
+        ReportAction::Continue
+    );
+    assert_eq!(
+        plan.record_report("a", &report(&runs[1], run::RunStatus::Running, &["y"]), NOW),
+        ReportAction::Continue
+    );
+    plan.mark_unreported("a");
+    assert_eq!(
+        plan.record_report("a", &report(&runs[2], run::RunStatus::Running, &["z"]), NOW),
+        ReportAction::Continue
+    );
+    assert_eq!(plan.orphan_unreported_runs("a"), 2);
     let mut again: Vec<u32> = assign(&mut plan, NOW).iter().map(|one| one.index).collect();
     again.sort_unstable();
     assert_eq!(again, [0, 1]);
-    assert_eq!(plan.orphan_untold("a"), 0, "the third goes on");
+    assert_eq!(plan.orphan_unreported_runs("a"), 0, "the third goes on");
 }
 
 /// Symptom: a sample runs on two engines at once after a change of leader.
@@ -214,18 +235,22 @@
     let mut before = plan(&[engine("e1", 1, 1), engine("e2", 1, 1)], &[step("a", &[5, 1])]);
     let runs = assign(&mut before, NOW);
     let mut plan = plan(&[engine("e1", 1, 1), engine("e2", 1, 1)], &[]);
-    plan.open(step("a", &[5, 1]), NOW, NOW + 500, |_| false);
+    plan.open_step(step("a", &[5, 1]), NOW, NOW + 500, |_| false);
     assert!(assign(&mut plan, NOW + 100).is_empty());
     assert_eq!(
-        plan.told("a", &report(&runs[0], run::Standing::Running, &["x"]), NOW + 100),
-        Told::GoOn
+        plan.record_report("a", &report(&runs[0], run::RunStatus::Running, &["x"]), NOW + 100),
+        ReportAction::Continue
     );
     let rest = assign(&mut plan, NOW + 500);
     assert_eq!(rest.len(), 1);
     assert_eq!(rest[0].index, runs[1].index);
     assert_ne!(rest[0].endpoint, runs[0].endpoint, "that engine is taken");
-    let late = report(&runs[1], run::Standing::Running, &["z"]);
-    assert_eq!(plan.told("a", &late, NOW + 600), Told::Stop, "it was begun anew meanwhile");
+    let late = report(&runs[1], run::RunStatus::Running, &["z"]);
+    assert_eq!(
+        plan.record_report("a", &late, NOW + 600),
+        ReportAction::Stop,
+        "it was begun anew meanwhile"
+    );
 }
 
 /// Symptom: after a change of leader a third of the runs begin anew, and the longest are late.
@@ -237,12 +262,12 @@
     let mut before = plan(&[engine("e1", 1, 1)], &[step("a", &[5])]);
     let run = assign(&mut before, NOW).remove(0);
     let mut plan = plan(&[engine("e1", 1, 1)], &[]);
-    plan.open(step("a", &[5]), NOW, NOW + 500, |_| false);
-    let news = Report { from: 2, ..report(&run, run::Standing::Running, &["c"]) };
-    assert_eq!(plan.told("a", &news, NOW + 10), Told::Later);
-    let all = report(&run, run::Standing::Running, &["a", "b", "c"]);
-    assert_eq!(plan.told("a", &all, NOW + 20), Told::GoOn);
-    assert_eq!(plan.made("a", 0).unwrap().events.len(), 3);
+    plan.open_step(step("a", &[5]), NOW, NOW + 500, |_| false);
+    let news = RunReport { from: 2, ..report(&run, run::RunStatus::Running, &["c"]) };
+    assert_eq!(plan.record_report("a", &news, NOW + 10), ReportAction::Defer);
+    let all = report(&run, run::RunStatus::Running, &["a", "b", "c"]);
+    assert_eq!(plan.record_report("a", &all, NOW + 20), ReportAction::Continue);
+    assert_eq!(plan.output("a", 0).unwrap().events.len(), 3);
 }
 
 /// Symptom: after the loss of all processes the samples wait half a second more than they must.
@@ -251,14 +276,14 @@
 #[test]
 fn a_step_that_was_taken_over_starts_once_all_hosts_have_told() {
     let mut plan = plan(&[engine("e1", 2, 1)], &[]);
-    plan.open(step("a", &[5]), NOW, NOW + 500, |_| false);
-    plan.host_told("h1");
+    plan.open_step(step("a", &[5]), NOW, NOW + 500, |_| false);
+    plan.record_host_reported("h1");
     assert!(assign(&mut plan, NOW + 10).is_empty(), "nobody was asked about the step yet");
     plan.await_hosts(BTreeSet::from(["h1".to_owned(), "h2".to_owned()]), NOW + 10);
-    plan.open(step("b", &[5]), NOW, NOW + 500, |_| false);
-    plan.host_told("h1");
+    plan.open_step(step("b", &[5]), NOW, NOW + 500, |_| false);
+    plan.record_host_reported("h1");
     assert!(assign(&mut plan, NOW + 20).is_empty(), "the other may still run it");
-    plan.host_told("h2");
+    plan.record_host_reported("h2");
     let runs = assign(&mut plan, NOW + 30);
     assert_eq!(runs.iter().map(|run| run.step.id.as_str()).collect::<Vec<_>>(), ["a"]);
 }
@@ -267,9 +292,9 @@
 fn a_report_that_does_not_fit_what_is_known_is_not_added() {
     let mut plan = plan(&[engine("e1", 1, 1)], &[step("a", &[1])]);
     let run = assign(&mut plan, NOW).remove(0);
-    let ahead = Report { from: 3, ..report(&run, run::Standing::Running, &["w"]) };
-    assert_eq!(plan.told("a", &ahead, NOW), Told::Stop);
-    assert!(plan.made("a", 0).unwrap().events.is_empty());
+    let ahead = RunReport { from: 3, ..report(&run, run::RunStatus::Running, &["w"]) };
+    assert_eq!(plan.record_report("a", &ahead, NOW), ReportAction::Stop);
+    assert!(plan.output("a", 0).unwrap().events.is_empty());
 }
 
 /// Symptom: a sample is given up though it could have been made.
@@ -281,16 +306,16 @@
     let mut now = NOW;
     for end in [RunEnd::Broken, RunEnd::Full, RunEnd::Taken, RunEnd::Broken, RunEnd::Full] {
         now = now + 10_000;
-        plan.observe(&engine("e2", 1, 1));
+        plan.update_engine(&engine("e2", 1, 1));
         assert_eq!(assign(&mut plan, now).len(), 1);
-        assert_eq!(plan.ended("a", 0, end, now), Next::Again);
+        assert_eq!(plan.record_run_end("a", 0, end, now), AfterRun::Again);
     }
-    for next in [Next::Again, Next::Again, Next::GiveUp] {
+    for next in [AfterRun::Again, AfterRun::Again, AfterRun::GiveUp] {
         now = now + 10_000;
         assert_eq!(assign(&mut plan, now).len(), 1);
-        assert_eq!(plan.ended("a", 0, RunEnd::Failed, now), next);
+        assert_eq!(plan.record_run_end("a", 0, RunEnd::Failed, now), next);
     }
-    assert_eq!(plan.settled("a", 0).as_deref(), Some("a0"), "its verdict is to be listed");
+    assert_eq!(plan.settle("a", 0).as_deref(), Some("a0"), "its verdict is to be listed");
     assert!(assign(&mut plan, now + 10_000).is_empty());
 }
 
@@ -298,11 +323,11 @@
 fn a_sample_that_can_never_be_made_is_given_up_at_once() {
     let mut plan = plan(&[engine("e1", 1, 1)], &[step("a", &[1])]);
     assign(&mut plan, NOW);
-    assert_eq!(plan.ended("a", 0, RunEnd::Unfit, NOW), Next::GiveUp);
-    assert_eq!(plan.settled("a", 0).as_deref(), Some("a0"), "its verdict is to be listed");
-    assert_eq!(plan.settled("a", 0), None, "it has its verdict");
+    assert_eq!(plan.record_run_end("a", 0, RunEnd::Unfit, NOW), AfterRun::GiveUp);
+    assert_eq!(plan.settle("a", 0).as_deref(), Some("a0"), "its verdict is to be listed");
+    assert_eq!(plan.settle("a", 0), None, "it has its verdict");
     assert!(assign(&mut plan, NOW + 10_000).is_empty());
-    assert_eq!(plan.seats().map(Seat::load).sum::<u32>(), 0, "its engine is free");
+    assert_eq!(plan.engines().map(EngineState::load).sum::<u32>(), 0, "its engine is free");
 }
 
 /// Guards against a content that crashes the engine that runs it, and is given to one after the other for as
@@ -314,13 +339,13 @@
     for ms in (0..39_000).step_by(50) {
         for run in assign(&mut plan, NOW + ms) {
             runs.push(ms);
-            plan.ended("a", run.index, RunEnd::Crashed, NOW + ms);
+            plan.record_run_end("a", run.index, RunEnd::Crashed, NOW + ms);
         }
     }
     assert_eq!(runs.len(), 6, "{runs:?}");
     assert!(runs[2] < 3_000, "the first runs, before it is suspected: {runs:?}");
     assert!(runs[2..].windows(2).all(|two| two[1] - two[0] >= 4_000), "{runs:?}");
-    assert!(plan.failed_before().is_empty(), "no engine has said that it fails");
+    assert!(plan.exhausted_samples().is_empty(), "no engine has said that it fails");
 }
 
 /// Guards against a sample that rests because engines crashed beside it, while it was being made.
@@ -333,11 +358,11 @@
         let events = vec!["x"; crash as usize / 2 + 1];
         // Each second run makes an event, and both tell once more when nothing is new.
         for _ in 0..2 {
-            let told = report(&run, run::Standing::Running, &events);
-            let told = Report { cost: run.cost.clone(), ..told };
-            assert_eq!(plan.told("a", &told, now), Told::GoOn);
+            let told = report(&run, run::RunStatus::Running, &events);
+            let told = RunReport { cost: run.cost.clone(), ..told };
+            assert_eq!(plan.record_report("a", &told, now), ReportAction::Continue);
         }
-        plan.ended("a", 0, RunEnd::Crashed, now);
+        plan.record_run_end("a", 0, RunEnd::Crashed, now);
     }
     assert_eq!(assign(&mut plan, NOW + 24_000).len(), 1);
 }
@@ -351,12 +376,12 @@
         for run in 0..runs {
             let now = NOW + run * 10_000;
             assert_eq!(assign(&mut plan, now).len(), 1);
-            plan.ended("a", 0, end, now);
+            plan.record_run_end("a", 0, end, now);
         }
-        plan.close("a", NOW + 40_000);
-        plan.open(again("b"), NOW + 50_000, Millis::default(), |_| false);
-        assert_eq!(plan.failed_before(), [("b".to_owned(), 0)]);
-        plan.settled("b", 0).expect("a verdict");
+        plan.close_step("a", NOW + 40_000);
+        plan.open_step(again("b"), NOW + 50_000, Millis::default(), |_| false);
+        assert_eq!(plan.exhausted_samples(), [("b".to_owned(), 0)]);
+        plan.settle("b", 0).expect("a verdict");
         assert!(assign(&mut plan, NOW + 60_000).is_empty(), "{end:?}");
     }
 }
@@ -366,22 +391,22 @@
 fn a_later_run_of_a_sample_ends_no_later_than_the_first() {
     let mut plan = plan(&[engine("e1", 1, 1)], &[step("a", &[1])]);
     let first = assign(&mut plan, NOW).remove(0);
-    plan.ended("a", 0, RunEnd::Broken, NOW + 9_000);
+    plan.record_run_end("a", 0, RunEnd::Broken, NOW + 9_000);
     let second = assign(&mut plan, NOW + 10_000).remove(0);
-    assert_eq!((first.left_ms, second.left_ms), (40_000, 30_000));
+    assert_eq!((first.remaining_ms, second.remaining_ms), (40_000, 30_000));
 }
 
 /// Guards against time without a leader that is added to what endpoints were told.
 #[test]
 fn runs_under_the_next_leader_end_no_later_than_those_before() {
     let mut next = plan(&[engine("e1", 1, 1)], &[]);
-    next.open(step("a", &[1]), NOW, NOW + 500, |_| false);
+    next.open_step(step("a", &[1]), NOW, NOW + 500, |_| false);
     let mut before = plan(&[engine("e1", 1, 1)], &[step("a", &[1])]);
     let run = assign(&mut before, NOW).remove(0);
-    let told = Report { left_ms: 39_000, ..report(&run, run::Standing::Running, &["x"]) };
-    assert_eq!(next.told("a", &told, NOW), Told::GoOn);
-    next.ended("a", 0, RunEnd::Broken, NOW);
-    assert_eq!(assign(&mut next, NOW + 10_000)[0].left_ms, 29_000);
+    let told = RunReport { remaining_ms: 39_000, ..report(&run, run::RunStatus::Running, &["x"]) };
+    assert_eq!(next.record_report("a", &told, NOW), ReportAction::Continue);
+    next.record_run_end("a", 0, RunEnd::Broken, NOW);
+    assert_eq!(assign(&mut next, NOW + 10_000)[0].remaining_ms, 29_000);
 }
 
 /// Guards against a sample that may fail as often again after each change of leader.
@@ -390,15 +415,15 @@
     let mut before = plan(&[engine("e1", 1, 1)], &[step("a", &[1])]);
     for now in [NOW, NOW + 10_000] {
         assign(&mut before, now);
-        before.ended("a", 0, RunEnd::Failed, now);
+        before.record_run_end("a", 0, RunEnd::Failed, now);
     }
     let run = assign(&mut before, NOW + 20_000).remove(0);
     assert_eq!(run.cost.failures, 2);
-    let mut next = Plan::new(Epoch(2));
-    next.open(step("a", &[1]), NOW, NOW + 500, |_| false);
-    let told = Report { cost: run.cost.clone(), ..report(&run, run::Standing::Running, &[]) };
-    assert_eq!(next.told("a", &told, NOW), Told::GoOn);
-    assert_eq!(next.ended("a", 0, RunEnd::Failed, NOW), Next::GiveUp);
+    let mut next = Planner::new(Epoch(2));
+    next.open_step(step("a", &[1]), NOW, NOW + 500, |_| false);
+    let told = RunReport { cost: run.cost.clone(), ..report(&run, run::RunStatus::Running, &[]) };
+    assert_eq!(next.record_report("a", &told, NOW), ReportAction::Continue);
+    assert_eq!(next.record_run_end("a", 0, RunEnd::Failed, NOW), AfterRun::GiveUp);
 }
 
 /// Guards against a sample whose counts are lost because its run is not wanted any more when its host tells.
@@ -406,11 +431,11 @@
 fn a_run_that_is_refused_still_tells_what_its_sample_has_cost() {
     let mut plan = plan(&[engine("e1", 1, 1)], &[step("a", &[1])]);
     let run = assign(&mut plan, NOW).remove(0);
-    let scorer = run::Spent { failures: 2, endpoints: BTreeSet::from(["d1".to_owned()]) };
+    let scorer = run::CallCost { failures: 2, endpoints: BTreeSet::from(["d1".to_owned()]) };
     let cost = run::Cost { failures: 1, scorer, ..run::Cost::default() };
-    let told = Report { cost: cost.clone(), ..report(&run, run::Standing::Scoring, &["x"]) };
-    assert_eq!(plan.told("another", &told, NOW), Told::Stop);
-    plan.ended("a", 0, RunEnd::Broken, NOW);
+    let told = RunReport { cost: cost.clone(), ..report(&run, run::RunStatus::Scoring, &["x"]) };
+    assert_eq!(plan.record_report("another", &told, NOW), ReportAction::Stop);
+    plan.record_run_end("a", 0, RunEnd::Broken, NOW);
     let run = assign(&mut plan, NOW + 10_000).remove(0);
     assert_eq!(run.cost, cost);
 }
@@ -424,19 +449,19 @@
     let runs = assign(&mut plan, NOW);
     let slow = "e1";
     let later = NOW + 1_000;
-    let told = |plan: &mut Plan, now: Millis| {
+    let told = |plan: &mut Planner, now: Millis| {
         for run in &runs {
             let gap_ms = if run.endpoint == slow { 300 } else { 40 };
             for _ in 0..20 {
-                let report = report(run, run::Standing::Running, &["x"]);
-                plan.told("a", &Report { gap_ms, ..report }, now);
+                let report = report(run, run::RunStatus::Running, &["x"]);
+                plan.record_report("a", &RunReport { gap_ms, ..report }, now);
             }
         }
     };
     told(&mut plan, later);
     assert!(plan.slow_runs(later).is_empty(), "nobody else has room");
     let done = runs.iter().find(|run| run.endpoint == "e2").unwrap();
-    plan.told("a", &report(done, run::Standing::Scoring, &["x"]), later);
+    plan.record_report("a", &report(done, run::RunStatus::Scoring, &["x"]), later);
     let moved = plan.slow_runs(later);
     assert_eq!(moved.len(), 1, "there is room for one");
     let from = runs.iter().find(|run| run.index == moved[0].1).unwrap();
@@ -458,25 +483,25 @@
     let run = assign(&mut plan, NOW).remove(0);
     let events: Vec<String> = (0..30).map(|n| n.to_string()).collect();
     let events: Vec<&str> = events.iter().map(String::as_str).collect();
-    plan.told("a", &report(&run, run::Standing::Running, &events[..20]), NOW);
-    assert!(plan.to_note().is_empty(), "most runs are over before they need a note");
-    plan.told("a", &report(&run, run::Standing::Running, &events), NOW);
-    let notes = plan.to_note().remove(0).1;
-    assert!(plan.to_note().is_empty(), "it is noted");
-    let mut next = Plan::new(Epoch(2));
-    next.observe(&engine("e1", 1, 1));
-    next.open(step("a", &[1]), NOW, NOW + 1, |_| false);
-    next.recall("a", notes);
+    plan.record_report("a", &report(&run, run::RunStatus::Running, &events[..20]), NOW);
+    assert!(plan.take_checkpoints().is_empty(), "most runs are over before they need a note");
+    plan.record_report("a", &report(&run, run::RunStatus::Running, &events), NOW);
+    let notes = plan.take_checkpoints().remove(0).1;
+    assert!(plan.take_checkpoints().is_empty(), "it is noted");
+    let mut next = Planner::new(Epoch(2));
+    next.update_engine(&engine("e1", 1, 1));
+    next.open_step(step("a", &[1]), NOW, NOW + 1, |_| false);
+    next.restore_checkpoints("a", notes);
     let again = assign(&mut next, NOW + 1).remove(0);
-    assert_eq!(again.made.events.len(), 30);
+    assert_eq!(again.output.events.len(), 30);
 }
 
 #[test]
 fn samples_are_given_up_by_age_or_when_their_route_is_gone() {
     let plan = plan(&[], &[step("a", &[1])]);
-    assert!(plan.too_old(&steps_config(), NOW + 39_999).is_empty());
-    assert_eq!(plan.too_old(&steps_config(), NOW + 40_000).len(), 1);
-    assert_eq!(plan.too_old(&Config::default(), NOW).len(), 1);
+    assert!(plan.expired_samples(&steps_config(), NOW + 39_999).is_empty());
+    assert_eq!(plan.expired_samples(&steps_config(), NOW + 40_000).len(), 1);
+    assert_eq!(plan.expired_samples(&Config::default(), NOW).len(), 1);
 }
 
 /// Symptom: a sample of a step that wants one version a sample names two.
@@ -484,15 +509,15 @@
 /// Cause: what the first engine made was kept.
 #[test]
 fn a_sample_of_one_version_begins_anew_under_another() {
-    let single = Arc::new(Step { single: true, ..(*step("a", &[1])).clone() });
+    let single = Arc::new(Step { single_version: true, ..(*step("a", &[1])).clone() });
     let mut plan = plan(&[engine("e1", 1, 1)], &[single]);
-    assert!(plan.is_single("m") && !plan.is_single("n"));
+    assert!(plan.needs_single_version("m") && !plan.needs_single_version("n"));
     let run = assign(&mut plan, NOW).remove(0);
-    plan.told("a", &report(&run, run::Standing::Running, &["x"]), NOW);
-    plan.orphan("a");
-    plan.forget("e1");
-    plan.observe(&engine("e2", 1, 2));
-    assert!(assign(&mut plan, NOW).remove(0).made.events.is_empty());
+    plan.record_report("a", &report(&run, run::RunStatus::Running, &["x"]), NOW);
+    plan.orphan_runs("a");
+    plan.remove_engine("e1");
+    plan.update_engine(&engine("e2", 1, 2));
+    assert!(assign(&mut plan, NOW).remove(0).output.events.is_empty());
 }
 
 /// Symptom: whole steps are given up within a second, though most engines are well.
@@ -508,8 +533,8 @@
         let now = NOW + ms;
         for run in assign(&mut plan, now).iter().filter(|run| run.endpoint == "bad") {
             on_bad += 1;
-            let next = plan.ended("a", run.index, RunEnd::Failed, now);
-            given_up += u32::from(next == Next::GiveUp);
+            let next = plan.record_run_end("a", run.index, RunEnd::Failed, now);
+            given_up += u32::from(next == AfterRun::GiveUp);
         }
     }
     assert_eq!(given_up, 0, "of 16 samples, {on_bad} runs at the bad engine");
@@ -522,7 +547,11 @@
     let samples = plain.samples.iter().enumerate();
     let grouped = samples
         .map(|(index, sample)| Sample { group: format!("g{}", index / 10), ..sample.clone() });
-    Arc::new(Step { samples: grouped.collect(), wanted: groups as u64 - 1, ..(*plain).clone() })
+    Arc::new(Step {
+        samples: grouped.collect(),
+        wanted_groups: groups as u64 - 1,
+        ..(*plain).clone()
+    })
 }
 
 /// The load: three trainers with steps of 80 to 128 samples, of which the longest three to eight are
@@ -532,18 +561,18 @@
 fn the_last_results_of_a_step_wait_for_each_other_and_no_others_do() {
     let mut plan = plan(&[engine("e1", 30, 1)], &[grouped("a", 3)]);
     assign(&mut plan, NOW);
-    let (soon, last) = (NOW + GATHER_MS, NOW + LAST_MS);
+    let (soon, last) = (NOW + LIST_DELAY_MS, NOW + FINAL_LIST_DELAY_MS);
     // Two groups are whole but for one sample each, and the third for two.
     let settled: Vec<u32> = (0..30).filter(|index| ![9, 19, 28, 29].contains(index)).collect();
     for index in settled {
         assert_eq!(plan.list_at("a", NOW, None), soon, "{index}");
-        plan.settled("a", index);
+        plan.settle("a", index);
     }
-    plan.settled("a", 9);
+    plan.settle("a", 9);
     assert_eq!(plan.list_at("a", NOW, None), last, "three of thirty are left");
-    plan.settled("a", 28);
+    plan.settle("a", 28);
     assert_eq!(plan.list_at("a", NOW, None), last);
-    plan.settled("a", 19);
+    plan.settle("a", 19);
     assert_eq!(plan.list_at("a", NOW, None), soon, "its trainer has what it waits for");
 }
 
@@ -553,12 +582,12 @@
     let mut plan = plan(&[engine("e1", 30, 1)], &[grouped("a", 3)]);
     assign(&mut plan, NOW);
     for index in 0..27 {
-        plan.settled("a", if index < 18 { index } else { index + 1 });
+        plan.settle("a", if index < 18 { index } else { index + 1 });
     }
     let list_at = |read: u64| plan.list_at("a", NOW, Some(NOW + read)).since(NOW);
     assert_eq!(list_at(700), 650);
-    assert_eq!(list_at(20), GATHER_MS);
-    assert_eq!(list_at(5_000), MOST_MS);
+    assert_eq!(list_at(20), LIST_DELAY_MS);
+    assert_eq!(list_at(5_000), MAX_LIST_DELAY_MS);
 }
 
 #[test]
@@ -566,12 +595,12 @@
     let mut plan = plan(&[engine("e1", 30, 1)], &[grouped("a", 3)]);
     assign(&mut plan, NOW);
     for index in 0..30 {
-        plan.settled("a", index);
+        plan.settle("a", index);
     }
     let read = Some(NOW + 900);
-    assert_eq!(plan.list_at("a", NOW, read), NOW + GATHER_MS);
-    plan.close("a", NOW);
-    assert_eq!(plan.list_at("a", NOW, read), NOW + GATHER_MS, "nor does one of a closed step");
+    assert_eq!(plan.list_at("a", NOW, read), NOW + LIST_DELAY_MS);
+    plan.close_step("a", NOW);
+    assert_eq!(plan.list_at("a", NOW, read), NOW + LIST_DELAY_MS, "nor does one of a closed step");
 }
 
 /// The load: samples that are cut off at the same length, so that the last of a step end together, when
@@ -583,16 +612,16 @@
     let runs = assign(&mut plan, NOW);
     let events = |count: usize| vec!["x"; count];
     let before = runs.iter().find(|run| run.step.id == "before").unwrap();
-    plan.told("a", &report(before, run::Standing::Scoring, &events(100)), NOW);
+    plan.record_report("a", &report(before, run::RunStatus::Scoring, &events(100)), NOW);
     for index in 0..27 {
-        plan.settled("a", if index < 18 { index } else { index + 1 });
+        plan.settle("a", if index < 18 { index } else { index + 1 });
     }
     let now = NOW + 7_000;
     // One in each group is left; these have 20 events to go, of 50 ms each.
     for index in [18, 28, 29] {
         let run = runs.iter().find(|run| run.step.id == "a" && run.index == index).unwrap();
-        let running = report(run, run::Standing::Running, &events(80));
-        plan.told("a", &Report { gap_ms: 50, ..running }, now);
+        let running = report(run, run::RunStatus::Running, &events(80));
+        plan.record_report("a", &RunReport { gap_ms: 50, ..running }, now);
     }
     let end = now + 20 * 50;
     let list_at = |read: Millis| plan.list_at("a", now, Some(read));
@@ -600,7 +629,7 @@
     assert!(early + 500 < end.0 && early + 1_000 > end.0 + 100, "{early} for {end:?}");
     // A read that is over long before leaves time for another, one that is over later awaits them.
     assert_eq!(list_at(now + 400), now + 350);
-    assert_eq!(list_at(end + 500), now + MOST_MS);
+    assert_eq!(list_at(end + 500), now + MAX_LIST_DELAY_MS);
     // What comes so late that the next read would begin too late as well waits for the last ones.
     let late = end.0 - 400;
     assert_eq!(plan.list_at("a", Millis(late), Some(end)).0, end.0 - 50);
@@ -614,7 +643,7 @@
     let runs = assign(&mut plan, NOW);
     assert_eq!(runs.len(), 3_000);
     assert!(
-        runs.iter().all(|run| run.beside == 0),
+        runs.iter().all(|run| run.other_runs == 0),
         "none is beside another while engines are idle"
     );
     let taken: BTreeSet<&str> = runs.iter().map(|run| run.endpoint.as_str()).collect();
--- a/components/fleet/tests/policy.rs
+++ b/components/fleet/tests/policy.rs
@@ -8,15 +8,15 @@
 
 use chicoryford_fleet::Announcement;
 use chicoryford_fleet::Endpoint;
+use chicoryford_fleet::EndpointStatus;
 use chicoryford_fleet::Policy;
 use chicoryford_fleet::Sample;
-use chicoryford_fleet::Standing;
 use chicoryford_fleet::Step;
 use chicoryford_fleet::copies::StoreId;
 use chicoryford_fleet::copies::Stores;
-use chicoryford_fleet::pick::Ending;
+use chicoryford_fleet::pick::AttemptOutcome;
 use chicoryford_fleet::pick::Picker;
-use chicoryford_fleet::plan::Plan;
+use chicoryford_fleet::plan::Planner;
 use chicoryford_types::Epoch;
 use chicoryford_types::Millis;
 
@@ -30,7 +30,7 @@
 fn endpoint(id: &str, service: &str) -> Endpoint {
     let said = Announcement {
         id: id.to_owned(),
-        born: 0,
+        started_ms: 0,
         service: service.to_owned(),
         address: "10.0.0.1:80".parse().unwrap(),
         data_centre: "z".to_owned(),
@@ -39,16 +39,16 @@
         models: BTreeMap::from([("m".to_owned(), 1)]),
         sequence: 1,
     };
-    Endpoint { said, standing: Standing::Ready }
+    Endpoint { announcement: said, status: EndpointStatus::Ready }
 }
 
 /// Which endpoint is picked after one of two has failed.
 fn after_a_failure(policy: Policy) -> Vec<String> {
-    let mut picker = Picker::new(7).under(policy);
+    let mut picker = Picker::new(7).with_policy(policy);
     picker.observe(&endpoint("a", "desk"));
     picker.observe(&endpoint("b", "desk"));
     let failed = picker.pick("desk", "route", |_| true, Millis(0)).unwrap().id;
-    picker.ended(&failed, "route", Ending::Failed, Millis(1));
+    picker.record_outcome(&failed, "route", AttemptOutcome::Failed, Millis(1));
     let picks = (0..2).map(|_| picker.pick("desk", "route", |_| true, Millis(2)).unwrap().id);
     picks.filter(|id| *id == failed).collect()
 }
@@ -62,12 +62,12 @@
 
 /// Which samples start first where there is room for two.
 fn first_started(policy: Policy) -> Vec<u32> {
-    let mut plan = Plan::new(Epoch(1)).under(policy);
-    plan.observe(&endpoint("e", "engines"));
+    let mut plan = Planner::new(Epoch(1)).with_policy(policy);
+    plan.update_engine(&endpoint("e", "engines"));
     let sample = |expected: u64| Sample {
         id: format!("s{expected}"),
         path: "/s/1".to_owned(),
-        expected,
+        expected_tokens: expected,
         ..Sample::default()
     };
     let step = Step {
@@ -79,7 +79,7 @@
         samples: [5, 1, 9, 3].into_iter().map(sample).collect(),
         ..Step::default()
     };
-    plan.open(Arc::new(step), Millis(0), Millis::default(), |_| false);
+    plan.open_step(Arc::new(step), Millis(0), Millis::default(), |_| false);
     plan.assign(&steps_config(), Millis(1)).iter().map(|assignment| assignment.index).collect()
 }
 
@@ -93,7 +93,7 @@
 #[test]
 fn without_near_copies_parts_are_spread_evenly() {
     let first = |policy: Policy| {
-        let mut stores = Stores::new("y", Millis(0)).under(policy);
+        let mut stores = Stores::new("y", Millis(0)).with_policy(policy);
         for (node, place) in [("a", "x"), ("b", "y")] {
             let id = StoreId { node: node.to_owned(), identity: 1 };
             stores.connected(id, place.to_owned(), address(), Millis(0));
--- a/components/fleet/tests/recent.rs
+++ b/components/fleet/tests/result_cache.rs
@@ -1,15 +1,15 @@
 //! Results that were read before are given again as they were, and only those.
 
-use chicoryford_fleet::Verdict;
-use chicoryford_fleet::recent::Recent;
+use chicoryford_fleet::SampleResult;
+use chicoryford_fleet::result_cache::ResultCache;
 use quickcheck::TestResult;
 use quickcheck::quickcheck;
 
 /// Room for all that a test reads, where it is not about the bound.
 const ROOM: usize = 1 << 20;
 
-fn result(place: u64) -> (String, Verdict) {
-    let verdict = Verdict::Completed {
+fn result(place: u64) -> (String, SampleResult) {
+    let verdict = SampleResult::Completed {
         text: format!("text {place}"),
         versions: vec![place],
         score: Some(format!("score {place}")),
@@ -17,12 +17,12 @@
     (format!("sample {place}"), verdict)
 }
 
-fn results(places: std::ops::Range<u64>) -> Vec<(String, Verdict)> {
+fn results(places: std::ops::Range<u64>) -> Vec<(String, SampleResult)> {
     places.map(result).collect()
 }
 
 /// The places that are given from one on.
-fn places(recent: &mut Recent, step: &str, after: u64) -> Vec<u64> {
+fn places(recent: &mut ResultCache, step: &str, after: u64) -> Vec<u64> {
     let Some(read) = recent.get(step, after) else { return Vec::new() };
     let given = (after..).zip(read.results);
     given
@@ -36,7 +36,7 @@
 
 #[test]
 fn what_was_read_is_given_again_from_any_place() {
-    let mut recent = Recent::new(ROOM);
+    let mut recent = ResultCache::new(ROOM);
     recent.put("a", 9, 0, results(0..3));
     recent.put("a", 9, 3, results(3..5));
 
@@ -50,30 +50,30 @@
 /// known was taken for all there is.
 #[test]
 fn what_is_known_is_not_taken_for_all_there_is() {
-    let mut recent = Recent::new(ROOM);
+    let mut recent = ResultCache::new(ROOM);
     recent.put("a", 5, 0, results(0..3));
-    assert!(!recent.get("a", 0).unwrap().whole, "two may have been listed since");
+    assert!(!recent.get("a", 0).unwrap().full, "two may have been listed since");
     recent.put("a", 5, 3, results(3..5));
-    assert!(recent.get("a", 0).unwrap().whole);
-    assert!(recent.get("a", 4).unwrap().whole);
+    assert!(recent.get("a", 0).unwrap().full);
+    assert!(recent.get("a", 4).unwrap().full);
 }
 
 #[test]
 fn what_does_not_fit_into_a_reply_is_not_asked_for() {
     let long = |place: u64| {
         let verdict =
-            Verdict::Completed { text: "x".repeat(500_000), versions: vec![1], score: None };
+            SampleResult::Completed { text: "x".repeat(500_000), versions: vec![1], score: None };
         (format!("sample {place}"), verdict)
     };
-    let mut recent = Recent::new(8 << 20);
+    let mut recent = ResultCache::new(8 << 20);
     recent.put("a", 9, 0, (0..3).map(long).collect());
     let read = recent.get("a", 0).unwrap();
-    assert_eq!((read.results.len(), read.whole), (1, true));
+    assert_eq!((read.results.len(), read.full), (1, true));
 }
 
 #[test]
 fn what_was_not_read_is_left_to_the_leader() {
-    let mut recent = Recent::new(ROOM);
+    let mut recent = ResultCache::new(ROOM);
     recent.put("a", 9, 2, results(2..4));
 
     assert!(recent.get("a", 0).is_none());
@@ -84,7 +84,7 @@
 /// A caller that skipped a place would take the next result for the one at that place.
 #[test]
 fn a_gap_ends_what_is_given() {
-    let mut recent = Recent::new(ROOM);
+    let mut recent = ResultCache::new(ROOM);
     recent.put("a", 9, 0, results(0..2));
     recent.put("a", 9, 3, results(3..5));
 
@@ -94,7 +94,7 @@
 #[test]
 fn the_step_used_least_lately_goes_first() {
     let each = 2 * (256 + "sample 0".len() + "text 0".len());
-    let mut recent = Recent::new(2 * each);
+    let mut recent = ResultCache::new(2 * each);
     recent.put("a", 9, 0, results(0..2));
     recent.put("b", 9, 0, results(0..2));
     recent.get("a", 0);
@@ -108,7 +108,7 @@
 quickcheck! {
     // Whatever is read in whatever order, nothing is given that was not read, or at another place.
     fn any_order_of_reads_gives_only_what_was_read(reads: Vec<(u8, u8)>, after: u8) -> TestResult {
-        let mut recent = Recent::new(ROOM);
+        let mut recent = ResultCache::new(ROOM);
         let mut known = std::collections::BTreeSet::new();
         for (from, count) in reads {
             let range = u64::from(from)..u64::from(from) + u64::from(count % 16);
--- a/components/fleet/tests/events.rs
+++ b/components/fleet/tests/sse.rs
@@ -1,15 +1,15 @@
 //! Streams of events that come in pieces of any size.
 
-use chicoryford_fleet::events::Reader;
+use chicoryford_fleet::sse::SseReader;
 use quickcheck::quickcheck;
 
 const STREAM: &[u8] =
     b"id: 1\ndata: one\n\n: a comment\nx-version: 2\nid: 2\r\ndata: two\r\n\r\nid: 3\ndata:\n\n";
 
 fn read(pieces: &[&[u8]]) -> (Vec<Vec<(String, String)>>, bool) {
-    let mut reader = Reader::default();
+    let mut reader = SseReader::default();
     let events = pieces.iter().flat_map(|piece| reader.feed(piece)).collect();
-    (events, reader.is_between())
+    (events, reader.is_at_boundary())
 }
 
 #[test]
--- a/components/fleet/tests/state.rs
+++ b/components/fleet/tests/state.rs
@@ -5,18 +5,18 @@
 use std::sync::Arc;
 
 use chicoryford_fleet::Announcement;
+use chicoryford_fleet::ApplyOutcome;
 use chicoryford_fleet::Command;
 use chicoryford_fleet::Config;
-use chicoryford_fleet::Done;
 use chicoryford_fleet::Endpoint;
-use chicoryford_fleet::Listed;
-use chicoryford_fleet::Outline;
+use chicoryford_fleet::EndpointStatus;
+use chicoryford_fleet::ListedResult;
 use chicoryford_fleet::Stamped;
-use chicoryford_fleet::Standing;
 use chicoryford_fleet::State;
+use chicoryford_fleet::StepSummary;
 use chicoryford_fleet::copies::PartId;
-use chicoryford_fleet::copies::Place;
-use chicoryford_fleet::step::Result;
+use chicoryford_fleet::copies::Placement;
+use chicoryford_fleet::step::StoredResult;
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
 use quickcheck::quickcheck;
@@ -26,30 +26,30 @@
 }
 
 fn submit(id: &str, samples: u32, part: u64) -> Command {
-    let step = Outline {
+    let step = StepSummary {
         id: id.to_owned(),
         model: "m".to_owned(),
         samples,
         age_ms: 1_000,
         part: PartId(part),
     };
-    Command::Submit { step: Arc::new(step), place: Place::Stores(BTreeSet::new()) }
+    Command::Submit { step: Arc::new(step), place: Placement::Stores(BTreeSet::new()) }
 }
 
 fn list(id: &str, indices: &[u32], part: u64) -> Command {
     let listed = |index: &u32| {
-        let result = Result::Completed {
+        let result = StoredResult::Completed {
             part: PartId(part),
             place: 0,
             bytes: 1,
             versions: vec![1],
             score: None,
         };
-        Arc::new(Listed { index: *index, sample: format!("s{index}"), result })
+        Arc::new(ListedResult { index: *index, sample: format!("s{index}"), result })
     };
     Command::List {
         step: id.to_owned(),
-        part: Some((PartId(part), Place::Stores(BTreeSet::new()))),
+        part: Some((PartId(part), Placement::Stores(BTreeSet::new()))),
         results: indices.iter().map(listed).collect(),
     }
 }
@@ -62,16 +62,16 @@
 #[test]
 fn the_highest_version_is_in_force_and_other_content_under_it_never_shows() {
     let mut state = State::default();
-    assert_eq!(state.apply(at(1, configure(5, "five"))), Done::Changed);
-    assert_eq!(state.apply(at(2, configure(4, "four"))), Done::Held);
-    assert_eq!(state.apply(at(3, configure(5, "other"))), Done::Held);
+    assert_eq!(state.apply(at(1, configure(5, "five"))), ApplyOutcome::Changed);
+    assert_eq!(state.apply(at(2, configure(4, "four"))), ApplyOutcome::Held);
+    assert_eq!(state.apply(at(3, configure(5, "other"))), ApplyOutcome::Held);
     assert_eq!(&state.config.as_ref().unwrap().source[..], b"five");
-    assert_eq!(state.apply(at(4, configure(9, "nine"))), Done::Changed);
+    assert_eq!(state.apply(at(4, configure(9, "nine"))), ApplyOutcome::Changed);
     let named = Command::Publish { model: "m".to_owned(), version: 3 };
-    assert_eq!(state.apply(at(5, named.clone())), Done::Changed);
-    assert_eq!(state.apply(at(6, named)), Done::Held);
+    assert_eq!(state.apply(at(5, named.clone())), ApplyOutcome::Changed);
+    assert_eq!(state.apply(at(6, named)), ApplyOutcome::Held);
     let older = Command::Publish { model: "m".to_owned(), version: 2 };
-    assert_eq!(state.apply(at(7, older)), Done::Held);
+    assert_eq!(state.apply(at(7, older)), ApplyOutcome::Held);
     assert_eq!(state.versions["m"], 3);
 }
 
@@ -82,16 +82,16 @@
 #[test]
 fn what_is_submitted_or_listed_again_changes_nothing() {
     let mut state = State::default();
-    assert_eq!(state.apply(at(1, submit("a", 3, 10))), Done::Changed);
-    assert_eq!(state.apply(at(2, submit("a", 3, 11))), Done::Held);
+    assert_eq!(state.apply(at(1, submit("a", 3, 10))), ApplyOutcome::Changed);
+    assert_eq!(state.apply(at(2, submit("a", 3, 11))), ApplyOutcome::Held);
     assert!(!state.parts.contains_key(&PartId(11)));
     state.apply(at(3, list("a", &[2, 0], 20)));
-    assert_eq!(state.apply(at(4, list("a", &[0], 21))), Done::Held);
-    assert_eq!(state.apply(at(5, list("a", &[0, 1, 7], 22))), Done::Changed);
+    assert_eq!(state.apply(at(4, list("a", &[0], 21))), ApplyOutcome::Held);
+    assert_eq!(state.apply(at(5, list("a", &[0, 1, 7], 22))), ApplyOutcome::Changed);
     let places: Vec<u32> = state.steps["a"].results.iter().map(|listed| listed.index).collect();
     assert_eq!(places, [2, 0, 1]);
     assert!(!state.steps["a"].is_open());
-    assert_eq!(state.apply(at(6, list("b", &[0], 23))), Done::Unknown);
+    assert_eq!(state.apply(at(6, list("b", &[0], 23))), ApplyOutcome::Unknown);
 }
 
 #[test]
@@ -102,15 +102,15 @@
     let note = Command::Note {
         step: "a".to_owned(),
         part: PartId(30),
-        place: Place::Stores(BTreeSet::new()),
+        place: Placement::Stores(BTreeSet::new()),
     };
-    assert_eq!(state.apply(at(210, note.clone())), Done::Changed);
+    assert_eq!(state.apply(at(210, note.clone())), ApplyOutcome::Changed);
     assert!(state.parts.contains_key(&PartId(30)));
     assert!(state.expired(10_000_000, 5_000).is_empty(), "it is open");
-    assert_eq!(state.apply(at(300, Command::End { step: "a".to_owned() })), Done::Changed);
-    assert_eq!(state.apply(at(400, Command::End { step: "a".to_owned() })), Done::Held);
+    assert_eq!(state.apply(at(300, Command::End { step: "a".to_owned() })), ApplyOutcome::Changed);
+    assert_eq!(state.apply(at(400, Command::End { step: "a".to_owned() })), ApplyOutcome::Held);
     assert!(!state.parts.contains_key(&PartId(30)), "nothing goes on from a note any more");
-    assert_eq!(state.apply(at(410, note)), Done::Held);
+    assert_eq!(state.apply(at(410, note)), ApplyOutcome::Held);
     assert_eq!(state.steps["a"].results.len(), 1);
     assert!(state.expired(5_099, 5_000).is_empty());
     let old = state.expired(5_100, 5_000);
@@ -175,9 +175,9 @@
 #[test]
 fn endpoints_are_noted_and_forgotten_one_by_one() {
     let endpoint = |id: &str, version| Endpoint {
-        said: Announcement {
+        announcement: Announcement {
             id: id.to_owned(),
-            born: 0,
+            started_ms: 0,
             service: "a".to_owned(),
             address: "10.0.0.1:80".parse().unwrap(),
             data_centre: "z".to_owned(),
@@ -186,14 +186,14 @@
             models: BTreeMap::from([("m".to_owned(), version)]),
             sequence: 1,
         },
-        standing: Standing::Ready,
+        status: EndpointStatus::Ready,
     };
     let mut state = State::default();
     let mut know = |live: &[Endpoint], gone: &[&str]| {
         let gone = gone.iter().map(|id| (*id).to_owned()).collect();
         let command = Command::Know { live: live.to_vec(), gone };
         state.apply(Stamped { at: 1, command });
-        let versions = state.endpoints.values().map(|known| known.said.models["m"]);
+        let versions = state.endpoints.values().map(|known| known.announcement.models["m"]);
         versions.collect::<Vec<u64>>()
     };
     assert_eq!(know(&[endpoint("a", 1), endpoint("b", 1)], &[]), [1, 1]);
--- a/components/fleet/tests/support/mod.rs
+++ b/components/fleet/tests/support/mod.rs
@@ -8,15 +8,15 @@
 
 use chicoryford_fleet::Announcement;
 use chicoryford_fleet::Config;
-use chicoryford_fleet::Kind;
 use chicoryford_fleet::Route;
+use chicoryford_fleet::RouteKind;
 use chicoryford_fleet::Share;
 
 /// An endpoint of the service "a" with the first version of the model "m".
 pub fn said(id: &str, sequence: u64) -> Announcement {
     Announcement {
         id: id.to_owned(),
-        born: 0,
+        started_ms: 0,
         service: "a".to_owned(),
         address: "10.0.0.1:80".parse().expect("it is an address"),
         data_centre: "z".to_owned(),
@@ -33,7 +33,7 @@
         name: "steps".to_owned(),
         host: "h".to_owned(),
         prefix: "/s/".to_owned(),
-        kind: Kind::Step,
+        kind: RouteKind::Step,
         timeout_ms: None,
         target_ms: 400,
         priority: 1,
@@ -42,7 +42,7 @@
         resumable: true,
         due_ms: Some(7_500),
         age_ms: Some(40_000),
-        single: false,
+        single_version: false,
         open: false,
     };
     Config { version: 1, routes: vec![route], ..Config::default() }
