--- a/components/fleet/tests/swap.rs
+++ b/components/fleet/tests/swap.rs
@@ -4,28 +4,28 @@
 
 use chicoryford_fleet::Announcement;
 use chicoryford_fleet::Endpoint;
+use chicoryford_fleet::EndpointStatus;
 use chicoryford_fleet::Policy;
-use chicoryford_fleet::Standing;
-use chicoryford_fleet::plan::Plan;
-use chicoryford_fleet::plan::Seat;
-use chicoryford_fleet::swap::Claim;
-use chicoryford_fleet::swap::Wish;
-use chicoryford_fleet::swap::divide;
-use chicoryford_fleet::swap::wishes;
-use chicoryford_fleet::turn::Turn;
+use chicoryford_fleet::order_lease::OrderLease;
+use chicoryford_fleet::plan::EngineState;
+use chicoryford_fleet::plan::Planner;
+use chicoryford_fleet::swap::ModelDemand;
+use chicoryford_fleet::swap::WeightLoad;
+use chicoryford_fleet::swap::assign_engines;
+use chicoryford_fleet::swap::select_loads;
 use chicoryford_types::Epoch;
 use chicoryford_types::Millis;
 
-fn claim(model: &str, version: u64, demand: u64) -> Claim {
-    Claim { model: model.to_owned(), version, demand, samples: 288, starved: 0 }
+fn claim(model: &str, version: u64, demand: u64) -> ModelDemand {
+    ModelDemand { model: model.to_owned(), version, tokens: demand, peak_samples: 288, starved: 0 }
 }
 
-fn plan(versions: &[(u64, u64)]) -> Plan {
-    let mut plan = Plan::new(Epoch(1));
+fn plan(versions: &[(u64, u64)]) -> Planner {
+    let mut plan = Planner::new(Epoch(1));
     for (number, (one, two)) in versions.iter().enumerate() {
         let said = Announcement {
             id: format!("e{number:02}"),
-            born: 0,
+            started_ms: 0,
             service: "engines".to_owned(),
             address: "10.0.0.1:80".parse().unwrap(),
             data_centre: "z".to_owned(),
@@ -34,14 +34,14 @@
             models: BTreeMap::from([("one".to_owned(), *one), ("two".to_owned(), *two)]),
             sequence: 1,
         };
-        plan.observe(&Endpoint { said, standing: Standing::Ready });
+        plan.update_engine(&Endpoint { announcement: said, status: EndpointStatus::Ready });
     }
     plan
 }
 
-fn wish(plan: &Plan, claims: &[Claim]) -> Vec<Wish> {
-    let seats: Vec<&Seat> = plan.seats().collect();
-    wishes(&seats, claims, &Turn::default(), Policy::default(), Millis(1))
+fn wish(plan: &Planner, claims: &[ModelDemand]) -> Vec<WeightLoad> {
+    let seats: Vec<&EngineState> = plan.engines().collect();
+    select_loads(&seats, claims, &OrderLease::default(), Policy::default(), Millis(1))
 }
 
 #[test]
@@ -49,12 +49,12 @@
     let engines: Vec<String> = (0..9).map(|n| n.to_string()).collect();
     let engines: Vec<&str> = engines.iter().map(String::as_str).collect();
     let claims = [claim("one", 1, 1), claim("two", 1, 100)];
-    let owners = divide(&engines, &claims);
+    let owners = assign_engines(&engines, &claims);
     let of = |model: &str| owners.values().filter(|owner| **owner == model).count();
     assert_eq!((of("one"), of("two")), (2, 7));
-    assert!(divide(&engines, &[]).is_empty());
+    assert!(assign_engines(&engines, &[]).is_empty());
     let claims = [claim("one", 1, 1), claim("two", 1, 1)];
-    assert_eq!(divide(&engines[..1], &claims).len(), 1);
+    assert_eq!(assign_engines(&engines[..1], &claims).len(), 1);
 }
 
 /// The load: 3,000 engines before three trainers with two steps of 144 samples open at a time. Each
@@ -64,8 +64,8 @@
     let engines: Vec<String> = (0..3_000).map(|n| format!("e{n:04}")).collect();
     let engines: Vec<&str> = engines.iter().map(String::as_str).collect();
     let mut claims = ["one", "two", "three"].map(|model| claim(model, 2, 1_000));
-    claims[2].samples = 0;
-    let owners = divide(&engines, &claims);
+    claims[2].peak_samples = 0;
+    let owners = assign_engines(&engines, &claims);
     let of = |model: &str| owners.values().filter(|owner| **owner == model).count();
     assert_eq!((of("one"), of("two"), of("three")), (144, 144, 2));
 }
@@ -77,7 +77,7 @@
     let claims = [claim("one", 3, 1)];
     let first = wish(&plan, &claims);
     assert_eq!(first.len(), 2);
-    plan.seat(&first[0].endpoint).unwrap().loading = Some("one".to_owned());
+    plan.engine_mut(&first[0].endpoint).unwrap().loading = Some("one".to_owned());
     let second = wish(&plan, &claims);
     assert_eq!(second.len(), 1);
     assert_ne!(first[0].endpoint, second[0].endpoint);
@@ -99,7 +99,7 @@
 #[test]
 fn a_model_whose_samples_wait_goes_first() {
     let plan = plan(&[(1, 8); 9]);
-    let starved = Claim { starved: 5, ..claim("two", 10, 1) };
+    let starved = ModelDemand { starved: 5, ..claim("two", 10, 1) };
     let first = wish(&plan, &[claim("one", 3, 1), starved]);
     assert!(first.iter().all(|wish| wish.model == "two"), "{first:?}");
 }
--- a/components/fleet/tests/line.rs
+++ b/components/fleet/tests/wait_queue.rs
@@ -2,49 +2,49 @@
 
 use std::collections::BTreeMap;
 
-use chicoryford_fleet::line::Line;
-use chicoryford_fleet::line::Place;
+use chicoryford_fleet::wait_queue::QueuePosition;
+use chicoryford_fleet::wait_queue::WaitQueue;
 use chicoryford_types::Millis;
 
 #[test]
 fn the_most_urgent_goes_first_and_others_wait_for_it() {
-    let mut line = Line::default();
+    let mut line = WaitQueue::default();
     let now = Millis(1_000);
-    assert!(!line.is_closed(now));
-    line.found_full(now);
-    let late = line.join("w", 2);
-    let urgent = line.join("x", 0);
-    assert_eq!(line.turn_ms(late, now), None);
-    assert_eq!(line.turn_ms(urgent, now), Some(30));
-    assert_eq!(line.turn_ms(urgent, now + 30), Some(0));
-    line.go(urgent);
-    assert_eq!(line.turn_ms(late, now + 30), Some(0));
-    line.leave(late);
-    assert!(!line.is_closed(now + 30));
+    assert!(!line.must_wait(now));
+    line.pause(now);
+    let late = line.push("w", 2);
+    let urgent = line.push("x", 0);
+    assert_eq!(line.wait_ms(late, now), None);
+    assert_eq!(line.wait_ms(urgent, now), Some(30));
+    assert_eq!(line.wait_ms(urgent, now + 30), Some(0));
+    line.admit(urgent);
+    assert_eq!(line.wait_ms(late, now + 30), Some(0));
+    line.remove(late);
+    assert!(!line.must_wait(now + 30));
 }
 
 #[test]
 fn a_request_that_found_endpoints_full_again_keeps_its_place() {
-    let mut line = Line::default();
-    let (first, second) = (line.join("w", 1), line.join("x", 1));
-    line.go(first);
-    assert_eq!(line.turn_ms(second, Millis(0)), Some(0));
-    line.rejoin(first);
-    assert_eq!(line.turn_ms(second, Millis(0)), None);
+    let mut line = WaitQueue::default();
+    let (first, second) = (line.push("w", 1), line.push("x", 1));
+    line.admit(first);
+    assert_eq!(line.wait_ms(second, Millis(0)), Some(0));
+    line.requeue(first);
+    assert_eq!(line.wait_ms(second, Millis(0)), None);
 }
 
 /// A request of the play.
 struct Request {
     workspace: String,
     came: u64,
-    place: Option<Place>,
+    place: Option<QueuePosition>,
 }
 
 /// Plays 20 s of 88 workspaces before one endpoint that is left of four, with six places and requests of
 /// 25 ms, 240 a second. Gives the part of each workspace's requests that were served; those that
 /// have waited for 90 ms are refused.
 fn play(requests: &[(u64, String)], fair: bool) -> BTreeMap<String, f64> {
-    let mut line = Line::default();
+    let mut line = WaitQueue::default();
     let mut waiting: Vec<Request> = Vec::new();
     let mut busy: Vec<u64> = Vec::new();
     let (mut asked, mut served) = (BTreeMap::<String, f64>::new(), BTreeMap::<String, f64>::new());
@@ -54,21 +54,21 @@
         while let Some((came, workspace)) = coming.next_if(|(came, _)| *came <= now) {
             *asked.entry(workspace.clone()).or_default() += 1.0;
             let name = if fair { workspace.as_str() } else { "" };
-            let place = Some(line.join(name, 1));
+            let place = Some(line.push(name, 1));
             waiting.push(Request { workspace: workspace.clone(), came: *came, place });
         }
         waiting.retain(|request| {
             let in_time = now - request.came <= 90;
             if let Some(place) = request.place.filter(|_| !in_time) {
-                line.leave(place);
+                line.remove(place);
             }
             in_time
         });
         while busy.len() < 6 {
-            let turn = |one: &Request| line.turn_ms(one.place.unwrap(), Millis(now)) == Some(0);
+            let turn = |one: &Request| line.wait_ms(one.place.unwrap(), Millis(now)) == Some(0);
             let Some(first) = waiting.iter().position(turn) else { break };
             let request = waiting.swap_remove(first);
-            line.go(request.place.unwrap());
+            line.admit(request.place.unwrap());
             busy.push(now + 25);
             *served.entry(request.workspace).or_default() += 1.0;
         }
--- a/components/fleet/tests/walltime.rs
+++ b/components/fleet/tests/walltime.rs
@@ -41,7 +41,7 @@
 fn a_member_goes_on_by_its_steady_clock_when_no_leader_is_heard() {
     let mut time = WallTime::new(Unix(TRUE + 4_000), NOW);
     assert_eq!(time.at(NOW), Unix(TRUE + 4_000), "its own clock is all that it has");
-    time.tell(Unix(TRUE), NOW);
+    time.record(Unix(TRUE), NOW);
     assert_eq!(time.at(NOW + 60_000), Unix(TRUE + 60_000));
 }
 
@@ -52,11 +52,11 @@
 fn the_first_words_of_a_new_leader_do_not_move_the_time() {
     let mut time = WallTime::new(Unix(TRUE), NOW);
     for word in 0..15 {
-        time.tell(Unix(TRUE + word * 200), NOW + word * 200);
+        time.record(Unix(TRUE + word * 200), NOW + word * 200);
     }
     let at = NOW + 3_000;
     for _ in 0..3 {
-        time.tell(Unix(TRUE + 7_000), at);
+        time.record(Unix(TRUE + 7_000), at);
     }
     assert_eq!(time.at(at), Unix(TRUE + 3_000));
 }
--- a/components/fleet/tests/workspace.rs
+++ b/components/fleet/tests/workspace.rs
@@ -2,7 +2,7 @@
 
 use chicoryford_fleet::Access;
 use chicoryford_fleet::Route;
-use chicoryford_fleet::Trust;
+use chicoryford_fleet::StaleKeyPolicy;
 use chicoryford_fleet::Workspace;
 use chicoryford_fleet::Workspaces;
 use chicoryford_fleet::workspace::step_id;
@@ -26,20 +26,22 @@
     let open: Vec<Route> =
         closed.iter().map(|route| Route { open: true, ..route.clone() }).collect();
     let all = workspaces();
-    assert!(matches!(all.asker(&closed, Some("w")), Access::Of(one) if one.name == "w"));
-    assert_eq!(all.asker(&closed, Some("unknown")), Access::Unknown);
-    assert_eq!(all.asker(&closed, None), Access::Unknown);
-    assert_eq!(all.asker(&open, None), Access::Open);
-    assert_eq!(Workspaces::default().asker(&closed, None), Access::Open);
+    assert!(
+        matches!(all.step_access(&closed, Some("w")), Access::Workspace(one) if one.name == "w")
+    );
+    assert_eq!(all.step_access(&closed, Some("unknown")), Access::Unknown);
+    assert_eq!(all.step_access(&closed, None), Access::Unknown);
+    assert_eq!(all.step_access(&open, None), Access::Open);
+    assert_eq!(Workspaces::default().step_access(&closed, None), Access::Open);
 }
 
 #[test]
 fn keys_are_believed_without_a_leader_as_the_operator_chose() {
-    let lenient = Trust { strict: false, limit_ms: 5_000 };
-    let strict = Trust { strict: true, ..lenient };
-    assert!(lenient.holds(1_000_000));
-    assert!(strict.holds(5_000));
-    assert!(!strict.holds(5_001));
+    let lenient = StaleKeyPolicy { strict: false, limit_ms: 5_000 };
+    let strict = StaleKeyPolicy { strict: true, ..lenient };
+    assert!(lenient.allows(1_000_000));
+    assert!(strict.allows(5_000));
+    assert!(!strict.allows(5_001));
 }
 
 quickcheck! {
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use chicoryford_fleet::Announcement;
-use chicoryford_fleet::hearing::Hearing;
+use chicoryford_fleet::heartbeats::HeartbeatBuffer;
 use chicoryford_http::Reply;
 use chicoryford_http::Request;
 use chicoryford_http::message::StatusCode;
@@ -50,7 +50,7 @@
     /// connections.
     pub own: SocketAddr,
     /// Received announcements that were not reported to the leader yet.
-    pub heartbeats: RefCell<Hearing>,
+    pub heartbeats: RefCell<HeartbeatBuffer>,
 }
 
 impl Control {
@@ -106,7 +106,7 @@
         let has_recent_leader =
             self.link.is_connected() || self.link.silent_ms() < MAX_LEADER_SILENCE_MS;
         has_recent_leader
-            && self.heartbeats.borrow_mut().hear(known.as_deref(), announcement, clock::now())
+            && self.heartbeats.borrow_mut().record(known.as_deref(), announcement, clock::now())
     }
 
     fn acknowledge(&self) -> Reply {
@@ -118,7 +118,7 @@
     pub async fn report_periodically(self: Rc<Self>) {
         loop {
             tokio::time::sleep(REPORT_INTERVAL).await;
-            let pending = self.heartbeats.borrow().signs(clock::now());
+            let pending = self.heartbeats.borrow().pending(clock::now());
             if !pending.is_empty() && self.link.report_heartbeats(pending) {
                 self.heartbeats.borrow_mut().clear();
             }
@@ -166,7 +166,7 @@
     }
 }
 
-fn refuse_config(version: Option<u64>, fault: &chicoryford_fleet::Fault) -> Reply {
+fn refuse_config(version: Option<u64>, fault: &chicoryford_fleet::ConfigError) -> Reply {
     tracing::info!(event = "config_refused", version, %fault);
     control::refused(StatusCode::BAD_REQUEST, &fault.to_string())
 }
--- a/components/node/src/copies.rs
+++ b/components/node/src/copies.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use chicoryford_fleet::Command;
 use chicoryford_fleet::copies::PartId;
-pub use chicoryford_fleet::copies::Place;
+pub use chicoryford_fleet::copies::Placement;
 use chicoryford_fleet::copies::StoreId;
 use chicoryford_fleet::copies::Stores;
 use chicoryford_types::Millis;
@@ -86,7 +86,9 @@
     pub fn new(followers: Rc<Followers>, settings: &Settings, now: Millis) -> Self {
         Self {
             followers,
-            stores: RefCell::new(Stores::new(&settings.data_centre, now).under(settings.policy)),
+            stores: RefCell::new(
+                Stores::new(&settings.data_centre, now).with_policy(settings.policy),
+            ),
             cache: RefCell::default(),
             wanted: settings.tolerated as usize + 1,
         }
@@ -111,13 +113,13 @@
 
     /// Returns whether a store VM is known.
     pub fn has(&self, node: &str) -> bool {
-        self.stores.borrow().has(node)
+        self.stores.borrow().is_known(node)
     }
 
     /// Writes a part to enough stores and returns the place to record in the log. If there are not
     /// enough stores, the part itself goes into the log. The control processes' disks are small, so
     /// this is only meant for the time until stores are back.
-    pub async fn write(&self, part: PartId, bytes: &Bytes, avoid: &BTreeSet<String>) -> Place {
+    pub async fn write(&self, part: PartId, bytes: &Bytes, avoid: &BTreeSet<String>) -> Placement {
         let began = clock::now();
         self.cache.borrow_mut().put(part, bytes.clone());
         let holders = self.put(part, bytes, BTreeSet::new(), avoid).await;
@@ -125,7 +127,7 @@
         let seconds = clock::now().since(began) as f64 / 1_000.0;
         metrics::PART_SECONDS.with_label_values(&[place]).observe(seconds);
         if holders.len() >= self.wanted {
-            return Place::Stores(holders);
+            return Placement::Stores(holders);
         }
         let (stores, wanted, ms) = (holders.len(), self.wanted, clock::now().since(began));
         tracing::warn!(
@@ -136,7 +138,7 @@
             wanted,
             ms
         );
-        Place::Inline(bytes.clone())
+        Placement::Inline(bytes.clone())
     }
 
     /// Writes copies to further stores until there are enough. Returns all stores that have the
@@ -165,7 +167,7 @@
             tokio::select! {
                 done = requests.next() => match done {
                     Some((store, true)) => {
-                        self.stores.borrow_mut().given(&store);
+                        self.stores.borrow_mut().record_put(&store);
                         holders.insert(store);
                     }
                     Some((_, false)) => requests.extend(left.pop_front().map(ask)),
@@ -181,19 +183,19 @@
     }
 
     /// Returns the address of a store in this data centre that has a copy of the part, if any.
-    pub fn address_in(&self, place: &Place, data_centre: &str) -> Option<SocketAddr> {
-        self.stores.borrow().beside(place, data_centre)
+    pub fn address_in(&self, place: &Placement, data_centre: &str) -> Option<SocketAddr> {
+        self.stores.borrow().address_in(place, data_centre)
     }
 
     /// Reads a part from the cache, or from the first store that returns it, starting with the
     /// nearest.
-    pub async fn read(&self, part: PartId, place: &Place) -> Option<Bytes> {
+    pub async fn read(&self, part: PartId, place: &Placement) -> Option<Bytes> {
         if let Some(bytes) = self.cache.borrow().parts.get(&part) {
             return Some(bytes.clone());
         }
         let bytes = match place {
-            Place::Inline(bytes) => Some(bytes.clone()),
-            Place::Stores(stores) => self.get(part, stores).await,
+            Placement::Inline(bytes) => Some(bytes.clone()),
+            Placement::Stores(stores) => self.get(part, stores).await,
         };
         match &bytes {
             Some(bytes) => self.cache.borrow_mut().put(part, bytes.clone()),
@@ -227,14 +229,14 @@
     }
 
     /// Returns parts with too few copies, and parts in the log, that further stores could hold.
-    fn under_replicated(&self, leader: &Leader) -> Vec<(PartId, Place, BTreeSet<StoreId>)> {
+    fn under_replicated(&self, leader: &Leader) -> Vec<(PartId, Placement, BTreeSet<StoreId>)> {
         let state = leader.context.replica.state();
         let stores = self.stores.borrow();
         let now = clock::now();
         let available = stores.count(|node| !state.retired.contains(node));
         let lacks = state.parts.iter().filter_map(|(id, part)| {
-            let counted = stores.counted(&part.place, &state.retired, now);
-            let inline = matches!(part.place, Place::Inline(_));
+            let counted = stores.counted_copies(&part.place, &state.retired, now);
+            let inline = matches!(part.place, Placement::Inline(_));
             let lacks = counted.len() < self.wanted
                 && (!inline || available >= self.wanted)
                 && !stores.choose(&counted, &state.retired).is_empty();
@@ -247,7 +249,7 @@
         &self,
         leader: &Leader,
         part: PartId,
-        place: Place,
+        place: Placement,
         counted: BTreeSet<StoreId>,
     ) {
         let Some(bytes) = self.read(part, &place).await else { return };
@@ -264,7 +266,7 @@
         let state = leader.context.replica.state();
         let mut wanted: BTreeMap<StoreId, BTreeSet<PartId>> = BTreeMap::new();
         for (id, part) in &state.parts {
-            let Place::Stores(stores) = &part.place else { continue };
+            let Placement::Stores(stores) = &part.place else { continue };
             for store in stores {
                 wanted.entry(store.clone()).or_default().insert(*id);
             }
--- a/components/node/src/crashes.rs
+++ b/components/node/src/crashes.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use chicoryford_fleet::crashes::Crash;
-use chicoryford_fleet::crashes::Watch;
+use chicoryford_fleet::crashes::LocalCrashes;
 use chicoryford_http::Broken;
 use chicoryford_http::Connection;
 use chicoryford_http::Request;
@@ -31,7 +31,7 @@
 /// The crash records of this process.
 #[derive(Default)]
 pub struct Crashes {
-    watch: RefCell<Watch>,
+    watch: RefCell<LocalCrashes>,
     unreported: RefCell<BTreeSet<Crash>>,
     reported: RefCell<BTreeSet<Fingerprint>>,
     cleared: RefCell<BTreeSet<Fingerprint>>,
@@ -40,7 +40,7 @@
 impl Crashes {
     /// Replaces the contents that the fleet refuses.
     pub fn refuse(&self, refused: &BTreeSet<Fingerprint>) {
-        self.watch.borrow_mut().refuse(refused.clone());
+        self.watch.borrow_mut().set_refused(refused.clone());
     }
 
     /// Returns whether a request must be refused.
@@ -66,7 +66,7 @@
             content = crash.content.0
         );
         metrics::CRASHES.inc();
-        self.watch.borrow_mut().crashed(&crash);
+        self.watch.borrow_mut().record_crash(&crash);
         let mut unreported = self.unreported.borrow_mut();
         if unreported.len() < MAX_UNREPORTED {
             unreported.insert(crash);
@@ -79,7 +79,7 @@
             return;
         }
         let content = content_fingerprint(request, workspace);
-        if self.watch.borrow_mut().cleared(content) {
+        if self.watch.borrow_mut().clear_suspect(content) {
             self.unreported.borrow_mut().retain(|crash| crash.content != content);
             if self.reported.borrow_mut().remove(&content) {
                 self.cleared.borrow_mut().insert(content);
--- a/components/node/src/entry.rs
+++ b/components/node/src/entry.rs
@@ -7,12 +7,12 @@
 
 use chicoryford_fleet::Access;
 use chicoryford_fleet::Config;
-use chicoryford_fleet::Kind;
 use chicoryford_fleet::Route;
-use chicoryford_fleet::Trust;
-use chicoryford_fleet::Verdict;
+use chicoryford_fleet::RouteKind;
+use chicoryford_fleet::SampleResult;
+use chicoryford_fleet::StaleKeyPolicy;
 use chicoryford_fleet::Workspace;
-use chicoryford_fleet::recent::Recent;
+use chicoryford_fleet::result_cache::ResultCache;
 use chicoryford_http::Bounds;
 use chicoryford_http::Reply;
 use chicoryford_http::Request;
@@ -78,11 +78,11 @@
     /// Detects stalls of the process.
     pub stall: Rc<Stall>,
     /// Cache of recently read results.
-    pub result_cache: RefCell<Recent>,
+    pub result_cache: RefCell<ResultCache>,
     /// Counts the usage of workspaces, if it is reported.
     pub usage: Option<Rc<Usage>>,
     /// How long keys are accepted without a leader.
-    pub stale_key_policy: Trust,
+    pub stale_key_policy: StaleKeyPolicy,
     /// This data centre, if texts are read from its stores where possible; otherwise empty.
     pub near_data_centre: String,
     /// Reads texts from these stores.
@@ -101,7 +101,7 @@
             );
         };
         if let Some(call) = step::read(&request) {
-            let access = config.workspaces.asker(&config.routes, plain::key(&request));
+            let access = config.workspaces.step_access(&config.routes, plain::key(&request));
             return match self.authorize(access, &request, &config) {
                 Ok(workspace) => {
                     let workspace = workspace.map(|workspace| workspace.name.as_str());
@@ -118,7 +118,7 @@
             Ok(workspace) => workspace,
             Err(refusal) => return refusal,
         };
-        if route.kind == Kind::Step && request.method == Method::POST {
+        if route.kind == RouteKind::Step && request.method == Method::POST {
             return self.submit(&request, route, workspace).await;
         }
         let name = workspace.map(|workspace| workspace.name.as_str());
@@ -138,8 +138,10 @@
         let silent_ms = self.link.silent_ms();
         match access {
             Access::Open => Ok(None),
-            Access::Of(workspace) if self.stale_key_policy.holds(silent_ms) => Ok(Some(workspace)),
-            Access::Of(_) => {
+            Access::Workspace(workspace) if self.stale_key_policy.allows(silent_ms) => {
+                Ok(Some(workspace))
+            }
+            Access::Workspace(_) => {
                 Err(self.refuse(request, "keys may be out of date", NO_LEADER_RETRY_AFTER_MS))
             }
             Access::Unknown if silent_ms >= STALE_CONFIG_MS => {
@@ -291,7 +293,7 @@
         let (next, whole) = {
             let mut cache = self.result_cache.borrow_mut();
             let read = cache.get(step, after)?;
-            (after + read.results.len() as u64, read.whole)
+            (after + read.results.len() as u64, read.full)
         };
         if !whole {
             self.fetch_newer(step, next).await;
@@ -331,7 +333,7 @@
     }
 
     /// Combines results with their texts. Returns `None` if a text is missing.
-    async fn assemble(&self, answer: Answer) -> Option<(u64, Vec<(String, Verdict)>)> {
+    async fn assemble(&self, answer: Answer) -> Option<(u64, Vec<(String, SampleResult)>)> {
         let Answer::Results { total, listed, mut texts, near } = answer else { return None };
         let reads = near.into_iter().map(|(part, address)| async move {
             let Some(bytes) = self.reader.read(address, part).await else {
@@ -347,7 +349,7 @@
             let (part, read) = read?;
             texts.insert(part, read);
         }
-        let results = listed.iter().map(|one| Some((one.sample.clone(), one.verdict(&texts)?)));
+        let results = listed.iter().map(|one| Some((one.sample.clone(), one.with_text(&texts)?)));
         Some((total, results.collect::<Option<_>>()?))
     }
 
--- a/components/node/src/followers.rs
+++ b/components/node/src/followers.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use chicoryford_fleet::copies::StoreId;
-use chicoryford_fleet::run::Work;
+use chicoryford_fleet::run::HostCommand;
 use chicoryford_fleet::walltime;
 use chicoryford_fleet::walltime::Offset;
 use chicoryford_types::Millis;
@@ -149,7 +149,7 @@
     /// Sends work to a host. Returns whether the host is connected and has room in its queue. A
     /// host whose queue is full would miss an order to stop a run, so its connection is ended; when
     /// it follows again, it reports all its runs, and is told to stop the unwanted ones.
-    pub fn send_work(&self, host: &str, work: Work) -> bool {
+    pub fn send_work(&self, host: &str, work: HostCommand) -> bool {
         let mut all = self.members.borrow_mut();
         let is_host = |f: &Follower| f.store.as_ref().is_some_and(|store| store.node == host);
         let found = all.iter().rev().find(|(_, follower)| is_host(follower));
--- a/components/node/src/forward/attempt.rs
+++ b/components/node/src/forward/attempt.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use chicoryford_fleet::pick::Ending;
+use chicoryford_fleet::pick::AttemptOutcome;
 use chicoryford_fleet::pick::Target;
 use chicoryford_http::Broken;
 use chicoryford_http::Request;
@@ -26,14 +26,15 @@
     /// When the request was written to a connection; `None` before that.
     pub(super) sent: Option<Millis>,
     /// How it ended, and after how many milliseconds; `None` while it is in progress.
-    pub(super) end: Option<(Ending, u64)>,
+    pub(super) end: Option<(AttemptOutcome, u64)>,
 }
 
 impl AttemptRecord {
     /// Returns when the endpoint began to run the request, as far as is known; `None` if it did
     /// not.
     pub(super) fn began(&self) -> Option<Millis> {
-        let refused = matches!(self.end, Some((Ending::Refused | Ending::Moved, _)));
+        let refused =
+            matches!(self.end, Some((AttemptOutcome::Refused | AttemptOutcome::Moved, _)));
         self.sent.filter(|_| !refused)
     }
 }
@@ -76,12 +77,17 @@
     }
 
     /// Records how it ended.
-    pub(super) fn end(&mut self, ending: Ending) {
+    pub(super) fn end(&mut self, ending: AttemptOutcome) {
         self.ended = true;
         let (log, index) = &self.record;
         log.borrow_mut()[*index].end = Some((ending, clock::now().since(self.began)));
         metrics::ATTEMPT_ENDINGS.with_label_values(&[outcome_label(ending)]).inc();
-        self.forwarder.picker.borrow_mut().ended(self.id, self.route, ending, clock::now());
+        self.forwarder.picker.borrow_mut().record_outcome(
+            self.id,
+            self.route,
+            ending,
+            clock::now(),
+        );
     }
 
     /// Logs why the attempt failed.
@@ -92,13 +98,13 @@
     }
 }
 
-fn outcome_label(ending: Ending) -> &'static str {
+fn outcome_label(ending: AttemptOutcome) -> &'static str {
     match ending {
-        Ending::Answered(_) => "answered",
-        Ending::Refused => "refused",
-        Ending::Failed => "failed",
-        Ending::Dropped(_) => "dropped",
-        Ending::Moved => "moved",
+        AttemptOutcome::Answered(_) => "answered",
+        AttemptOutcome::Refused => "refused",
+        AttemptOutcome::Failed => "failed",
+        AttemptOutcome::Dropped(_) => "dropped",
+        AttemptOutcome::Moved => "moved",
     }
 }
 
@@ -106,7 +112,7 @@
     fn drop(&mut self) {
         if !self.ended {
             let ms = clock::now().since(self.began);
-            self.end(Ending::Dropped(ms));
+            self.end(AttemptOutcome::Dropped(ms));
         }
     }
 }
--- a/components/node/src/forward/budget.rs
+++ b/components/node/src/forward/budget.rs
@@ -2,7 +2,7 @@
 
 use std::cell::RefCell;
 
-use chicoryford_fleet::run::Spent;
+use chicoryford_fleet::run::CallCost;
 use chicoryford_types::Millis;
 use tokio::sync::Notify;
 
@@ -15,7 +15,7 @@
     pub(super) deadline: Millis,
     /// Identifies a request that several processes may forward.
     pub(super) request_id: Option<String>,
-    pub(super) spent: RefCell<Spent>,
+    pub(super) spent: RefCell<CallCost>,
     pub(super) added: Notify,
 }
 
@@ -28,7 +28,7 @@
     /// Creates the budget of a request that other processes may have forwarded before, or may
     /// forward concurrently. All of them prefer the same endpoints, so that together they use no
     /// more endpoints than one of them may.
-    pub fn shared(id: &str, deadline: Millis, spent: Spent) -> Self {
+    pub fn shared(id: &str, deadline: Millis, spent: CallCost) -> Self {
         let request_id = Some(id.to_owned());
         Self { deadline, request_id, spent: RefCell::new(spent), added: Notify::new() }
     }
@@ -44,7 +44,7 @@
     }
 
     /// Returns what was spent so far.
-    pub fn spent(&self) -> Spent {
+    pub fn spent(&self) -> CallCost {
         self.spent.borrow().clone()
     }
 }
--- a/components/node/src/forward/dispatch.rs
+++ b/components/node/src/forward/dispatch.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use chicoryford_fleet::crashes::Crash;
-use chicoryford_fleet::line::Place;
-use chicoryford_fleet::pick::Nowhere;
+use chicoryford_fleet::pick::PickError;
 use chicoryford_fleet::pick::Target;
+use chicoryford_fleet::wait_queue::QueuePosition;
 use chicoryford_http::Reply;
 use chicoryford_http::Request;
 use chicoryford_http::message::StatusCode;
@@ -57,7 +57,7 @@
     /// Endpoints that may have run the request in this pass for the first time.
     pub(super) new_endpoints: BTreeSet<String>,
     /// Its place in the queue for endpoints with free capacity, once it has reached the head.
-    pub(super) queue_place: Option<Place>,
+    pub(super) queue_place: Option<QueuePosition>,
     /// Milliseconds for which it has waited because all endpoints were full.
     pub(super) waited_ms: u64,
     /// Number of attempts that may have run.
@@ -86,7 +86,7 @@
         let mut running = FuturesUnordered::new();
         let mut hedged = self.at_most_once || !self.forwarder.hedging;
         if self.forwarder.queues.must_wait(self.service) && !self.wait_for_turn().await {
-            return self.give_up(Nowhere::AllTried);
+            return self.give_up(PickError::AllTried);
         }
         loop {
             if running.is_empty() {
@@ -95,13 +95,13 @@
                 }
                 match self.pick_endpoint() {
                     Ok(target) => running.push(self.start_attempt(target)),
-                    Err(Nowhere::AllTried)
+                    Err(PickError::AllTried)
                         if self.attempts_left > 0 && !self.is_budget_limited() =>
                     {
                         self.tried.clear();
                         self.forwarder.queues.record_full(self.service);
                         if !self.wait_for_turn().await {
-                            return self.give_up(Nowhere::AllTried);
+                            return self.give_up(PickError::AllTried);
                         }
                         continue;
                     }
@@ -144,9 +144,9 @@
         picker.has_ready(self.service, |id| !self.tried.iter().any(|tried| tried == id))
     }
 
-    fn pick_endpoint(&mut self) -> Result<Target, Nowhere> {
+    fn pick_endpoint(&mut self) -> Result<Target, PickError> {
         if self.attempts_left == 0 {
-            return Err(Nowhere::AllTried);
+            return Err(PickError::AllTried);
         }
         let mut picker = self.forwarder.picker.borrow_mut();
         let spent = self.budget.spent.borrow();
@@ -238,20 +238,20 @@
 
     /// Gives up because the content has been found to crash endpoints in the meantime.
     fn refuse_content(&mut self) -> Outcome {
-        match self.give_up(Nowhere::AllTried) {
+        match self.give_up(PickError::AllTried) {
             Outcome::NotRun(..) => Outcome::NotRun(CRASHING_CONTENT, REFUSED_RETRY_AFTER_MS),
             outcome => outcome,
         }
     }
 
-    fn give_up(&mut self, nowhere: Nowhere) -> Outcome {
+    fn give_up(&mut self, nowhere: PickError) -> Outcome {
         match (self.last_failure.take(), nowhere) {
             (Some(reply), _) => Outcome::Answered(reply),
             (None, _) if self.possible_runs > 0 => Outcome::Lost,
-            (None, Nowhere::NoneReady) => {
+            (None, PickError::NoneReady) => {
                 Outcome::NotRun("no endpoint is ready", NOT_READY_RETRY_AFTER_MS)
             }
-            (None, Nowhere::AllTried) => {
+            (None, PickError::AllTried) => {
                 Outcome::NotRun("all endpoints are full", FULL_RETRY_AFTER_MS)
             }
         }
@@ -275,7 +275,7 @@
     }
 
     fn hedge_ms(&self) -> u64 {
-        let usual = self.forwarder.picker.borrow().usual_ms(self.route);
+        let usual = self.forwarder.picker.borrow().median_ms(self.route);
         usual.map_or(MIN_HEDGE_MS, |ms| ((ms * HEDGE_FACTOR) as u64).max(MIN_HEDGE_MS))
     }
 }
--- a/components/node/src/forward/mod.rs
+++ b/components/node/src/forward/mod.rs
@@ -10,10 +10,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chicoryford_fleet::Kind;
 use chicoryford_fleet::Policy;
 use chicoryford_fleet::Route;
-use chicoryford_fleet::pick::Ending;
+use chicoryford_fleet::RouteKind;
+use chicoryford_fleet::pick::AttemptOutcome;
 use chicoryford_fleet::pick::Picker;
 use chicoryford_fleet::pick::Target;
 use chicoryford_http::Broken;
@@ -99,7 +99,7 @@
 impl Forwarder {
     /// Creates a forwarder without endpoints.
     pub fn new(policy: Policy) -> Rc<Self> {
-        let picker = RefCell::new(Picker::new(rand::random()).under(policy));
+        let picker = RefCell::new(Picker::new(rand::random()).with_policy(policy));
         let hedging = policy.second_attempts;
         let (pool, queues, crashes) = (RefCell::default(), WaitQueues::default(), Rc::default());
         Rc::new(Self { picker, pool, hedging, queues, crashes })
@@ -159,7 +159,7 @@
             route: &route.name,
             request,
             budget,
-            at_most_once: route.kind != Kind::Idempotent,
+            at_most_once: route.kind != RouteKind::Idempotent,
             max_endpoints: route.attempts.max(1),
             attempts_left: route.attempts.saturating_sub(budget.spent.borrow().failures).max(1),
             tried: Vec::new(),
@@ -210,7 +210,7 @@
                 Ok(connection) => connection,
                 Err(error) => {
                     attempt.log(request, "unsent", &error);
-                    attempt.end(Ending::Failed);
+                    attempt.end(AttemptOutcome::Failed);
                     return AttemptResult::Unsent;
                 }
             },
@@ -223,25 +223,29 @@
             Ok((Meaning::Answer, reply)) => {
                 let ms = clock::now().since(began);
                 let failed = reply.status.is_server_error();
-                attempt.end(if failed { Ending::Failed } else { Ending::Answered(ms) });
+                attempt.end(if failed {
+                    AttemptOutcome::Failed
+                } else {
+                    AttemptOutcome::Answered(ms)
+                });
                 AttemptResult::Answered(reply)
             }
             Ok((Meaning::NotRun, _)) => {
-                attempt.end(Ending::Refused);
+                attempt.end(AttemptOutcome::Refused);
                 AttemptResult::NotRun
             }
             Ok((Meaning::Moved, _)) => {
-                attempt.end(Ending::Moved);
+                attempt.end(AttemptOutcome::Moved);
                 AttemptResult::NotRun
             }
             Ok((Meaning::Foreign, _)) => {
                 attempt.log(request, "foreign", &Broken::Unfit("another request's reply"));
-                attempt.end(Ending::Failed);
+                attempt.end(AttemptOutcome::Failed);
                 AttemptResult::Lost
             }
             Err(error) => {
                 attempt.log(request, "lost", &error);
-                attempt.end(Ending::Failed);
+                attempt.end(AttemptOutcome::Failed);
                 match error {
                     error if error.is_unsent() => AttemptResult::Unsent,
                     Broken::Unfit(_) => AttemptResult::Lost,
--- a/components/node/src/hosts.rs
+++ b/components/node/src/hosts.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use chicoryford_fleet::run::Work;
+use chicoryford_fleet::run::HostCommand;
 use chicoryford_types::Millis;
 
 use crate::clock;
@@ -159,7 +159,7 @@
     }
 
     /// Sends work to a host. Returns whether it was sent.
-    pub fn send(&self, node: &str, work: Work) -> bool {
+    pub fn send(&self, node: &str, work: HostCommand) -> bool {
         if node == LOCAL {
             self.local.handle_local(work);
             return true;
@@ -174,7 +174,7 @@
         hosts.extend(self.known.borrow().keys().cloned());
         for name in &hosts {
             // A disconnected host reports when it reconnects.
-            self.send(name, Work::Tell);
+            self.send(name, HostCommand::Tell);
         }
         hosts
     }
@@ -182,6 +182,6 @@
     /// Makes a host stop a run, or forget one that has ended. Returns whether the order was sent. A
     /// disconnected host reports the run when it reconnects, and is told to stop it then.
     pub fn stop(&self, node: &str, step: &str, index: u32, run: u64) -> bool {
-        self.send(node, Work::Stop { step: step.to_owned(), index, run })
+        self.send(node, HostCommand::Stop { step: step.to_owned(), index, run })
     }
 }
--- a/components/node/src/leader/endpoints.rs
+++ b/components/node/src/leader/endpoints.rs
@@ -8,7 +8,7 @@
 use chicoryford_fleet::Config;
 use chicoryford_fleet::Endpoint;
 use chicoryford_fleet::endpoint::Effect;
-use chicoryford_fleet::hearing::Sign;
+use chicoryford_fleet::heartbeats::Heartbeat;
 
 use crate::clock;
 use crate::leader::Leader;
@@ -35,13 +35,13 @@
     }
 
     /// Records the endpoints whose unchanged announcements a control process has answered itself.
-    pub fn record_heartbeats(&self, heartbeats: &[Sign]) {
+    pub fn record_heartbeats(&self, heartbeats: &[Heartbeat]) {
         let now = clock::now();
         let mut registry = self.registry.borrow_mut();
         let mut plan = self.plan.borrow_mut();
         for heartbeat in heartbeats {
-            if registry.heard(heartbeat, now) {
-                plan.heard(&heartbeat.id, heartbeat.sequence);
+            if registry.record_heartbeat(heartbeat, now) {
+                plan.record_heartbeat(&heartbeat.id, heartbeat.sequence);
             }
         }
     }
@@ -54,25 +54,25 @@
 
     /// Records the version of a model that an engine reported.
     pub fn record_version(&self, id: &str, model: &str, version: u64) {
-        let effect = self.registry.borrow_mut().learn(id, model, version);
+        let effect = self.registry.borrow_mut().set_version(id, model, version);
         self.publish_endpoint(id, effect);
     }
 
     pub(super) fn publish_endpoint(&self, id: &str, effect: Effect) {
-        if effect == Effect::Old {
+        if effect == Effect::Stale {
             return;
         }
         let Some(endpoint) = self.registry.borrow().get(id).cloned() else { return };
-        self.plan.borrow_mut().observe(&endpoint);
-        let service = endpoint.said.service.clone();
+        self.plan.borrow_mut().update_engine(&endpoint);
+        let service = endpoint.announcement.service.clone();
         let update = Update::Endpoint(endpoint);
         self.context.forwarder.apply(&update);
         if effect == Effect::Changed {
             if let Update::Endpoint(endpoint) = &update {
-                let announcement = &endpoint.said;
+                let announcement = &endpoint.announcement;
                 tracing::info!(event = "endpoint_changed", endpoint = id,
-                    service = announcement.service, standing = ?endpoint.standing,
-                    address = %announcement.address, born = announcement.born,
+                    service = announcement.service, standing = ?endpoint.status,
+                    address = %announcement.address, born = announcement.started_ms,
                     sequence = announcement.sequence, models = ?announcement.models);
             }
             self.context.followers.broadcast_to_replicas(&update);
@@ -94,7 +94,7 @@
             config.called_services().into_iter().map(str::to_owned).collect();
         let before = self.callable.replace(callable.clone());
         for endpoint in self.registry.borrow().all() {
-            let service = &endpoint.said.service;
+            let service = &endpoint.announcement.service;
             if callable.contains(service) && !before.contains(service) {
                 self.context.followers.broadcast_to_others(&Update::Endpoint(endpoint.clone()));
             }
@@ -103,9 +103,9 @@
 
     /// Commits the set of known endpoints to the log if it differs from the logged one.
     pub(super) async fn persist_endpoints(&self) {
-        let (live, gone) = self.registry.borrow().unlike(&self.context.replica.state().endpoints);
+        let (live, gone) = self.registry.borrow().diff(&self.context.replica.state().endpoints);
         let is_logged = |endpoint: &Endpoint| {
-            self.context.replica.state().endpoints.contains_key(&endpoint.said.id)
+            self.context.replica.state().endpoints.contains_key(&endpoint.announcement.id)
         };
         if gone.is_empty() && live.iter().all(is_logged) {
             return;
@@ -125,10 +125,10 @@
     pub(super) fn tick_registry(&self) {
         let (changed, forgotten) = self.registry.borrow_mut().tick(clock::now());
         for endpoint in changed {
-            self.publish_endpoint(&endpoint.said.id, Effect::Changed);
+            self.publish_endpoint(&endpoint.announcement.id, Effect::Changed);
         }
         for id in forgotten {
-            self.plan.borrow_mut().forget(&id);
+            self.plan.borrow_mut().remove_engine(&id);
             let update = Update::Forgotten(id);
             self.context.forwarder.apply(&update);
             self.context.followers.broadcast(&update);
@@ -139,7 +139,7 @@
     pub fn endpoint_counts(&self) -> BTreeMap<String, i64> {
         let mut counts = BTreeMap::new();
         for endpoint in self.registry.borrow().all() {
-            let standing = format!("{:?}", endpoint.standing).to_lowercase();
+            let standing = format!("{:?}", endpoint.status).to_lowercase();
             *counts.entry(standing).or_default() += 1;
         }
         counts
@@ -148,6 +148,9 @@
     /// Returns the data centre of an endpoint, or an empty string if the endpoint is unknown.
     pub(super) fn data_centre(&self, id: &str) -> String {
         let registry = self.registry.borrow();
-        registry.get(id).map(|endpoint| endpoint.said.data_centre.clone()).unwrap_or_default()
+        registry
+            .get(id)
+            .map(|endpoint| endpoint.announcement.data_centre.clone())
+            .unwrap_or_default()
     }
 }
--- a/components/node/src/leader/mod.rs
+++ b/components/node/src/leader/mod.rs
@@ -19,20 +19,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use chicoryford_fleet::ApplyOutcome;
 use chicoryford_fleet::Command;
 use chicoryford_fleet::Config;
-use chicoryford_fleet::Done;
 use chicoryford_fleet::Endpoint;
 use chicoryford_fleet::Registry;
+use chicoryford_fleet::SampleResult;
 use chicoryford_fleet::Stamped;
 use chicoryford_fleet::Step;
-use chicoryford_fleet::Verdict;
 use chicoryford_fleet::endpoint;
-use chicoryford_fleet::plan::Plan;
+use chicoryford_fleet::order_lease::OrderLease;
+use chicoryford_fleet::plan::Planner;
 use chicoryford_fleet::plan::RunEnd;
-use chicoryford_fleet::step::Result;
-use chicoryford_fleet::turn::Turn;
-use chicoryford_fleet::usage::Lives;
+use chicoryford_fleet::step::StoredResult;
+use chicoryford_fleet::usage::ReportTracker;
 use chicoryford_http::Pool;
 use chicoryford_types::Epoch;
 use chicoryford_types::Millis;
@@ -95,7 +95,7 @@
     /// Replicated parts of steps on the stores.
     pub copies: Copies,
     /// Assigns runs to endpoints.
-    pub plan: RefCell<Plan>,
+    pub plan: RefCell<Planner>,
     /// Connections to engines.
     pub pool: RefCell<Pool>,
     /// Orders that change the weights of engines.
@@ -133,29 +133,30 @@
     pub fn start(context: Context, epoch: Epoch, view: &View) -> Rc<Self> {
         let now = clock::now();
         let known = view.endpoints();
-        let lease = Turn {
-            began: now,
+        let lease = OrderLease {
+            leader_since: now,
             lease_ms: context.settings.lease_ms,
-            fenced: context.settings.fenced,
-            ordered: view.order_times(),
+            engines_fence: context.settings.fenced,
+            last_orders: view.order_times(),
         };
         let start_clock = context.replica.fleet_clock();
         // The view of this process is newer than the log.
         let mut endpoints = context.replica.state().endpoints.clone();
-        endpoints.extend(known.into_iter().map(|endpoint| (endpoint.said.id.clone(), endpoint)));
+        endpoints
+            .extend(known.into_iter().map(|endpoint| (endpoint.announcement.id.clone(), endpoint)));
         let near = context.settings.policy.near_hosts;
         let hosts = Hosts::new(context.followers.clone(), context.runner.clone(), near);
         let copies = Copies::new(context.followers.clone(), &context.settings, now);
-        let lives = Lives::new(now, context.replica.state().usage.lives().cloned());
+        let lives = ReportTracker::new(now, context.replica.state().usage.processes().cloned());
         let usage = usage::Usage::new(context.settings.windows(), lives);
         let leader = Rc::new(Self {
             epoch,
             copies,
-            plan: RefCell::new(Plan::new(epoch).under(context.settings.policy)),
+            plan: RefCell::new(Planner::new(epoch).with_policy(context.settings.policy)),
             pool: RefCell::default(),
             orders: RefCell::new(Orders::new(lease)),
             began: now,
-            registry: RefCell::new(Registry::adopt(
+            registry: RefCell::new(Registry::from_known(
                 endpoint::Settings::default(),
                 endpoints.into_values(),
                 now,
@@ -212,7 +213,7 @@
         let mut plan = self.plan.borrow_mut();
         let registry = self.registry.borrow();
         for endpoint in registry.all() {
-            plan.observe(endpoint);
+            plan.update_engine(endpoint);
             self.context.forwarder.apply(&Update::Endpoint(endpoint.clone()));
         }
         let steps = self.context.replica.state().steps.len();
@@ -250,11 +251,14 @@
         let mut updates = vec![Update::Controls(self.control_addresses())];
         let config = self.config();
         let called = config.as_ref().map(|config| config.called_services()).unwrap_or_default();
-        let is_sent = |endpoint: &&Endpoint| replica || called.contains(&*endpoint.said.service);
+        let is_sent =
+            |endpoint: &&Endpoint| replica || called.contains(&*endpoint.announcement.service);
         let registry = self.registry.borrow();
         let endpoints: Vec<&Endpoint> = registry.all().filter(is_sent).collect();
-        let ids = endpoints.iter().map(|endpoint| endpoint.said.id.clone()).collect();
-        updates.extend(config.as_ref().map(|config| Update::Config(Arc::new(config.told()))));
+        let ids = endpoints.iter().map(|endpoint| endpoint.announcement.id.clone()).collect();
+        updates.extend(
+            config.as_ref().map(|config| Update::Config(Arc::new(config.without_source()))),
+        );
         updates.extend(endpoints.into_iter().cloned().map(Update::Endpoint));
         updates.push(Update::Whole(ids));
         updates.push(Update::Refused(self.context.replica.state().crashes.refused()));
@@ -299,13 +303,13 @@
     /// Commits a command and translates the outcome into an answer.
     pub async fn commit(&self, command: Command) -> Answer {
         match self.propose(command).await {
-            Ok(Done::Changed | Done::Held) => Answer::Done,
-            Ok(Done::Unknown) => Answer::Unknown,
+            Ok(ApplyOutcome::Changed | ApplyOutcome::Held) => Answer::Done,
+            Ok(ApplyOutcome::Unknown) => Answer::Unknown,
             Err(answer) => answer,
         }
     }
 
-    async fn propose(&self, command: Command) -> std::result::Result<Done, Answer> {
+    async fn propose(&self, command: Command) -> std::result::Result<ApplyOutcome, Answer> {
         let stamped = Stamped { at: self.fleet_now(), command };
         let began = clock::now();
         let done = self.context.replica.propose(&stamped).await;
@@ -332,13 +336,15 @@
     }
 
     /// Reacts to a command that was applied to the state.
-    fn on_applied(self: &Rc<Self>, command: &Command, done: Done) {
-        if done != Done::Changed {
+    fn on_applied(self: &Rc<Self>, command: &Command, done: ApplyOutcome) {
+        if done != ApplyOutcome::Changed {
             return;
         }
         match command {
             Command::Configure(config) => {
-                self.context.followers.broadcast(&Update::Config(Arc::new(config.told())));
+                self.context
+                    .followers
+                    .broadcast(&Update::Config(Arc::new(config.without_source())));
                 self.publish_callable(config);
             }
             Command::Submit { step, place } => self.on_submitted(step, place),
@@ -349,7 +355,7 @@
                 for listed in results {
                     self.release(step, listed.index);
                 }
-                let given_up = results.iter().filter(|r| r.result == Result::GivenUp).count();
+                let given_up = results.iter().filter(|r| r.result == StoredResult::GivenUp).count();
                 let listed =
                     self.context.replica.state().steps.get(step).map_or(0, |s| s.results.len());
                 tracing::info!(
@@ -398,18 +404,18 @@
         let now = clock::now();
         crate::orders::start_due_loads(self, &config, now);
         for host in self.hosts.take_expired() {
-            let orphaned = self.plan.borrow_mut().orphan(&host);
+            let orphaned = self.plan.borrow_mut().orphan_runs(&host);
             tracing::warn!(event = "host_lost", host, orphaned);
         }
-        let old = self.plan.borrow().too_old(&config, now);
+        let old = self.plan.borrow().expired_samples(&config, now);
         for (step, index) in old {
             tracing::info!(event = "sample_given_up", step, index, why = "age");
-            self.settle(&step, index, Verdict::GivenUp);
+            self.settle(&step, index, SampleResult::GivenUp);
         }
-        let failed = self.plan.borrow().failed_before();
+        let failed = self.plan.borrow().exhausted_samples();
         for (step, index) in failed {
             tracing::info!(event = "sample_given_up", step, index, why = "failed before");
-            self.settle(&step, index, Verdict::GivenUp);
+            self.settle(&step, index, SampleResult::GivenUp);
         }
         let lost = self.plan.borrow().lost_runs(now);
         for (step, index) in lost {
--- a/components/node/src/leader/runs.rs
+++ b/components/node/src/leader/runs.rs
@@ -1,14 +1,14 @@
 //! The leader's runs: assignment to hosts, and handling of the hosts' reports.
 
-use chicoryford_fleet::Verdict;
+use chicoryford_fleet::SampleResult;
+use chicoryford_fleet::plan::AfterRun;
 use chicoryford_fleet::plan::Assignment;
-use chicoryford_fleet::plan::Next;
+use chicoryford_fleet::plan::ReportAction;
 use chicoryford_fleet::plan::RunEnd;
-use chicoryford_fleet::plan::Told;
+use chicoryford_fleet::run::HostCommand;
 use chicoryford_fleet::run::Job;
-use chicoryford_fleet::run::Report;
-use chicoryford_fleet::run::Standing;
-use chicoryford_fleet::run::Work;
+use chicoryford_fleet::run::RunReport;
+use chicoryford_fleet::run::RunStatus;
 
 use crate::clock;
 use crate::leader::Leader;
@@ -17,9 +17,18 @@
 
 impl Leader {
     pub(super) fn start_run(&self, assignment: Assignment) {
-        let Assignment { run, step, index, endpoint, address, version, made, beside, .. } =
-            assignment;
-        let (cost, left_ms) = (assignment.cost, assignment.left_ms);
+        let Assignment {
+            run,
+            step,
+            index,
+            endpoint,
+            address,
+            version,
+            output: made,
+            other_runs: beside,
+            ..
+        } = assignment;
+        let (cost, left_ms) = (assignment.cost, assignment.remaining_ms);
         let data_centre = self.data_centre(&endpoint);
         let sample = step.samples[index as usize].clone();
         let host = self.hosts.choose(&data_centre);
@@ -48,14 +57,14 @@
             endpoint,
             address,
             version,
-            least: step.least,
-            single: step.single,
-            left_ms,
-            made,
+            min_version: step.min_version,
+            single_version: step.single_version,
+            remaining_ms: left_ms,
+            output: made,
             cost,
         };
-        self.plan.borrow_mut().hosted(&step.id, index, &host);
-        if !self.hosts.send(&host, Work::Run(Box::new(job))) {
+        self.plan.borrow_mut().set_host(&step.id, index, &host);
+        if !self.hosts.send(&host, HostCommand::Run(Box::new(job))) {
             // The next planning round assigns the run to another host. Planning again at once would
             // choose the same host repeatedly until its connection has ended.
             self.hosts.mark_overloaded(&host);
@@ -74,13 +83,13 @@
         self.release(step, index);
         let (next, events) = {
             let mut plan = self.plan.borrow_mut();
-            let next = plan.ended(step, index, end, clock::now());
-            (next, plan.made(step, index).map_or(0, |made| made.events.len()))
+            let next = plan.record_run_end(step, index, end, clock::now());
+            (next, plan.output(step, index).map_or(0, |made| made.events.len()))
         };
         metrics::RUNS.with_label_values(&[outcome_label(end)]).inc();
         tracing::info!(event = "run_ended", step, index, ?end, ?next, events);
-        if next == Next::GiveUp {
-            self.settle(step, index, Verdict::GivenUp);
+        if next == AfterRun::GiveUp {
+            self.settle(step, index, SampleResult::GivenUp);
         }
     }
 
@@ -96,7 +105,7 @@
     /// Records that a host has connected but has not reported its runs yet.
     pub fn host_connecting(&self, host: &str, link: u64) {
         self.hosts.connecting(host, link);
-        self.plan.borrow_mut().mark_untold(host);
+        self.plan.borrow_mut().mark_unreported(host);
     }
 
     /// Records that a host has reported all its runs. The host may be given work from now on.
@@ -104,8 +113,8 @@
         if !self.hosts.reported(host, data_centre, link) {
             return;
         }
-        let orphaned = self.plan.borrow_mut().orphan_untold(host);
-        self.plan.borrow_mut().host_told(host);
+        let orphaned = self.plan.borrow_mut().orphan_unreported_runs(host);
+        self.plan.borrow_mut().record_host_reported(host);
         tracing::info!(event = "host_found", host, orphaned);
         self.wake_planner.notify_one();
     }
@@ -118,49 +127,49 @@
     }
 
     /// Handles a host's report about a run.
-    pub fn handle_report(&self, host: &str, report: &Report) {
+    pub fn handle_report(&self, host: &str, report: &RunReport) {
         let (step, index) = (&report.step, report.index);
-        let action = self.plan.borrow_mut().told(host, report, clock::now());
+        let action = self.plan.borrow_mut().record_report(host, report, clock::now());
         match action {
-            Told::GoOn => {}
-            Told::Stop => {
+            ReportAction::Continue => {}
+            ReportAction::Stop => {
                 // If the step is open but has not been read from the stores yet, the host is asked
                 // to report again later. A step that has ended is never read: without a stop here,
                 // its run would go on and its scorer would be called until it answers.
                 let open =
                     self.context.replica.state().steps.get(step).is_some_and(|s| s.is_open());
                 let unread = open && self.unread.borrow().contains(step);
-                let (run, standing) = (report.run, &report.standing);
+                let (run, standing) = (report.run, &report.status);
                 tracing::info!(event = "report_refused", step, index, run, host, ?standing, unread);
                 if !unread {
                     self.hosts.stop(host, step, index, report.run);
                 }
                 return;
             }
-            Told::Later => return,
+            ReportAction::Defer => return,
         }
-        match &report.standing {
-            Standing::Running => {}
-            Standing::Scoring => {
-                let events = report.from as usize + report.made.events.len();
+        match &report.status {
+            RunStatus::Running => {}
+            RunStatus::Scoring => {
+                let events = report.from as usize + report.output.events.len();
                 let endpoint = &report.endpoint;
                 metrics::RUNS.with_label_values(&["whole"]).inc();
                 tracing::info!(event = "run_whole", step, index, endpoint, events, host);
                 self.wake_planner.notify_one();
             }
-            Standing::Ended(end) => {
+            RunStatus::Ended(end) => {
                 if *end == RunEnd::Late {
                     self.hosts.mark_overloaded(host);
                 }
                 self.end_run(step, index, *end);
             }
-            Standing::Unscored => {
+            RunStatus::Unscored => {
                 tracing::info!(event = "sample_given_up", step, index, why = "scorer");
-                self.settle(step, index, Verdict::GivenUp);
+                self.settle(step, index, SampleResult::GivenUp);
             }
-            Standing::Finished(score) => {
-                let made = self.plan.borrow().made(step, index).cloned().unwrap_or_default();
-                let verdict = Verdict::Completed {
+            RunStatus::Finished(score) => {
+                let made = self.plan.borrow().output(step, index).cloned().unwrap_or_default();
+                let verdict = SampleResult::Completed {
                     text: made.events.join("\n"),
                     versions: made.versions,
                     score: score.clone(),
@@ -172,8 +181,8 @@
     }
 
     /// Queues the verdict of a sample for listing.
-    pub(super) fn settle(&self, step: &str, index: u32, verdict: Verdict) {
-        let sample = self.plan.borrow_mut().settled(step, index);
+    pub(super) fn settle(&self, step: &str, index: u32, verdict: SampleResult) {
+        let sample = self.plan.borrow_mut().settle(step, index);
         if let Some(sample) = sample {
             self.outbox.put(step, SampleVerdict { index, sample, verdict });
         }
--- a/components/node/src/leader/steps.rs
+++ b/components/node/src/leader/steps.rs
@@ -10,13 +10,13 @@
 
 use bytes::Bytes;
 use chicoryford_fleet::Command;
-use chicoryford_fleet::Listed;
-use chicoryford_fleet::Outline;
+use chicoryford_fleet::ListedResult;
 use chicoryford_fleet::Step;
+use chicoryford_fleet::StepSummary;
 use chicoryford_fleet::copies::PartId;
-use chicoryford_fleet::plan::Note;
-use chicoryford_fleet::step::REPLY_BYTES;
-use chicoryford_fleet::step::Result;
+use chicoryford_fleet::plan::Checkpoint;
+use chicoryford_fleet::step::MAX_REPLY_BYTES;
+use chicoryford_fleet::step::StoredResult;
 use chicoryford_fleet::step::reply_bytes;
 use chicoryford_types::Millis;
 use futures_util::StreamExt;
@@ -54,7 +54,7 @@
         let bytes = Bytes::from(rmp_serde::to_vec(&**step).expect("steps are plain data"));
         let retired = self.context.replica.state().retired.clone();
         let place = self.copies.write(part, &bytes, &retired).await;
-        let outline = Outline {
+        let outline = StepSummary {
             id: step.id.clone(),
             model: step.model.clone(),
             samples: step.samples.len() as u32,
@@ -67,27 +67,27 @@
         answer
     }
 
-    pub(super) fn on_submitted(&self, outline: &Outline, place: &copies::Place) {
+    pub(super) fn on_submitted(&self, outline: &StepSummary, place: &copies::Placement) {
         let Some(step) = self.submitted.borrow().get(&outline.id).cloned() else {
             // Proposed by an earlier leader; the step is read from the stores.
             self.unread.borrow_mut().push(outline.id.clone());
             return;
         };
         let copies = match place {
-            copies::Place::Inline(_) => 0,
-            copies::Place::Stores(stores) => stores.len(),
+            copies::Placement::Inline(_) => 0,
+            copies::Placement::Stores(stores) => stores.len(),
         };
         tracing::info!(
             event = "step_accepted",
             step = step.id,
             model = step.model,
             number = step.number,
-            least = step.least,
+            least = step.min_version,
             samples = outline.samples,
-            wanted = step.wanted,
+            wanted = step.wanted_groups,
             copies
         );
-        self.plan.borrow_mut().open(step, clock::now(), Millis::default(), |_| false);
+        self.plan.borrow_mut().open_step(step, clock::now(), Millis::default(), |_| false);
     }
 
     pub(super) async fn read_results(
@@ -135,7 +135,7 @@
             let parts: BTreeSet<PartId> = chosen.iter().filter_map(|one| one.part()).collect();
             let places =
                 parts.iter().filter_map(|part| Some((*part, state.parts.get(part)?.place.clone())));
-            let places: Vec<(PartId, copies::Place)> = places.collect();
+            let places: Vec<(PartId, copies::Placement)> = places.collect();
             (u64::from(found.step.samples), chosen, places)
         };
         let mut texts: BTreeMap<PartId, Vec<String>> = BTreeMap::new();
@@ -184,7 +184,7 @@
     }
 
     pub(super) fn close_step(&self, step: &str) {
-        if !self.plan.borrow().has(step) {
+        if !self.plan.borrow().has_step(step) {
             let unread = self.unread.borrow().iter().any(|other| other == step);
             if unread {
                 // Reports about its runs were ignored while the step was unread, and hosts do not
@@ -195,7 +195,7 @@
             }
             return;
         }
-        let hosted = self.plan.borrow_mut().close(step, clock::now());
+        let hosted = self.plan.borrow_mut().close_step(step, clock::now());
         let mut untold = 0;
         for (host, index, run) in &hosted {
             if !self.hosts.stop(host, step, *index, *run) {
@@ -227,8 +227,10 @@
             let at = self.began.0.saturating_sub(self.start_clock.saturating_sub(open.at));
             let mut plan = self.plan.borrow_mut();
             let reports_until = clock::now() + HOST_REPORTS_WAIT_MS;
-            plan.open(Arc::new(step), Millis(at), reports_until, |index| open.is_listed(index));
-            plan.recall(id, checkpoints);
+            plan.open_step(Arc::new(step), Millis(at), reports_until, |index| {
+                open.is_listed(index)
+            });
+            plan.restore_checkpoints(id, checkpoints);
             tracing::info!(event = "step_adopted", step = id, listed = open.results.len());
         }
         true
@@ -243,7 +245,7 @@
         self.wake_planner.notify_one();
     }
 
-    pub(super) async fn read_step(&self, part: PartId, place: &copies::Place) -> Option<Step> {
+    pub(super) async fn read_step(&self, part: PartId, place: &copies::Placement) -> Option<Step> {
         let bytes = self.copies.read(part, place).await?;
         rmp_serde::from_slice(&bytes)
             .inspect_err(|error| tracing::error!(event = "part_unfit", part = part.0, %error))
@@ -252,8 +254,8 @@
 
     /// Reads the checkpoints of a step's samples. A checkpoint that cannot be read costs only the
     /// time to repeat the work.
-    pub(super) async fn read_checkpoints(&self, id: &str) -> Vec<Note> {
-        let places: Vec<(PartId, copies::Place)> = {
+    pub(super) async fn read_checkpoints(&self, id: &str) -> Vec<Checkpoint> {
+        let places: Vec<(PartId, copies::Placement)> = {
             let state = self.context.replica.state();
             let parts = state.steps.get(id).map(|step| step.notes.clone()).unwrap_or_default();
             let place = |part: PartId| Some((part, state.parts.get(&part)?.place.clone()));
@@ -262,7 +264,7 @@
         let mut checkpoints = Vec::new();
         for (part, place) in places {
             let Some(bytes) = self.copies.read(part, &place).await else { continue };
-            match rmp_serde::from_slice::<Vec<Note>>(&bytes) {
+            match rmp_serde::from_slice::<Vec<Checkpoint>>(&bytes) {
                 Ok(read) => checkpoints.extend(read),
                 Err(error) => tracing::error!(event = "part_unfit", part = part.0, %error),
             }
@@ -272,7 +274,7 @@
 
     /// Writes checkpoints of long runs to the stores.
     pub(super) async fn write_checkpoints(&self) {
-        let checkpoints = self.plan.borrow_mut().to_note();
+        let checkpoints = self.plan.borrow_mut().take_checkpoints();
         let retired = self.context.replica.state().retired.clone();
         let writes = checkpoints.into_iter().map(|(step, checkpoints)| {
             let retired = &retired;
@@ -284,7 +286,7 @@
                 let place = self.copies.write(part, &bytes, retired).await;
                 // Without enough stores the checkpoint is skipped: the log is not meant for this
                 // volume of data.
-                if matches!(place, copies::Place::Stores(_)) {
+                if matches!(place, copies::Placement::Stores(_)) {
                     self.commit(Command::Note { step, part, place }).await;
                 }
             }
@@ -351,7 +353,7 @@
 /// Takes over one step of the previous leader. Returns its id, and whether no further attempt is
 /// needed.
 async fn adopt_unread(leader: Rc<Leader>, id: String) -> (String, bool) {
-    let done = leader.plan.borrow().has(&id) || leader.adopt_step(&id).await;
+    let done = leader.plan.borrow().has_step(&id) || leader.adopt_step(&id).await;
     if done {
         leader.unread.borrow_mut().retain(|other| *other != id);
     }
@@ -359,12 +361,12 @@
 }
 
 /// Returns the results from position `after` that fit into one reply, at least one if there is any.
-pub(super) fn choose_results(results: &[Arc<Listed>], after: u64) -> Vec<Arc<Listed>> {
+pub(super) fn choose_results(results: &[Arc<ListedResult>], after: u64) -> Vec<Arc<ListedResult>> {
     let mut bytes = 0;
     let mut chosen = Vec::new();
     for listed in results.iter().skip(after as usize) {
         bytes += result_bytes(listed);
-        if bytes > REPLY_BYTES && !chosen.is_empty() {
+        if bytes > MAX_REPLY_BYTES && !chosen.is_empty() {
             break;
         }
         chosen.push(listed.clone());
@@ -373,10 +375,10 @@
 }
 
 /// Returns the approximate size of a result in a reply, in bytes.
-pub(super) fn result_bytes(listed: &Listed) -> usize {
+pub(super) fn result_bytes(listed: &ListedResult) -> usize {
     let text = match &listed.result {
-        Result::Completed { bytes, .. } => *bytes as usize,
-        Result::GivenUp => 0,
+        StoredResult::Completed { bytes, .. } => *bytes as usize,
+        StoredResult::GivenUp => 0,
     };
     reply_bytes(&listed.sample, text)
 }
--- a/components/node/src/leader/stores.rs
+++ b/components/node/src/leader/stores.rs
@@ -28,9 +28,9 @@
         if !state.retired.contains(node) {
             return Answer::Unknown;
         }
-        let holds = |place: &copies::Place| match place {
-            copies::Place::Inline(_) => false,
-            copies::Place::Stores(stores) => stores.iter().any(|store| store.node == node),
+        let holds = |place: &copies::Placement| match place {
+            copies::Placement::Inline(_) => false,
+            copies::Placement::Stores(stores) => stores.iter().any(|store| store.node == node),
         };
         let left = state.parts.values().filter(|part| holds(&part.place)).count();
         Answer::Retired(left == 0)
--- a/components/node/src/leader/usage.rs
+++ b/components/node/src/leader/usage.rs
@@ -8,14 +8,14 @@
 use std::rc::Weak;
 use std::time::Duration;
 
+use chicoryford_fleet::ApplyOutcome;
 use chicoryford_fleet::Command;
-use chicoryford_fleet::Done;
+use chicoryford_fleet::duty::DutyAction;
 use chicoryford_fleet::duty::Holding;
-use chicoryford_fleet::duty::Turn;
 use chicoryford_fleet::usage::Counts;
-use chicoryford_fleet::usage::Lives;
-use chicoryford_fleet::usage::Told;
+use chicoryford_fleet::usage::ReportTracker;
 use chicoryford_fleet::usage::Totals;
+use chicoryford_fleet::usage::UsageReport;
 use chicoryford_fleet::usage::Windows;
 use chicoryford_http::Broken;
 use chicoryford_http::Connection;
@@ -45,15 +45,15 @@
 /// Usage state of the leader that is not in the log.
 pub(super) struct Usage {
     windows: Windows,
-    lives: RefCell<Lives>,
+    lives: RefCell<ReportTracker>,
     /// Reports of entries that are not in the log yet.
-    pending: RefCell<Vec<Told>>,
+    pending: RefCell<Vec<UsageReport>>,
     /// The newest window that the platform has accepted; it has also accepted all earlier ones.
     accepted: Cell<Option<u64>>,
 }
 
 impl Usage {
-    pub(super) fn new(windows: Windows, lives: Lives) -> Self {
+    pub(super) fn new(windows: Windows, lives: ReportTracker) -> Self {
         Self {
             windows,
             lives: RefCell::new(lives),
@@ -65,7 +65,7 @@
 
 impl Leader {
     /// Queues the usage that an entry reported.
-    pub fn record_usage(&self, report: Told) {
+    pub fn record_usage(&self, report: UsageReport) {
         self.usage.pending.borrow_mut().push(report);
     }
 
@@ -83,7 +83,7 @@
             return;
         }
         let mut lives = self.usage.lives.borrow_mut();
-        reports.iter().for_each(|report| lives.heard(report));
+        reports.iter().for_each(|report| lives.record(report));
     }
 
     /// Closes the next window if it is due.
@@ -103,7 +103,7 @@
             return;
         }
         let closed = self.propose(Command::CloseWindow { window, accepted }).await;
-        if let Ok(Done::Changed) = closed {
+        if let Ok(ApplyOutcome::Changed) = closed {
             tracing::info!(event = "window_closed", window, ended_ms);
         }
     }
@@ -114,15 +114,15 @@
         let (window, counts) = self.next_report()?;
         let (node, token) = (&self.context.settings.node, self.epoch.0);
         let held = self.context.replica.state().holding.clone();
-        let left_ms = match Holding::turn(held.as_ref(), node, token, self.fleet_now()) {
-            Turn::Wait => return None,
-            Turn::Take => {
-                let next = Holding::taken(node, token, self.fleet_now());
+        let left_ms = match Holding::next_action(held.as_ref(), node, token, self.fleet_now()) {
+            DutyAction::Wait => return None,
+            DutyAction::Acquire => {
+                let next = Holding::new(node, token, self.fleet_now());
                 let done = self.propose(Command::Hold(next)).await;
                 tracing::info!(event = "duty_taken", token, before = ?held, ?done);
                 return None;
             }
-            Turn::Call(left_ms) => left_ms,
+            DutyAction::Call(left_ms) => left_ms,
         };
         let requests: u64 = counts.values().sum();
         let request = duty::usage(&held?, window, &counts);
--- a/components/node/src/link.rs
+++ b/components/node/src/link.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use chicoryford_depot::Worker;
 use chicoryford_fleet::crashes::Crash;
-use chicoryford_fleet::hearing::Sign;
+use chicoryford_fleet::heartbeats::Heartbeat;
 use chicoryford_fleet::usage;
 use chicoryford_http::socket;
 use chicoryford_types::Fingerprint;
@@ -170,12 +170,12 @@
 
     /// Reports the heartbeats of endpoints that this process has received. Returns whether the
     /// report was queued.
-    pub fn report_heartbeats(&self, heartbeats: Vec<Sign>) -> bool {
+    pub fn report_heartbeats(&self, heartbeats: Vec<Heartbeat>) -> bool {
         self.send(MemberMessage::Heard(heartbeats))
     }
 
     /// Reports the usage of workspaces. Returns whether the report was queued.
-    pub fn report_usage(&self, report: usage::Told) -> bool {
+    pub fn report_usage(&self, report: usage::UsageReport) -> bool {
         self.send(MemberMessage::Used(report))
     }
 
--- a/components/node/src/listing.rs
+++ b/components/node/src/listing.rs
@@ -8,10 +8,10 @@
 
 use bytes::Bytes;
 use chicoryford_fleet::Command;
-use chicoryford_fleet::Listed;
-use chicoryford_fleet::Verdict;
+use chicoryford_fleet::ListedResult;
+use chicoryford_fleet::SampleResult;
 use chicoryford_fleet::copies::PartId;
-use chicoryford_fleet::step::Result;
+use chicoryford_fleet::step::StoredResult;
 use chicoryford_types::Millis;
 use tokio::sync::Notify;
 
@@ -30,7 +30,7 @@
     /// The sample.
     pub sample: String,
     /// The verdict.
-    pub verdict: Verdict,
+    pub verdict: SampleResult,
 }
 
 /// The verdicts of one step that wait to be listed, and since when the first one waits.
@@ -139,10 +139,10 @@
     let mut results = Vec::new();
     for one in verdicts {
         let result = match &one.verdict {
-            Verdict::GivenUp => Result::GivenUp,
-            Verdict::Completed { text, versions, score } => {
+            SampleResult::GivenUp => StoredResult::GivenUp,
+            SampleResult::Completed { text, versions, score } => {
                 texts.push(text);
-                Result::Completed {
+                StoredResult::Completed {
                     part,
                     place: texts.len() as u32 - 1,
                     bytes: text.len() as u32,
@@ -152,7 +152,7 @@
             }
         };
         let (index, sample) = (one.index, one.sample.clone());
-        results.push(Arc::new(Listed { index, sample, result }));
+        results.push(Arc::new(ListedResult { index, sample, result }));
     }
     let mut written = None;
     if !texts.is_empty() {
--- a/components/node/src/message.rs
+++ b/components/node/src/message.rs
@@ -11,13 +11,13 @@
 use chicoryford_fleet::Announcement;
 use chicoryford_fleet::Config;
 use chicoryford_fleet::Endpoint;
-use chicoryford_fleet::Listed;
+use chicoryford_fleet::ListedResult;
 use chicoryford_fleet::Step;
 use chicoryford_fleet::copies::PartId;
 use chicoryford_fleet::crashes::Crash;
-use chicoryford_fleet::hearing::Sign;
-use chicoryford_fleet::run::Report;
-use chicoryford_fleet::run::Work;
+use chicoryford_fleet::heartbeats::Heartbeat;
+use chicoryford_fleet::run::HostCommand;
+use chicoryford_fleet::run::RunReport;
 use chicoryford_fleet::usage;
 use chicoryford_types::Fingerprint;
 use chicoryford_types::Millis;
@@ -71,11 +71,11 @@
         call: Call,
     },
     /// A host reports a run.
-    Report(Report),
+    Report(RunReport),
     /// A host has reported all of its runs.
     Reported,
     /// A control process has received unchanged announcements from these endpoints.
-    Heard(Vec<Sign>),
+    Heard(Vec<Heartbeat>),
     /// A heartbeat of a member, with its wall clock time.
     Alive(Unix),
     /// A heartbeat of a host.
@@ -86,7 +86,7 @@
         wall: Unix,
     },
     /// An entry reports the usage of workspaces.
-    Used(usage::Told),
+    Used(usage::UsageReport),
     /// An endpoint crashed while it ran a request.
     Crashed(Crash),
     /// A request with a content that was reported to crash endpoints has completed.
@@ -157,7 +157,7 @@
         /// the two VMs and of where it was delayed.
         member_clock: Millis,
         /// The work.
-        work: Work,
+        work: HostCommand,
     },
     /// A heartbeat of the leader.
     Alive {
@@ -259,7 +259,7 @@
         /// The number of samples of the step.
         total: u64,
         /// The results.
-        listed: Vec<Arc<Listed>>,
+        listed: Vec<Arc<ListedResult>>,
         /// Their texts by part, except for the parts in `near`.
         texts: BTreeMap<PartId, Vec<String>>,
         /// The addresses of stores in the caller's data centre that have the other parts.
--- a/components/node/src/metrics.rs
+++ b/components/node/src/metrics.rs
@@ -126,7 +126,7 @@
         for (standing, count) in leader.endpoint_counts() {
             ENDPOINTS.with_label_values(&[standing.as_str()]).set(count);
         }
-        for (phase, count) in leader.plan.borrow().counts() {
+        for (phase, count) in leader.plan.borrow().phase_counts() {
             SAMPLES.with_label_values(&[phase]).set(count as i64);
         }
     }
--- a/components/node/src/orders.rs
+++ b/components/node/src/orders.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use chicoryford_fleet::Config;
-use chicoryford_fleet::plan::Seat;
+use chicoryford_fleet::order_lease::OrderLease;
+use chicoryford_fleet::plan::EngineState;
 use chicoryford_fleet::swap;
-use chicoryford_fleet::swap::Claim;
-use chicoryford_fleet::swap::Wish;
-use chicoryford_fleet::turn::Turn;
+use chicoryford_fleet::swap::ModelDemand;
+use chicoryford_fleet::swap::WeightLoad;
 use chicoryford_http::Broken;
 use chicoryford_http::Connection;
 use chicoryford_http::Reply;
@@ -54,7 +54,7 @@
     last_check: Millis,
     /// Set once an engine has rejected this epoch, because another process leads.
     fenced: bool,
-    lease: Turn,
+    lease: OrderLease,
 }
 
 /// The peak demand of a model's trainer.
@@ -66,7 +66,7 @@
 
 impl Orders {
     /// Starts with the known orders of earlier leaders.
-    pub fn new(lease: Turn) -> Self {
+    pub fn new(lease: OrderLease) -> Self {
         Self { lease, ..Self::default() }
     }
 
@@ -102,11 +102,11 @@
         }
         let loads = {
             let plan = leader.plan.borrow();
-            let engines: Vec<&Seat> = plan
-                .seats()
-                .filter(|engine| engine.endpoint.said.service == service.name)
+            let engines: Vec<&EngineState> = plan
+                .engines()
+                .filter(|engine| engine.endpoint.announcement.service == service.name)
                 .collect();
-            swap::wishes(
+            swap::select_loads(
                 &engines,
                 &model_demands,
                 &leader.orders.borrow().lease,
@@ -120,7 +120,7 @@
     }
 }
 
-fn model_demands(leader: &Rc<Leader>, models: &[String]) -> Vec<Claim> {
+fn model_demands(leader: &Rc<Leader>, models: &[String]) -> Vec<ModelDemand> {
     let versions = leader.context.replica.state().versions.clone();
     let plan = leader.plan.borrow();
     let mut orders = leader.orders.borrow_mut();
@@ -130,37 +130,37 @@
             // Uses the peak demand: between two steps the demand is zero, and engines must not
             // change models because of that.
             let peak = orders.demand.entry(model.clone()).or_default();
-            peak.tokens = plan.demand(model).max(peak.tokens);
+            peak.tokens = plan.token_demand(model).max(peak.tokens);
             peak.samples = plan.open_samples(model).max(peak.samples);
             let Demand { tokens, samples } = *peak;
-            let starved = plan.starved(model);
-            Claim { model: model.clone(), version, demand: tokens, samples, starved }
+            let starved = plan.starved_samples(model);
+            ModelDemand { model: model.clone(), version, tokens, peak_samples: samples, starved }
         })
         .collect()
 }
 
-fn start_load(leader: &Rc<Leader>, load: Wish) {
+fn start_load(leader: &Rc<Leader>, load: WeightLoad) {
     let endpoint = load.endpoint.clone();
-    if let Some(engine) = leader.plan.borrow_mut().seat(&endpoint) {
+    if let Some(engine) = leader.plan.borrow_mut().engine_mut(&endpoint) {
         engine.loading = Some(load.model.clone());
     }
     let task = actix_rt::spawn(run_load(leader.clone(), load));
     leader.orders.borrow_mut().tasks.insert(endpoint, task);
 }
 
-async fn run_load(leader: Rc<Leader>, load: Wish) {
+async fn run_load(leader: Rc<Leader>, load: WeightLoad) {
     let began = clock::now();
     let outcome = try_load(&leader, &load).await;
     let ms = clock::now().since(began);
-    let Wish { endpoint, model, version } = &load;
+    let WeightLoad { endpoint, model, version } = &load;
     tracing::info!(event = "weights_changed", endpoint, model, version, outcome, ms);
-    if let Some(engine) = leader.plan.borrow_mut().seat(endpoint) {
+    if let Some(engine) = leader.plan.borrow_mut().engine_mut(endpoint) {
         engine.loading = None;
     }
     leader.orders.borrow_mut().tasks.remove(endpoint);
 }
 
-async fn try_load(leader: &Rc<Leader>, load: &Wish) -> &'static str {
+async fn try_load(leader: &Rc<Leader>, load: &WeightLoad) -> &'static str {
     let runs = runs_during_load(leader, load);
     for _ in 0..MAX_ORDERS {
         let Some(address) = address(leader, load) else { return "endpoint gone" };
@@ -203,19 +203,19 @@
 
 /// Decides what happens to the engine's runs of the model. They continue under the new version, so
 /// that nothing waits for them, unless a sample must be made by a single version.
-fn runs_during_load(leader: &Rc<Leader>, load: &Wish) -> Runs {
-    if leader.plan.borrow().is_single(&load.model) { Runs::Finish } else { Runs::GoOn }
+fn runs_during_load(leader: &Rc<Leader>, load: &WeightLoad) -> Runs {
+    if leader.plan.borrow().needs_single_version(&load.model) { Runs::Finish } else { Runs::GoOn }
 }
 
-fn address(leader: &Rc<Leader>, load: &Wish) -> Option<SocketAddr> {
+fn address(leader: &Rc<Leader>, load: &WeightLoad) -> Option<SocketAddr> {
     let mut plan = leader.plan.borrow_mut();
-    let engine = plan.seat(&load.endpoint)?;
-    engine.is_ready(clock::now()).then_some(engine.endpoint.said.address)
+    let engine = plan.engine_mut(&load.endpoint)?;
+    engine.is_ready(clock::now()).then_some(engine.endpoint.announcement.address)
 }
 
 async fn ask_report(
     leader: &Rc<Leader>,
-    load: &Wish,
+    load: &WeightLoad,
     address: SocketAddr,
 ) -> Result<Report, Broken> {
     let request = endpoint::report_request(&load.endpoint);
@@ -226,7 +226,7 @@
     endpoint::report(&reply.body).map_err(|_| Broken::Unfit("a report that cannot be read"))
 }
 
-fn has_version(leader: &Rc<Leader>, load: &Wish, report: &Report) -> bool {
+fn has_version(leader: &Rc<Leader>, load: &WeightLoad, report: &Report) -> bool {
     let Some(held) = report.models.get(&load.model) else { return false };
     leader.record_version(&load.endpoint, &load.model, *held);
     *held >= load.version && !report.busy
@@ -234,7 +234,7 @@
 
 async fn send_order(
     leader: &Rc<Leader>,
-    load: &Wish,
+    load: &WeightLoad,
     address: SocketAddr,
     report: &Report,
     runs: Runs,
@@ -283,7 +283,7 @@
     }
 }
 
-async fn await_loaded(leader: &Rc<Leader>, load: &Wish) -> bool {
+async fn await_loaded(leader: &Rc<Leader>, load: &WeightLoad) -> bool {
     let until = clock::now() + LOAD_TIMEOUT.as_millis() as u64;
     tokio::time::sleep(FIRST_LOAD_CHECK).await;
     loop {
@@ -302,7 +302,7 @@
 
 async fn call(
     leader: &Rc<Leader>,
-    load: &Wish,
+    load: &WeightLoad,
     address: SocketAddr,
     request: &Request,
 ) -> Result<Reply, Broken> {
--- a/components/node/src/replica.rs
+++ b/components/node/src/replica.rs
@@ -34,8 +34,8 @@
 use chicoryford_control::disk::Job;
 use chicoryford_control::disk::Report;
 use chicoryford_control::error::ContentError;
+use chicoryford_fleet::ApplyOutcome;
 use chicoryford_fleet::Command;
-use chicoryford_fleet::Done;
 use chicoryford_fleet::Stamped;
 use chicoryford_fleet::State;
 use chicoryford_kernel::Receiver;
@@ -97,10 +97,10 @@
 }
 
 /// The channel that delivers the outcome of a command.
-type Waiter = oneshot::Sender<Result<Done, Refusal>>;
+type Waiter = oneshot::Sender<Result<ApplyOutcome, Refusal>>;
 
 /// A callback for each applied command.
-type Observer = Box<dyn Fn(&Command, Done)>;
+type Observer = Box<dyn Fn(&Command, ApplyOutcome)>;
 
 /// A replica with its disk and its state machine.
 pub struct LocalReplica {
@@ -275,7 +275,7 @@
     /// # Errors
     ///
     /// [`Refusal`], which shows whether the command may still be committed later.
-    pub async fn propose(&self, stamped: &Stamped) -> Result<Done, Refusal> {
+    pub async fn propose(&self, stamped: &Stamped) -> Result<ApplyOutcome, Refusal> {
         let data = Bytes::from(rmp_serde::to_vec(stamped).expect("commands are plain data"));
         let token = self.new_token();
         let (waiter, answer) = oneshot::channel();
@@ -302,7 +302,7 @@
     /// # Errors
     ///
     /// [`Refusal`] if this change is not possible now.
-    pub async fn change(&self, change: MembershipChange) -> Result<Done, Refusal> {
+    pub async fn change(&self, change: MembershipChange) -> Result<ApplyOutcome, Refusal> {
         let token = self.new_token();
         let (waiter, answer) = oneshot::channel();
         self.proposals.borrow_mut().insert(token, waiter);
@@ -389,7 +389,7 @@
         self.applied.set(entry.id);
         let done = match entry.payload {
             Payload::Data(data) => self.apply(entry.id, &data),
-            Payload::Empty | Payload::Members(_) => Done::Changed,
+            Payload::Empty | Payload::Members(_) => ApplyOutcome::Changed,
         };
         let waiter = token.and_then(|token| self.proposals.borrow_mut().remove(&token));
         if let Some(waiter) = waiter {
@@ -398,7 +398,7 @@
         }
     }
 
-    fn apply(&self, mark: EntryId, data: &Bytes) -> Done {
+    fn apply(&self, mark: EntryId, data: &Bytes) -> ApplyOutcome {
         self.bytes_since_snapshot.set(self.bytes_since_snapshot.get() + data.len());
         let stamped: Stamped = match rmp_serde::from_slice(data) {
             Ok(stamped) => stamped,
@@ -408,7 +408,7 @@
                 // installed.
                 tracing::error!(event = "command_unreadable", index = mark.index, %error);
                 self.failed.send_replace(true);
-                return Done::Unknown;
+                return ApplyOutcome::Unknown;
             }
         };
         self.update_clock_offset(mark.epoch, stamped.at);
--- a/components/node/src/runner/execute.rs
+++ b/components/node/src/runner/execute.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chicoryford_fleet::events::Reader;
-use chicoryford_fleet::plan::Made;
 use chicoryford_fleet::plan::RunEnd;
+use chicoryford_fleet::plan::SampleOutput;
 use chicoryford_fleet::run::Job;
-use chicoryford_fleet::run::Standing;
+use chicoryford_fleet::run::RunStatus;
+use chicoryford_fleet::sse::SseReader;
 use chicoryford_http::Broken;
 use chicoryford_http::Connection;
 use chicoryford_http::Incoming;
@@ -46,7 +46,7 @@
     tokio::task::yield_now().await;
     let end = match try_run(&runner, &job, &state).await {
         Ok(None) => {
-            runner.set_standing(&job, &state, Standing::Scoring);
+            runner.set_standing(&job, &state, RunStatus::Scoring);
             let standing = score(&runner, &job, &state).await;
             runner.set_standing(&job, &state, standing);
             return;
@@ -56,7 +56,7 @@
             let (sample, events) = (&job.sample.id, state.made.borrow().events.len());
             tracing::info!(event = "run_broken", sample, endpoint = job.endpoint, events, %error);
             let connection_broke = matches!(error, Broken::Lost(_) | Broken::Short);
-            let made_no_progress = events <= job.made.events.len();
+            let made_no_progress = events <= job.output.events.len();
             if connection_broke && made_no_progress && has_crashed(job.address).await {
                 RunEnd::Crashed
             } else {
@@ -64,7 +64,7 @@
             }
         }
     };
-    runner.set_standing(&job, &state, Standing::Ended(end));
+    runner.set_standing(&job, &state, RunStatus::Ended(end));
 }
 
 /// Runs a sample at its engine. Returns `None` if the sample is complete, otherwise how the run
@@ -114,7 +114,7 @@
         incarnation: &job.endpoint,
         version: job.version,
         left_ms,
-        last: job.made.last.as_deref(),
+        last: job.output.last_id.as_deref(),
         urgency: URGENCY,
         workspace: job.workspace.as_deref(),
     };
@@ -132,7 +132,7 @@
     mut incoming: Incoming,
 ) -> Result<Option<RunEnd>, Broken> {
     let mut version = sample::version(&incoming.headers).unwrap_or(job.version);
-    let mut reader = Reader::default();
+    let mut reader = SseReader::default();
     loop {
         let next = tokio::time::timeout(EVENT_TIMEOUT, incoming.next()).await;
         let Some(piece) = next.map_err(|_| timed_out())?? else { break };
@@ -140,13 +140,13 @@
             let event = sample::event(fields);
             version = event.version.unwrap_or(version);
             if !append_event(job, &mut state.made.borrow_mut(), event, version) {
-                *state.made.borrow_mut() = Made::default();
+                *state.made.borrow_mut() = SampleOutput::default();
                 return Err(Broken::Unfit("an event out of order or of the wrong version"));
             }
             state.last_event.set(clock::now());
         }
     }
-    if !reader.is_between() {
+    if !reader.is_at_boundary() {
         return Err(Broken::Short);
     }
     keep_connection(runner, job, incoming);
@@ -163,18 +163,18 @@
 
 /// Appends an event to the progress of the run. Returns false if the event is out of order or of a
 /// version that the job does not allow.
-fn append_event(job: &Job, made: &mut Made, event: Event, version: u64) -> bool {
+fn append_event(job: &Job, made: &mut SampleOutput, event: Event, version: u64) -> bool {
     let parse_id = |id: &Option<String>| id.as_ref().and_then(|id| id.parse::<u64>().ok());
-    if let (Some(last), Some(id)) = (parse_id(&made.last), parse_id(&event.id))
+    if let (Some(last), Some(id)) = (parse_id(&made.last_id), parse_id(&event.id))
         && id <= last
     {
         return false;
     }
-    let mixes_versions = job.single && made.versions.first().is_some_and(|v| *v != version);
-    if version < job.least || mixes_versions {
+    let mixes_versions = job.single_version && made.versions.first().is_some_and(|v| *v != version);
+    if version < job.min_version || mixes_versions {
         return false;
     }
-    made.last = event.id.or(made.last.take());
+    made.last_id = event.id.or(made.last_id.take());
     made.events.push(event.data);
     if !made.versions.contains(&version) {
         made.versions.push(version);
@@ -185,8 +185,8 @@
 
 /// Calls a sample's scorer until it answers, as long as a recent confirmation by the leader shows
 /// that the run is wanted. The budget includes what the call has cost at earlier hosts.
-async fn score(runner: &Rc<Runner>, job: &Job, state: &Rc<RunState>) -> Standing {
-    let Some(scorer) = &job.sample.scorer else { return Standing::Finished(None) };
+async fn score(runner: &Rc<Runner>, job: &Job, state: &Rc<RunState>) -> RunStatus {
+    let Some(scorer) = &job.sample.scorer else { return RunStatus::Finished(None) };
     let request = sample::score_request(scorer, job.workspace.as_deref());
     let budget = &state.budget;
     let mut pause = SCORE_RETRY_PAUSE;
@@ -204,7 +204,7 @@
         let failures = budget.spent().failures;
         if failures >= route.attempts.max(1) {
             tracing::info!(event = "scorer_failed", sample = job.sample.id, failures);
-            return Standing::Unscored;
+            return RunStatus::Unscored;
         }
         let limit_ms = route.timeout_ms.unwrap_or(SCORE_TIMEOUT_MS).min(SCORE_TIMEOUT_MS);
         // A call may try several endpoints for seconds, so it also ends when the leader's
@@ -217,7 +217,7 @@
                 outcome = &mut call => break Some(outcome),
                 // Reported at once: if this host is lost, the next host may prefer endpoints that
                 // have joined since, and would try them in addition.
-                () = budget.endpoint_added() => runner.set_standing(job, state, Standing::Scoring),
+                () = budget.endpoint_added() => runner.set_standing(job, state, RunStatus::Scoring),
                 () = runner.confirmation_expired() => break None,
             }
         };
@@ -226,7 +226,7 @@
             && reply.status.is_success()
             && let Some(score) = sample::score(&reply.headers)
         {
-            return Standing::Finished(Some(score.to_owned()));
+            return RunStatus::Finished(Some(score.to_owned()));
         }
         if let Outcome::NotRun(_, after_ms) = outcome {
             tokio::time::sleep(Duration::from_millis(after_ms)).await;
--- a/components/node/src/runner/mod.rs
+++ b/components/node/src/runner/mod.rs
@@ -8,14 +8,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chicoryford_fleet::plan::Made;
 use chicoryford_fleet::plan::RunEnd;
+use chicoryford_fleet::plan::SampleOutput;
+use chicoryford_fleet::run::CallCost;
 use chicoryford_fleet::run::Cost;
+use chicoryford_fleet::run::HostCommand;
 use chicoryford_fleet::run::Job;
-use chicoryford_fleet::run::Report;
-use chicoryford_fleet::run::Spent;
-use chicoryford_fleet::run::Standing;
-use chicoryford_fleet::run::Work;
+use chicoryford_fleet::run::RunReport;
+use chicoryford_fleet::run::RunStatus;
 use chicoryford_http::Pool;
 use chicoryford_types::Millis;
 use tokio::sync::mpsc;
@@ -56,8 +56,8 @@
 
 /// State shared by the task of a run and its reports.
 struct RunState {
-    made: RefCell<Made>,
-    standing: RefCell<Standing>,
+    made: RefCell<SampleOutput>,
+    standing: RefCell<RunStatus>,
     /// Number of events that were reported to the leader.
     reported_events: Cell<usize>,
     /// When the last event arrived.
@@ -72,7 +72,7 @@
     /// Time limit of the sample, and the cost of its scorer's call.
     budget: Budget,
     /// The part of that cost that was reported to the leader.
-    reported_spent: RefCell<Spent>,
+    reported_spent: RefCell<CallCost>,
 }
 
 impl RunState {
@@ -101,7 +101,7 @@
 #[derive(Clone)]
 enum Sink {
     Link(mpsc::Sender<MemberMessage>),
-    Local(Rc<dyn Fn(&Report)>),
+    Local(Rc<dyn Fn(&RunReport)>),
 }
 
 impl Runner {
@@ -165,7 +165,7 @@
     }
 
     /// Sends reports to the leader in this process.
-    pub fn attach_local(&self, handler: impl Fn(&Report) + 'static) {
+    pub fn attach_local(&self, handler: impl Fn(&RunReport) + 'static) {
         *self.sink.borrow_mut() = Some(Sink::Local(Rc::new(handler)));
     }
 
@@ -183,15 +183,15 @@
     }
 
     /// Handles work from the leader in this process.
-    pub fn handle_local(self: &Rc<Self>, work: Work) {
+    pub fn handle_local(self: &Rc<Self>, work: HostCommand) {
         self.handle_order(work, 0);
     }
 
     /// Handles work that a remote leader sent at most `age_ms` ago.
-    pub fn handle_order(self: &Rc<Self>, work: Work, age_ms: u64) {
+    pub fn handle_order(self: &Rc<Self>, work: HostCommand, age_ms: u64) {
         match work {
-            Work::Run(job) if age_ms > MAX_ORDER_AGE_MS => self.refuse_order(&job, age_ms),
-            Work::Run(job) => {
+            HostCommand::Run(job) if age_ms > MAX_ORDER_AGE_MS => self.refuse_order(&job, age_ms),
+            HostCommand::Run(job) => {
                 tracing::info!(
                     event = "run_taken",
                     step = job.step,
@@ -203,8 +203,8 @@
                 );
                 self.start(*job, age_ms);
             }
-            Work::Tell => self.report_all(),
-            Work::Stop { step, index, run } => {
+            HostCommand::Tell => self.report_all(),
+            HostCommand::Stop { step, index, run } => {
                 let key = (step, index);
                 let current = self.runs.borrow().get(&key).map(|hosted| hosted.job.run);
                 let (step, has_run) = (&key.0, current.unwrap_or_default());
@@ -252,17 +252,17 @@
     fn refuse_order(&self, job: &Job, age_ms: u64) {
         let (step, index, sample, run) = (&job.step, job.index, &job.sample.id, job.run);
         tracing::warn!(event = "order_late", step, index, sample, run, age_ms);
-        let report = Report {
+        let report = RunReport {
             run: job.run,
             step: job.step.clone(),
             index: job.index,
             endpoint: job.endpoint.clone(),
-            standing: Standing::Ended(RunEnd::Late),
-            from: job.made.events.len() as u32,
-            made: Made { events: Vec::new(), ..job.made.clone() },
+            status: RunStatus::Ended(RunEnd::Late),
+            from: job.output.events.len() as u32,
+            output: SampleOutput { events: Vec::new(), ..job.output.clone() },
             gap_ms: 0,
             cost: job.cost.clone(),
-            left_ms: job.left_ms.saturating_sub(age_ms),
+            remaining_ms: job.remaining_ms.saturating_sub(age_ms),
         };
         if let Some(Sink::Link(sender)) = &*self.sink.borrow() {
             // Without this report, the leader restarts the sample when it receives nothing about
@@ -276,16 +276,16 @@
         self.stop(&key);
         let now = clock::now();
         let state = Rc::new(RunState {
-            reported_events: Cell::new(job.made.events.len()),
-            made: RefCell::new(job.made.clone()),
-            standing: RefCell::new(Standing::Running),
+            reported_events: Cell::new(job.output.events.len()),
+            made: RefCell::new(job.output.clone()),
+            standing: RefCell::new(RunStatus::Running),
             last_event: Cell::new(now),
             last_reported_event: Cell::new(now),
             report_dropped: Cell::default(),
             order_expires: now + (MAX_ORDER_AGE_MS - age_ms),
             budget: Budget::shared(
                 job.sample.scorer.as_ref().map_or(&job.sample.id, |scorer| &scorer.id),
-                now + job.left_ms.saturating_sub(age_ms),
+                now + job.remaining_ms.saturating_sub(age_ms),
                 job.cost.scorer.clone(),
             ),
             reported_spent: RefCell::new(job.cost.scorer.clone()),
@@ -302,7 +302,7 @@
             tokio::time::sleep(REPORT_INTERVAL).await;
             let all = if self.sink.borrow().is_some() { self.all_runs() } else { Vec::new() };
             for hosted in all {
-                let running = *hosted.state.standing.borrow() == Standing::Running;
+                let running = *hosted.state.standing.borrow() == RunStatus::Running;
                 let has_new_events =
                     hosted.state.made.borrow().events.len() > hosted.state.reported_events.get();
                 if running && has_new_events
@@ -323,7 +323,7 @@
     fn remove_old_runs(&self) {
         let now = clock::now();
         self.runs.borrow_mut().retain(|_, hosted| {
-            let ended = *hosted.state.standing.borrow() != Standing::Running;
+            let ended = *hosted.state.standing.borrow() != RunStatus::Running;
             let old = ended && now.since(hosted.state.last_event.get()) >= FINISHED_RUN_TTL_MS;
             if old {
                 hosted.handle.abort();
@@ -342,21 +342,21 @@
         let events = made.events.len() - from;
         let ms = state.last_event.get().since(state.last_reported_event.get());
         let gap_ms = if from > 0 && events > 0 { ms / events as u64 } else { 0 };
-        let report = Report {
+        let report = RunReport {
             run: hosted.job.run,
             step: hosted.job.step.clone(),
             index: hosted.job.index,
             endpoint: hosted.job.endpoint.clone(),
-            standing,
+            status: standing,
             from: from as u32,
-            made: Made {
+            output: SampleOutput {
                 events: made.events[from..].to_vec(),
-                last: made.last.clone(),
+                last_id: made.last_id.clone(),
                 versions: made.versions.clone(),
             },
             gap_ms: gap_ms as u32,
             cost: Cost { scorer: state.budget.spent(), ..hosted.job.cost.clone() },
-            left_ms: state.budget.left_ms(),
+            remaining_ms: state.budget.left_ms(),
         };
         let spent = report.cost.scorer.clone();
         let sink = self.sink.borrow().clone();
@@ -379,7 +379,7 @@
         }
     }
 
-    fn set_standing(&self, job: &Job, state: &Rc<RunState>, standing: Standing) {
+    fn set_standing(&self, job: &Job, state: &Rc<RunState>, standing: RunStatus) {
         *state.standing.borrow_mut() = standing;
         let found = self.runs.borrow().get(&(job.step.clone(), job.index)).cloned();
         if let Some(hosted) = found.filter(|hosted| Rc::ptr_eq(&hosted.state, state)) {
--- a/components/node/src/settings.rs
+++ b/components/node/src/settings.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 use chicoryford_fleet::Policy;
-use chicoryford_fleet::Trust;
+use chicoryford_fleet::StaleKeyPolicy;
 use chicoryford_fleet::usage::Windows;
 use serde::Deserialize;
 use thiserror::Error;
@@ -153,8 +153,8 @@
     }
 
     /// Returns how long keys are accepted without a leader.
-    pub fn stale_key_policy(&self) -> Trust {
-        Trust { strict: self.strict_keys, limit_ms: self.revocation_ms }
+    pub fn stale_key_policy(&self) -> StaleKeyPolicy {
+        StaleKeyPolicy { strict: self.strict_keys, limit_ms: self.revocation_ms }
     }
 
     /// Returns the address to which usage is reported, if it is.
--- a/components/node/src/start.rs
+++ b/components/node/src/start.rs
@@ -12,7 +12,7 @@
 use chicoryford_depot::Depot;
 use chicoryford_depot::DepotError;
 use chicoryford_depot::Worker;
-use chicoryford_fleet::recent::Recent;
+use chicoryford_fleet::result_cache::ResultCache;
 use chicoryford_http::Reply;
 use chicoryford_http::Request;
 use chicoryford_http::Server;
@@ -324,7 +324,7 @@
             forwarder: self.forwarder.clone(),
             started: clock::now(),
             stall,
-            result_cache: RefCell::new(Recent::new(kept)),
+            result_cache: RefCell::new(ResultCache::new(kept)),
             usage,
             stale_key_policy: self.settings.stale_key_policy(),
             near_data_centre: near,
--- a/components/node/src/usage.rs
+++ b/components/node/src/usage.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use chicoryford_fleet::usage::Life;
+use chicoryford_fleet::usage::EntryProcess;
 use chicoryford_fleet::usage::Meter;
 use chicoryford_fleet::usage::Windows;
 use chicoryford_types::Millis;
@@ -25,14 +25,14 @@
 impl Usage {
     /// Starts counting in a new incarnation of this process.
     pub fn new(node: &str, windows: Windows, view: Rc<View>) -> Rc<Self> {
-        let life = Life { node: node.to_owned(), number: rand::random() };
+        let life = EntryProcess { node: node.to_owned(), number: rand::random() };
         Rc::new(Self { view, windows, meter: RefCell::new(Meter::new(life)) })
     }
 
     /// Records that a request of a workspace has arrived.
     pub fn start_request(self: &Rc<Self>, workspace: &str) -> RequestUsage {
         let window = self.windows.at(self.view.wall());
-        self.meter.borrow_mut().came(window);
+        self.meter.borrow_mut().begin_request(window);
         RequestUsage {
             usage: self.clone(),
             workspace: workspace.to_owned(),
@@ -51,10 +51,10 @@
                 continue;
             }
             if connection != reported_connection {
-                self.meter.borrow_mut().start_over();
+                self.meter.borrow_mut().resend_all();
                 reported_connection = connection;
             }
-            let report = self.meter.borrow_mut().tell(self.windows.at(self.view.wall()));
+            let report = self.meter.borrow_mut().next_report(self.windows.at(self.view.wall()));
             if let Some(report) = report
                 && !link.report_usage(report)
             {
@@ -82,7 +82,7 @@
 
 impl Drop for RequestUsage {
     fn drop(&mut self) {
-        self.usage.meter.borrow_mut().ended(
+        self.usage.meter.borrow_mut().end_request(
             self.arrival_window,
             &self.workspace,
             self.start_window,
--- a/components/node/src/view.rs
+++ b/components/node/src/view.rs
@@ -56,7 +56,7 @@
                 }
             }
             Update::Endpoint(endpoint) => {
-                let id = endpoint.said.id.clone();
+                let id = endpoint.announcement.id.clone();
                 self.endpoints.borrow_mut().insert(id, endpoint.clone());
             }
             Update::Forgotten(id) => {
@@ -96,7 +96,7 @@
 
     /// Records the wall clock time that the leader sent.
     pub fn set_wall_clock(&self, wall: Unix) {
-        self.wall_clock.borrow_mut().tell(wall, clock::now());
+        self.wall_clock.borrow_mut().record(wall, clock::now());
     }
 
     /// Returns the fleet's wall clock time.
--- a/components/node/src/wait_queues.rs
+++ b/components/node/src/wait_queues.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use chicoryford_fleet::line::Line;
-use chicoryford_fleet::line::Place;
+use chicoryford_fleet::wait_queue::QueuePosition;
+use chicoryford_fleet::wait_queue::WaitQueue;
 use chicoryford_types::Millis;
 use tokio::sync::Notify;
 
@@ -14,19 +14,19 @@
 /// The queues of all services.
 #[derive(Default)]
 pub struct WaitQueues {
-    queues: RefCell<BTreeMap<String, Line>>,
+    queues: RefCell<BTreeMap<String, WaitQueue>>,
     changed: Notify,
 }
 
 impl WaitQueues {
     /// Returns whether a request that arrives now has to wait.
     pub fn must_wait(&self, service: &str) -> bool {
-        self.queues.borrow().get(service).is_some_and(|queue| queue.is_closed(clock::now()))
+        self.queues.borrow().get(service).is_some_and(|queue| queue.must_wait(clock::now()))
     }
 
     /// Records that a request found all endpoints of a service full.
     pub fn record_full(&self, service: &str) {
-        self.queues.borrow_mut().entry(service.to_owned()).or_default().found_full(clock::now());
+        self.queues.borrow_mut().entry(service.to_owned()).or_default().pause(clock::now());
     }
 
     /// Waits for the turn of a request. Returns its place in the queue, or `None` if `until` passes
@@ -36,25 +36,25 @@
         &self,
         service: &str,
         (workspace, rank): (&str, u32),
-        before: Option<Place>,
+        before: Option<QueuePosition>,
         until: Millis,
-    ) -> Option<Place> {
+    ) -> Option<QueuePosition> {
         let place = {
             let mut queues = self.queues.borrow_mut();
             let queue = queues.entry(service.to_owned()).or_default();
             match before {
                 Some(place) => {
-                    queue.rejoin(place);
+                    queue.requeue(place);
                     place
                 }
-                None => queue.join(workspace, rank),
+                None => queue.push(workspace, rank),
             }
         };
         let entry = QueueEntry { owner: self, service, place };
         loop {
             let now = clock::now();
             let left = until.since(now);
-            let turn = self.queues.borrow()[service].turn_ms(place, now);
+            let turn = self.queues.borrow()[service].wait_ms(place, now);
             if turn == Some(0) {
                 entry.admit();
                 return Some(place);
@@ -75,13 +75,13 @@
 struct QueueEntry<'a> {
     owner: &'a WaitQueues,
     service: &'a str,
-    place: Place,
+    place: QueuePosition,
 }
 
 impl QueueEntry<'_> {
     fn admit(&self) {
         if let Some(queue) = self.owner.queues.borrow_mut().get_mut(self.service) {
-            queue.go(self.place);
+            queue.admit(self.place);
         }
     }
 }
@@ -89,7 +89,7 @@
 impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         if let Some(queue) = self.owner.queues.borrow_mut().get_mut(self.service) {
-            queue.leave(self.place);
+            queue.remove(self.place);
         }
         self.owner.changed.notify_waiters();
     }
--- a/components/node/tests/crashes.rs
+++ b/components/node/tests/crashes.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use chicoryford_fleet::Endpoint;
-use chicoryford_fleet::Kind;
 use chicoryford_fleet::Policy;
+use chicoryford_fleet::RouteKind;
 use chicoryford_http::Request;
 use chicoryford_http::message::Method;
 use chicoryford_node::clock;
@@ -83,7 +83,7 @@
 }
 
 async fn send(forwarder: &Forwarder, body: &'static str) -> Outcome {
-    let route = route("desk", Kind::Idempotent, 2);
+    let route = route("desk", RouteKind::Idempotent, 2);
     let budget = Budget::new(clock::now() + 1_000);
     let outcome =
         forwarder.forward(&route, &request(body), &budget, 1_000, Requester::default()).await;
--- a/components/node/tests/entry.rs
+++ b/components/node/tests/entry.rs
@@ -16,10 +16,10 @@
 use bytes::Bytes;
 use chicoryford_fleet::Config;
 use chicoryford_fleet::Endpoint;
-use chicoryford_fleet::Kind;
 use chicoryford_fleet::Policy;
-use chicoryford_fleet::Trust;
-use chicoryford_fleet::recent::Recent;
+use chicoryford_fleet::RouteKind;
+use chicoryford_fleet::StaleKeyPolicy;
+use chicoryford_fleet::result_cache::ResultCache;
 use chicoryford_http::Reply;
 use chicoryford_http::Request;
 use chicoryford_http::Server;
@@ -60,7 +60,7 @@
 }
 
 fn config() -> Config {
-    let route = route("desk", Kind::Idempotent, 2);
+    let route = route("desk", RouteKind::Idempotent, 2);
     Config { version: 1, routes: vec![route], source: Bytes::new(), ..Config::default() }
 }
 
@@ -83,9 +83,9 @@
         forwarder,
         started: clock::now(),
         stall: Rc::new(Stall::new(clock::now())),
-        result_cache: RefCell::new(Recent::new(0)),
+        result_cache: RefCell::new(ResultCache::new(0)),
         usage: None,
-        stale_key_policy: Trust { strict: false, limit_ms: 0 },
+        stale_key_policy: StaleKeyPolicy { strict: false, limit_ms: 0 },
         near_data_centre: String::new(),
         reader: Rc::default(),
     })
--- a/components/node/tests/forward.rs
+++ b/components/node/tests/forward.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use chicoryford_fleet::Kind;
 use chicoryford_fleet::Policy;
+use chicoryford_fleet::RouteKind;
 use chicoryford_http::Request;
 use chicoryford_http::message::Method;
 use chicoryford_node::clock;
@@ -115,7 +115,7 @@
 /// Sends a request. Returns its outcome, and the number of replies with status 500.
 async fn send_counting(
     stubs: &[&Stub],
-    kind: Kind,
+    kind: RouteKind,
     attempts: u32,
     budget_ms: u64,
 ) -> (Outcome, u32) {
@@ -127,7 +127,7 @@
     (outcome, budget.spent().failures)
 }
 
-async fn send(stubs: &[&Stub], kind: Kind, attempts: u32, budget_ms: u64) -> Outcome {
+async fn send(stubs: &[&Stub], kind: RouteKind, attempts: u32, budget_ms: u64) -> Outcome {
     send_counting(stubs, kind, attempts, budget_ms).await.0
 }
 
@@ -139,7 +139,7 @@
 async fn an_idempotent_request_is_retried_after_any_failure() {
     for behavior in [Behavior::Refuse, Behavior::Fail, Behavior::Reset] {
         let (bad, good) = (stub(behavior).await, stub(Behavior::Answer).await);
-        let outcome = send(&[&bad, &good], Kind::Idempotent, 3, 1_500).await;
+        let outcome = send(&[&bad, &good], RouteKind::Idempotent, 3, 1_500).await;
         assert!(is_success(&outcome), "{outcome:?}");
     }
 }
@@ -149,7 +149,7 @@
 #[actix_rt::test]
 async fn a_request_that_may_have_run_is_not_retried() {
     let (bad, good) = (stub(Behavior::Reset).await, stub(Behavior::Reset).await);
-    let (outcome, failures) = send_counting(&[&bad, &good], Kind::Once, 3, 1_500).await;
+    let (outcome, failures) = send_counting(&[&bad, &good], RouteKind::Once, 3, 1_500).await;
     assert!(matches!((&outcome, failures), (Outcome::Lost, 0)), "{outcome:?} {failures}");
     assert_eq!(bad.requests.get() + good.requests.get(), 1);
 }
@@ -157,7 +157,7 @@
 #[actix_rt::test]
 async fn a_request_that_did_not_run_is_retried_elsewhere_even_if_not_idempotent() {
     let (bad, good) = (stub(Behavior::Refuse).await, stub(Behavior::Answer).await);
-    let outcome = send(&[&bad, &good], Kind::Once, 1, 1_500).await;
+    let outcome = send(&[&bad, &good], RouteKind::Once, 1, 1_500).await;
     assert!(is_success(&outcome), "{outcome:?}");
 }
 
@@ -165,17 +165,17 @@
 async fn a_request_is_refused_soon_if_all_endpoints_are_full() {
     let full = stub(Behavior::Refuse).await;
     let began = Instant::now();
-    let outcome = send(&[&full], Kind::Once, 1, 5_000).await;
+    let outcome = send(&[&full], RouteKind::Once, 1, 5_000).await;
     assert!(matches!(outcome, Outcome::NotRun(_, after) if after > 0), "{outcome:?}");
     assert!(began.elapsed() < Duration::from_secs(2));
 }
 
 #[actix_rt::test]
 async fn a_request_without_endpoints_is_refused_and_an_unanswered_one_times_out() {
-    let outcome = send(&[], Kind::Idempotent, 2, 1_000).await;
+    let outcome = send(&[], RouteKind::Idempotent, 2, 1_000).await;
     assert!(matches!(outcome, Outcome::NotRun(..)), "{outcome:?}");
     let hanging = stub(Behavior::Hang).await;
-    let (outcome, failures) = send_counting(&[&hanging], Kind::Idempotent, 2, 300).await;
+    let (outcome, failures) = send_counting(&[&hanging], RouteKind::Idempotent, 2, 300).await;
     assert!(matches!((&outcome, failures), (Outcome::Late, 0)), "it may have run: {outcome:?}");
 }
 
@@ -184,7 +184,7 @@
 async fn a_request_to_a_silent_endpoint_is_hedged() {
     let (silent, good) = (stub(Behavior::Hang).await, stub(Behavior::Answer).await);
     let began = Instant::now();
-    let outcome = send(&[&silent, &good], Kind::Idempotent, 2, 3_000).await;
+    let outcome = send(&[&silent, &good], RouteKind::Idempotent, 2, 3_000).await;
     assert!(is_success(&outcome), "{outcome:?}");
     assert!(began.elapsed() < Duration::from_secs(1));
 }
@@ -194,7 +194,7 @@
     let stubs =
         [stub(Behavior::Fail).await, stub(Behavior::Fail).await, stub(Behavior::Fail).await];
     let all = [&stubs[0], &stubs[1], &stubs[2]];
-    let (outcome, failures) = send_counting(&all, Kind::Idempotent, 2, 1_500).await;
+    let (outcome, failures) = send_counting(&all, RouteKind::Idempotent, 2, 1_500).await;
     let Outcome::Answered(reply) = outcome else { panic!("{outcome:?}") };
     assert_eq!((reply.status.as_u16(), failures), (500, 2), "the endpoint's own answer");
     assert_eq!(stubs.iter().map(|stub| stub.requests.get()).sum::<u32>(), 2);
@@ -207,7 +207,7 @@
 async fn failures_count_also_when_the_time_is_up() {
     let stubs = [stub(Behavior::FailSlowly).await, stub(Behavior::FailSlowly).await];
     let (outcome, failures) =
-        send_counting(&[&stubs[0], &stubs[1]], Kind::Idempotent, 9, 700).await;
+        send_counting(&[&stubs[0], &stubs[1]], RouteKind::Idempotent, 9, 700).await;
     assert!(matches!((&outcome, failures), (Outcome::Late, 2..)), "{outcome:?} {failures}");
 }
 
@@ -236,7 +236,7 @@
     let log = tracing_subscriber::fmt().with_ansi(false).with_writer(move || copy.clone()).finish();
     let _guard = tracing::subscriber::set_default(log);
     let (bad, good) = (stub(Behavior::Hang).await, stub(Behavior::AnswerSlowly).await);
-    let outcome = send(&[&bad, &good], Kind::Idempotent, 3, 1_500).await;
+    let outcome = send(&[&bad, &good], RouteKind::Idempotent, 3, 1_500).await;
     assert!(is_success(&outcome), "{outcome:?}");
     let text = String::from_utf8(lines.0.lock().unwrap().clone()).unwrap();
     let line = text.lines().find(|line| line.contains("request_tried")).expect("a line");
--- a/components/node/tests/leader/fleet.rs
+++ b/components/node/tests/leader/fleet.rs
@@ -11,22 +11,22 @@
 use bytes::Bytes;
 use chicoryford_fleet::Command;
 use chicoryford_fleet::Config;
-use chicoryford_fleet::Kind;
 use chicoryford_fleet::Policy;
 use chicoryford_fleet::Route;
+use chicoryford_fleet::RouteKind;
 use chicoryford_fleet::Sample;
 use chicoryford_fleet::Service;
 use chicoryford_fleet::Share;
 use chicoryford_fleet::Step;
 use chicoryford_fleet::copies::PartId;
-use chicoryford_fleet::copies::Place;
+use chicoryford_fleet::copies::Placement;
 use chicoryford_fleet::copies::StoreId;
-use chicoryford_fleet::plan::Made;
+use chicoryford_fleet::plan::SampleOutput;
 use chicoryford_fleet::run::Cost;
+use chicoryford_fleet::run::HostCommand;
 use chicoryford_fleet::run::Job;
-use chicoryford_fleet::run::Report;
-use chicoryford_fleet::run::Standing;
-use chicoryford_fleet::run::Work;
+use chicoryford_fleet::run::RunReport;
+use chicoryford_fleet::run::RunStatus;
 use chicoryford_node::Settings;
 use chicoryford_node::clock;
 use chicoryford_node::followers::Followers;
@@ -114,7 +114,7 @@
         drop(store);
         let leader = fleet.next_leader();
         let store = fleet.store(&parts).await;
-        wait_until("the step is read", || leader.plan.borrow().has("a")).await;
+        wait_until("the step is read", || leader.plan.borrow().has_step("a")).await;
         (fleet, leader, store)
     }
 
@@ -148,14 +148,14 @@
         assert!(matches!(answer, Answer::Done), "{answer:?}");
         let state = self.replica.state();
         let part = &state.parts[&state.steps[id].step.part];
-        assert!(matches!(part.place, Place::Stores(_)), "{part:?}");
+        assert!(matches!(part.place, Placement::Stores(_)), "{part:?}");
     }
 
     /// Commits six checkpoints of a step's samples, on a store that does not return them.
     pub async fn commit_checkpoints(&self, id: &str) {
         let stores = BTreeSet::from([StoreId { node: "s".to_owned(), identity: STORE_IDENTITY }]);
         for number in 0..6 {
-            let place = Place::Stores(stores.clone());
+            let place = Placement::Stores(stores.clone());
             let checkpoint = Command::Note { step: id.to_owned(), part: PartId(number), place };
             assert!(matches!(self.leader().commit(checkpoint).await, Answer::Done));
         }
@@ -174,7 +174,7 @@
         store
     }
 
-    pub async fn host(&self, runs: Vec<Report>) -> Member {
+    pub async fn host(&self, runs: Vec<RunReport>) -> Member {
         Member::connect(self.links, "h", StoredParts::default(), runs).await
     }
 
@@ -197,14 +197,15 @@
         let body: Vec<u8> = (0..8 << 10).map(|_| rand::random()).collect();
         let (body, mut sent) = (Bytes::from(body), 0);
         loop {
-            while self.followers.send_work("h", Work::Run(Box::new(job(sent, body.clone())))) {
+            while self.followers.send_work("h", HostCommand::Run(Box::new(job(sent, body.clone()))))
+            {
                 sent += 1;
                 if sent.is_multiple_of(100) {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
-            if !self.followers.send_work("h", Work::Run(Box::new(job(sent, body.clone())))) {
+            if !self.followers.send_work("h", HostCommand::Run(Box::new(job(sent, body.clone())))) {
                 assert!(sent > 4_000, "only {sent} orders fitted");
                 return sent;
             }
@@ -247,7 +248,7 @@
         name: "steps".to_owned(),
         host: "h".to_owned(),
         prefix: "/s/".to_owned(),
-        kind: Kind::Step,
+        kind: RouteKind::Step,
         timeout_ms: None,
         target_ms: 400,
         priority: 1,
@@ -256,7 +257,7 @@
         resumable: true,
         due_ms: Some(7_500),
         age_ms: Some(40_000),
-        single: false,
+        single_version: false,
         open: false,
     };
     Config { version: 1, routes: vec![route], ..Config::default() }
@@ -268,7 +269,7 @@
     let route = Route {
         name: "desk".to_owned(),
         prefix: "/d/".to_owned(),
-        kind: Kind::Idempotent,
+        kind: RouteKind::Idempotent,
         shares: vec![Share { service: "desk".to_owned(), weight: 1 }],
         ..steps.routes[0].clone()
     };
@@ -284,7 +285,7 @@
         id: id.to_owned(),
         host: "h".to_owned(),
         model: "m".to_owned(),
-        least: 1,
+        min_version: 1,
         due_ms: 7_500,
         age_ms: 40_000,
         attempts: 3,
@@ -295,18 +296,22 @@
 
 /// Returns the report of a completed run of a step's sample. Its host calls the scorer until it
 /// answers, and reports nothing meanwhile.
-pub fn scoring_report(step: &str) -> Report {
-    Report {
+pub fn scoring_report(step: &str) -> RunReport {
+    RunReport {
         run: 1,
         step: step.to_owned(),
         index: 0,
         endpoint: "e".to_owned(),
-        standing: Standing::Scoring,
+        status: RunStatus::Scoring,
         from: 0,
-        made: Made { events: vec!["x".to_owned()], last: Some("0".to_owned()), versions: vec![1] },
+        output: SampleOutput {
+            events: vec!["x".to_owned()],
+            last_id: Some("0".to_owned()),
+            versions: vec![1],
+        },
         gap_ms: 0,
         cost: Cost::default(),
-        left_ms: 40_000,
+        remaining_ms: 40_000,
     }
 }
 
--- a/components/node/tests/leader/keys.rs
+++ b/components/node/tests/leader/keys.rs
@@ -9,9 +9,9 @@
 use chicoryford_fleet::Command;
 use chicoryford_fleet::Config;
 use chicoryford_fleet::Policy;
-use chicoryford_fleet::Trust;
+use chicoryford_fleet::StaleKeyPolicy;
 use chicoryford_fleet::Workspace;
-use chicoryford_fleet::recent::Recent;
+use chicoryford_fleet::result_cache::ResultCache;
 use chicoryford_http::Reply;
 use chicoryford_http::Request;
 use chicoryford_http::Server;
@@ -75,7 +75,7 @@
     });
     Announcement {
         id: "d1".to_owned(),
-        born: 0,
+        started_ms: 0,
         service: "desk".to_owned(),
         address,
         data_centre: "here".to_owned(),
@@ -87,7 +87,7 @@
 }
 
 impl Rig {
-    async fn start(stale_key_policy: Trust, keys: [&[&str]; 2]) -> Self {
+    async fn start(stale_key_policy: StaleKeyPolicy, keys: [&[&str]; 2]) -> Self {
         let (fleet, received) = (Fleet::start().await, Received::default());
         let (view, forwarder) = (Rc::new(View::default()), Forwarder::new(Policy::default()));
         let member = Member {
@@ -109,7 +109,7 @@
             forwarder,
             started: clock::now(),
             stall: Rc::new(Stall::new(clock::now())),
-            result_cache: RefCell::new(Recent::new(0)),
+            result_cache: RefCell::new(ResultCache::new(0)),
             usage: None,
             stale_key_policy,
             near_data_centre: String::new(),
@@ -157,7 +157,7 @@
     }
 }
 
-const LENIENT: Trust = Trust { strict: false, limit_ms: 0 };
+const LENIENT: StaleKeyPolicy = StaleKeyPolicy { strict: false, limit_ms: 0 };
 
 #[actix_rt::test]
 async fn an_endpoint_receives_the_workspace_and_not_the_key() {
@@ -193,7 +193,7 @@
 
 #[actix_rt::test]
 async fn a_disconnected_entry_refuses_all_keys_if_strict() {
-    let strict = Trust { strict: true, limit_ms: 400 };
+    let strict = StaleKeyPolicy { strict: true, limit_ms: 400 };
     let rig = Rig::start(strict, [&["k1"], &[]]).await;
     assert_eq!(rig.desk("k1").await, 200);
     rig.lose_leader().await;
--- a/components/node/tests/leader/listing.rs
+++ b/components/node/tests/leader/listing.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use chicoryford_fleet::Sample;
+use chicoryford_fleet::SampleResult;
 use chicoryford_fleet::Step;
-use chicoryford_fleet::Verdict;
 use chicoryford_fleet::plan::RunEnd;
-use chicoryford_fleet::run::Report;
-use chicoryford_fleet::run::Standing;
-use chicoryford_fleet::step::Result;
+use chicoryford_fleet::run::RunReport;
+use chicoryford_fleet::run::RunStatus;
+use chicoryford_fleet::step::StoredResult;
 use chicoryford_node::leader::Leader;
 use chicoryford_node::listing::SampleVerdict;
 use chicoryford_node::message::Answer;
@@ -35,12 +35,12 @@
         group: format!("g{}", index / 10),
         ..plain.samples[0].clone()
     });
-    Arc::new(Step { samples: samples.collect(), wanted: 2, ..(*plain).clone() })
+    Arc::new(Step { samples: samples.collect(), wanted_groups: 2, ..(*plain).clone() })
 }
 
 fn queue_verdict(leader: &Leader, index: u32) {
-    let sample = leader.plan.borrow_mut().settled("a", index).unwrap();
-    leader.outbox().put("a", SampleVerdict { index, sample, verdict: Verdict::GivenUp });
+    let sample = leader.plan.borrow_mut().settle("a", index).unwrap();
+    leader.outbox().put("a", SampleVerdict { index, sample, verdict: SampleResult::GivenUp });
 }
 
 /// Starts a fleet in which all samples of the step are listed except the last two, of which one has
@@ -72,15 +72,15 @@
 #[actix_rt::test]
 async fn a_sample_that_its_engine_rejects_is_listed_as_given_up() {
     let (fleet, leader, _store) = Fleet::with_adopted_step().await;
-    leader.handle_report("h", &report("a", Standing::Running));
-    leader.handle_report("h", &report("a", Standing::Ended(RunEnd::Unfit)));
+    leader.handle_report("h", &report("a", RunStatus::Running));
+    leader.handle_report("h", &report("a", RunStatus::Ended(RunEnd::Unfit)));
     wait_until("the sample is listed", || fleet.replica.state().steps["a"].results.len() == 1)
         .await;
-    assert_eq!(fleet.replica.state().steps["a"].results[0].result, Result::GivenUp);
+    assert_eq!(fleet.replica.state().steps["a"].results[0].result, StoredResult::GivenUp);
 }
 
-fn report(step: &str, standing: Standing) -> Report {
-    Report { standing, ..scoring_report(step) }
+fn report(step: &str, standing: RunStatus) -> RunReport {
+    RunReport { status: standing, ..scoring_report(step) }
 }
 
 /// A result is listed just before the last ones, the trainer's read is answered with it at once,
--- a/components/node/tests/leader/member.rs
+++ b/components/node/tests/leader/member.rs
@@ -9,8 +9,8 @@
 
 use bytes::Bytes;
 use chicoryford_fleet::copies::PartId;
-use chicoryford_fleet::run::Report;
-use chicoryford_fleet::run::Work;
+use chicoryford_fleet::run::HostCommand;
+use chicoryford_fleet::run::RunReport;
 use chicoryford_node::clock;
 use chicoryford_node::frame::decode;
 use chicoryford_node::frame::encode;
@@ -65,7 +65,7 @@
 /// reports its runs when it connects and when asked, and stops them on request.
 pub struct Member {
     pub sender: mpsc::UnboundedSender<MemberMessage>,
-    pub runs: Rc<RefCell<Vec<Report>>>,
+    pub runs: Rc<RefCell<Vec<RunReport>>>,
     /// Number of requests to report all runs.
     pub report_requests: Rc<Cell<u32>>,
     pub task: JoinHandle<()>,
@@ -78,7 +78,7 @@
         links: SocketAddr,
         node: &str,
         parts: StoredParts,
-        runs: Vec<Report>,
+        runs: Vec<RunReport>,
     ) -> Self {
         let mut socket = connect_store(links, node).await;
         let (sender, mut outgoing) = mpsc::unbounded_channel();
@@ -144,7 +144,7 @@
     message: LeaderMessage,
     sender: &mpsc::UnboundedSender<MemberMessage>,
     parts: &StoredParts,
-    runs: &Rc<RefCell<Vec<Report>>>,
+    runs: &Rc<RefCell<Vec<RunReport>>>,
     report_requests: &Rc<Cell<u32>>,
 ) {
     match message {
@@ -159,15 +159,15 @@
                 sender.send(MemberMessage::Told { number, reply }).unwrap();
             }
         }
-        LeaderMessage::Work { work: Work::Tell, .. } => {
+        LeaderMessage::Work { work: HostCommand::Tell, .. } => {
             report_requests.set(report_requests.get() + 1);
             for run in runs.borrow().iter() {
                 sender.send(MemberMessage::Report(run.clone())).unwrap();
             }
             sender.send(MemberMessage::Reported).unwrap();
         }
-        LeaderMessage::Work { work: Work::Stop { step, index, run }, .. } => {
-            let same = |one: &Report| one.step == step && one.index == index && one.run == run;
+        LeaderMessage::Work { work: HostCommand::Stop { step, index, run }, .. } => {
+            let same = |one: &RunReport| one.step == step && one.index == index && one.run == run;
             runs.borrow_mut().retain(|one| !same(one));
         }
         _ => {}
--- a/components/node/tests/leader/scorers.rs
+++ b/components/node/tests/leader/scorers.rs
@@ -14,14 +14,14 @@
 use chicoryford_fleet::Announcement;
 use chicoryford_fleet::Command;
 use chicoryford_fleet::Endpoint;
-use chicoryford_fleet::Kind;
 use chicoryford_fleet::Policy;
 use chicoryford_fleet::Route;
+use chicoryford_fleet::RouteKind;
 use chicoryford_fleet::Sample;
 use chicoryford_fleet::Share;
 use chicoryford_fleet::endpoint;
+use chicoryford_fleet::run::HostCommand;
 use chicoryford_fleet::run::Job;
-use chicoryford_fleet::run::Work;
 use chicoryford_fleet::step::Scorer;
 use chicoryford_node::forward::Forwarder;
 use chicoryford_node::link;
@@ -148,7 +148,7 @@
     let route = Route {
         name: "score".to_owned(),
         prefix: "/score/".to_owned(),
-        kind: Kind::Idempotent,
+        kind: RouteKind::Idempotent,
         timeout_ms: Some(2_000),
         shares: vec![Share { service: "desk".to_owned(), weight: 1 }],
         due_ms: None,
@@ -166,14 +166,14 @@
     drop(store);
     let leader = fleet.next_leader();
     let _store = fleet.store(&parts).await;
-    wait_until("the step is read", || leader.plan.borrow().has("a")).await;
+    wait_until("the step is read", || leader.plan.borrow().has_step("a")).await;
 
     let (address, called) = scorer().await;
     let view = Rc::new(View::default());
     let forwarder = Forwarder::new(Policy::default());
     let said = Announcement {
         id: "i0".to_owned(),
-        born: 0,
+        started_ms: 0,
         service: "desk".to_owned(),
         address,
         data_centre: "here".to_owned(),
@@ -182,7 +182,10 @@
         models: BTreeMap::new(),
         sequence: 1,
     };
-    forwarder.apply(&Update::Endpoint(Endpoint { said, standing: endpoint::Standing::Ready }));
+    forwarder.apply(&Update::Endpoint(Endpoint {
+        announcement: said,
+        status: endpoint::EndpointStatus::Ready,
+    }));
     let runner = Runner::new(view.clone(), forwarder);
     actix_rt::spawn(runner.clone().run());
     let folder = TempDir::new().unwrap();
@@ -222,7 +225,7 @@
         address: engine("a0", finish.clone()).await,
         ..job(1, Bytes::new())
     };
-    assert!(fleet.followers.send_work("h", Work::Run(Box::new(order))));
+    assert!(fleet.followers.send_work("h", HostCommand::Run(Box::new(order))));
     let hosted = || leader.plan.borrow().host("a", 0) == Some(("h".to_owned(), 1));
     wait_until("the run is known", hosted).await;
     delay_from.set(Some(Instant::now()));
--- a/components/node/tests/leader/steps.rs
+++ b/components/node/tests/leader/steps.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chicoryford_fleet::run::Work;
+use chicoryford_fleet::run::HostCommand;
 use chicoryford_node::clock;
 use chicoryford_node::frame::decode;
 use chicoryford_node::frame::encode;
@@ -87,7 +87,7 @@
     let mut received = Vec::new();
     let limit = Duration::from_secs(2);
     while let Ok(Some(Ok(frame))) = tokio::time::timeout(limit, stream.next()).await {
-        if let LeaderMessage::Work { work: Work::Run(job), .. } = decode(&frame).unwrap() {
+        if let LeaderMessage::Work { work: HostCommand::Run(job), .. } = decode(&frame).unwrap() {
             received.push(job.run);
         }
     }
@@ -116,7 +116,7 @@
                 let message: LeaderMessage = decode(&frame).unwrap();
                 stopped = matches!(
                     message,
-                    LeaderMessage::Work { work: Work::Stop { .. } | Work::Tell, .. }
+                    LeaderMessage::Work { work: HostCommand::Stop { .. } | HostCommand::Tell, .. }
                 );
             }
             Ok(_) => open = false,
@@ -140,9 +140,9 @@
     let leader = fleet.next_leader();
     let host = fleet.host(vec![scoring_report("a")]).await;
     pause(100).await;
-    assert!(!leader.plan.borrow().has("a"), "the step cannot be read yet");
+    assert!(!leader.plan.borrow().has_step("a"), "the step cannot be read yet");
     let _store = fleet.store(&parts).await;
-    wait_until("the step is read", || leader.plan.borrow().has("a")).await;
+    wait_until("the step is read", || leader.plan.borrow().has_step("a")).await;
     pause(100).await;
     host.reported();
     pause(100).await;
@@ -208,7 +208,7 @@
     pause(200).await;
     let ended = leader.answer(Call::End("a".to_owned())).await;
     let submitted = submitted.await.unwrap();
-    let runs = leader.plan.borrow().has("a");
+    let runs = leader.plan.borrow().has_step("a");
     assert!(
         !(runs && matches!(ended, Answer::Unknown)),
         "submission: {submitted:?}, end: {ended:?}, and its samples run"
@@ -318,7 +318,7 @@
     let clock = clock::now() + 60_000;
     sink.send(encode(&MemberMessage::Beat { clock, wall: Unix::default() })).await.unwrap();
     pause(300).await;
-    assert!(fleet.followers.send_work("h", Work::Tell));
+    assert!(fleet.followers.send_work("h", HostCommand::Tell));
     let (mut order, mut heartbeat) = (None, None);
     while order.is_none() || heartbeat != Some(clock) {
         match decode(&stream.next().await.unwrap().unwrap()).unwrap() {
--- a/components/node/tests/leader/updates.rs
+++ b/components/node/tests/leader/updates.rs
@@ -11,7 +11,7 @@
 use chicoryford_fleet::Command;
 use chicoryford_fleet::Config;
 use chicoryford_fleet::crashes::Crash;
-use chicoryford_fleet::hearing::Sign;
+use chicoryford_fleet::heartbeats::Heartbeat;
 use chicoryford_node::clock;
 use chicoryford_node::control::Control;
 use chicoryford_node::frame::decode;
@@ -40,7 +40,7 @@
 fn engine(id: &str, sequence: u64) -> Announcement {
     Announcement {
         id: id.to_owned(),
-        born: 0,
+        started_ms: 0,
         service: "engines".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
         data_centre: "here".to_owned(),
@@ -76,7 +76,7 @@
             _ => Vec::new(),
         };
         received.extend(updates.into_iter().filter_map(|update| match update {
-            Update::Endpoint(endpoint) => Some(endpoint.said.id),
+            Update::Endpoint(endpoint) => Some(endpoint.announcement.id),
             _ => None,
         }));
     }
@@ -231,7 +231,7 @@
     wait_until("the next leader is found", || link.is_connected()).await;
     actix_rt::spawn(control.clone().report_periodically());
     wait_until("the heartbeats are reported", || {
-        control.heartbeats.borrow().signs(clock::now()).is_empty()
+        control.heartbeats.borrow().pending(clock::now()).is_empty()
     })
     .await;
 }
@@ -245,7 +245,7 @@
     configure(&fleet, config_with_desk(2)).await;
     announce(&fleet, engine("e", 1)).await;
     let mut replica = connect_member(fleet.links, "c2", true).await;
-    let heartbeat = |sequence| Sign { id: "e".to_owned(), born: 0, sequence, age_ms: 0 };
+    let heartbeat = |sequence| Heartbeat { id: "e".to_owned(), started_ms: 0, sequence, age_ms: 0 };
     for sequence in 2..9 {
         pause(1_000).await;
         replica.send(encode(&MemberMessage::Heard(vec![heartbeat(sequence)]))).await.unwrap();
--- a/components/node/tests/leader/usage.rs
+++ b/components/node/tests/leader/usage.rs
@@ -10,9 +10,9 @@
 use chicoryford_fleet::Command;
 use chicoryford_fleet::Config;
 use chicoryford_fleet::Workspace;
-use chicoryford_fleet::usage::Life;
-use chicoryford_fleet::usage::Told;
+use chicoryford_fleet::usage::EntryProcess;
 use chicoryford_fleet::usage::Totals;
+use chicoryford_fleet::usage::UsageReport;
 use chicoryford_http::Reply;
 use chicoryford_http::Request;
 use chicoryford_http::Server;
@@ -120,10 +120,14 @@
     wall / 1_000
 }
 
-fn usage_report(window: u64, before: u64, count: u64) -> Told {
-    let life = Life { node: "f".to_owned(), number: 1 };
+fn usage_report(window: u64, before: u64, count: u64) -> UsageReport {
+    let life = EntryProcess { node: "f".to_owned(), number: 1 };
     let counts = BTreeMap::from([("w".to_owned(), count)]);
-    Told { life: life.clone(), before, totals: vec![Totals { life, window, counts }] }
+    UsageReport {
+        process: life.clone(),
+        complete_before: before,
+        totals: vec![Totals { process: life, window, counts }],
+    }
 }
 
 /// A window is closed; the platform accepts its report, and the answer is lost; the leader is
--- a/components/node/tests/link.rs
+++ b/components/node/tests/link.rs
@@ -17,14 +17,14 @@
 use chicoryford_fleet::Announcement;
 use chicoryford_fleet::Config;
 use chicoryford_fleet::Endpoint;
-use chicoryford_fleet::Kind;
 use chicoryford_fleet::Policy;
 use chicoryford_fleet::Route;
+use chicoryford_fleet::RouteKind;
 use chicoryford_fleet::Scorer;
 use chicoryford_fleet::Share;
-use chicoryford_fleet::run::Report;
-use chicoryford_fleet::run::Standing;
-use chicoryford_fleet::run::Work;
+use chicoryford_fleet::run::HostCommand;
+use chicoryford_fleet::run::RunReport;
+use chicoryford_fleet::run::RunStatus;
 use chicoryford_node::forward::Forwarder;
 use chicoryford_node::frame::decode;
 use chicoryford_node::frame::encode;
@@ -113,13 +113,13 @@
         job.sample.scorer = Some(Scorer { id, host, path, body: Bytes::new() });
         self.send(&LeaderMessage::Work {
             member_clock: self.host_clock,
-            work: Work::Run(Box::new(job)),
+            work: HostCommand::Run(Box::new(job)),
         })
         .await;
     }
 
     /// Sends and receives heartbeats for a while. Returns the reports that arrived.
-    async fn run_for(&mut self, time: Duration) -> Vec<Report> {
+    async fn run_for(&mut self, time: Duration) -> Vec<RunReport> {
         let until = tokio::time::Instant::now() + time;
         let mut heartbeats = tokio::time::interval(HEARTBEAT_INTERVAL);
         let mut reports = Vec::new();
@@ -188,7 +188,7 @@
     let mut leader = Leader::with_host().await;
     let (address, connections) = engine().await;
     leader.run_for(HEARTBEAT_INTERVAL * 5).await;
-    let run = Work::Run(Box::new(job(address)));
+    let run = HostCommand::Run(Box::new(job(address)));
     let order = LeaderMessage::Work { member_clock: leader.host_clock, work: run };
     leader.run_for(ORDER_DELAY).await;
     leader.send(&order).await;
@@ -196,7 +196,7 @@
     let reports = leader.run_for(HEARTBEAT_INTERVAL * 5).await;
 
     assert_eq!(connections.get(), 0, "the engine was asked");
-    let ended = reports.iter().any(|report| matches!(report.standing, Standing::Ended(_)));
+    let ended = reports.iter().any(|report| matches!(report.status, RunStatus::Ended(_)));
     assert!(ended, "the leader would wait for the run: {reports:?}");
 }
 
@@ -206,7 +206,7 @@
     let mut leader = Leader::with_host().await;
     let (address, connections) = engine().await;
     leader.run_for(HEARTBEAT_INTERVAL * 5).await;
-    let run = Work::Run(Box::new(job(address)));
+    let run = HostCommand::Run(Box::new(job(address)));
     leader.send(&LeaderMessage::Work { member_clock: leader.host_clock, work: run }).await;
     leader.run_for(HEARTBEAT_INTERVAL * 2).await;
     assert_eq!(connections.get(), 1, "the engine was not asked");
@@ -219,7 +219,7 @@
 fn desk(address: SocketAddr) -> Endpoint {
     let said = Announcement {
         id: "d".to_owned(),
-        born: 0,
+        started_ms: 0,
         service: "desk".to_owned(),
         address,
         data_centre: "here".to_owned(),
@@ -228,7 +228,7 @@
         models: BTreeMap::new(),
         sequence: 1,
     };
-    Endpoint { said, standing: chicoryford_fleet::Standing::Ready }
+    Endpoint { announcement: said, status: chicoryford_fleet::EndpointStatus::Ready }
 }
 
 fn config() -> Config {
@@ -236,7 +236,7 @@
         name: "desk".to_owned(),
         host: "h".to_owned(),
         prefix: "/desk/".to_owned(),
-        kind: Kind::Idempotent,
+        kind: RouteKind::Idempotent,
         timeout_ms: Some(1_000),
         target_ms: 150,
         priority: 1,
@@ -245,7 +245,7 @@
         resumable: false,
         due_ms: None,
         age_ms: None,
-        single: false,
+        single_version: false,
         open: false,
     };
     Config { version: 1, routes: vec![route], ..Config::default() }
--- a/components/node/tests/runner.rs
+++ b/components/node/tests/runner.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 use chicoryford_fleet::Policy;
-use chicoryford_fleet::plan::Made;
-use chicoryford_fleet::run::Report;
-use chicoryford_fleet::run::Standing;
-use chicoryford_fleet::run::Work;
+use chicoryford_fleet::plan::SampleOutput;
+use chicoryford_fleet::run::HostCommand;
+use chicoryford_fleet::run::RunReport;
+use chicoryford_fleet::run::RunStatus;
 use chicoryford_node::clock;
 use chicoryford_node::forward::Forwarder;
 use chicoryford_node::message::MemberMessage;
@@ -54,9 +54,9 @@
 }
 
 /// Collects reports until the run has finished.
-async fn reports(messages: &mut mpsc::Receiver<MemberMessage>) -> Vec<Report> {
-    let mut reports: Vec<Report> = Vec::new();
-    while !reports.last().is_some_and(|last| matches!(last.standing, Standing::Finished(_))) {
+async fn reports(messages: &mut mpsc::Receiver<MemberMessage>) -> Vec<RunReport> {
+    let mut reports: Vec<RunReport> = Vec::new();
+    while !reports.last().is_some_and(|last| matches!(last.status, RunStatus::Finished(_))) {
         let message = tokio::time::timeout(Duration::from_secs(5), messages.recv()).await;
         if let MemberMessage::Report(report) =
             message.expect("the run continues").expect("the host runs")
@@ -76,14 +76,14 @@
     let (sender, mut messages) = mpsc::channel(1_024);
     runner.attach(sender);
     actix_rt::spawn(runner.clone().run());
-    runner.handle_local(Work::Run(Box::new(job(engine().await))));
+    runner.handle_local(HostCommand::Run(Box::new(job(engine().await))));
 
     let reports = reports(&mut messages).await;
 
-    let events: usize = reports.iter().map(|report| report.made.events.len()).sum();
+    let events: usize = reports.iter().map(|report| report.output.events.len()).sum();
     assert_eq!(events, EVENTS);
-    let mut known = Made::default();
-    assert!(reports.iter().all(|report| report.add_to(&mut known)));
+    let mut known = SampleOutput::default();
+    assert!(reports.iter().all(|report| report.append_to(&mut known)));
     let whole: Vec<String> = (0..EVENTS).map(|number| format!("event {number}")).collect();
     assert_eq!(known.events, whole);
 }
@@ -95,7 +95,7 @@
     let (sender, first) = mpsc::channel(1_024);
     runner.attach(sender);
     actix_rt::spawn(runner.clone().run());
-    runner.handle_local(Work::Run(Box::new(job(engine().await))));
+    runner.handle_local(HostCommand::Run(Box::new(job(engine().await))));
     tokio::time::sleep(EVENT_INTERVAL * (EVENTS as u32) / 2).await;
     drop(first);
     runner.detach();
@@ -104,8 +104,8 @@
 
     let reports = reports(&mut messages).await;
 
-    let mut known = Made::default();
-    assert!(reports.iter().all(|report| report.add_to(&mut known)));
+    let mut known = SampleOutput::default();
+    assert!(reports.iter().all(|report| report.append_to(&mut known)));
     assert_eq!(known.events.len(), EVENTS);
 }
 
@@ -118,7 +118,7 @@
     let (sender, mut messages) = mpsc::channel(1);
     runner.attach(sender);
     actix_rt::spawn(runner.clone().run());
-    runner.handle_local(Work::Run(Box::new(job(engine().await))));
+    runner.handle_local(HostCommand::Run(Box::new(job(engine().await))));
     tokio::time::sleep(EVENT_INTERVAL * (EVENTS as u32) + Duration::from_millis(500)).await;
     let mut finished = false;
     for _ in 0..10 {
@@ -126,7 +126,7 @@
         let message = message.expect("the host runs").expect("the host runs");
         finished |= matches!(
             message,
-            MemberMessage::Report(Report { standing: Standing::Finished(_), .. })
+            MemberMessage::Report(RunReport { status: RunStatus::Finished(_), .. })
         );
     }
     assert!(finished, "the end of the run was not reported");
--- a/components/node/tests/scorers.rs
+++ b/components/node/tests/scorers.rs
@@ -17,18 +17,18 @@
 use bytes::Bytes;
 use chicoryford_fleet::Config;
 use chicoryford_fleet::Endpoint;
-use chicoryford_fleet::Kind;
 use chicoryford_fleet::Policy;
 use chicoryford_fleet::Route;
+use chicoryford_fleet::RouteKind;
 use chicoryford_fleet::Sample;
 use chicoryford_fleet::Scorer;
 use chicoryford_fleet::Service;
+use chicoryford_fleet::run::CallCost;
 use chicoryford_fleet::run::Cost;
+use chicoryford_fleet::run::HostCommand;
 use chicoryford_fleet::run::Job;
-use chicoryford_fleet::run::Report;
-use chicoryford_fleet::run::Spent;
-use chicoryford_fleet::run::Standing;
-use chicoryford_fleet::run::Work;
+use chicoryford_fleet::run::RunReport;
+use chicoryford_fleet::run::RunStatus;
 use chicoryford_http::Request;
 use chicoryford_http::message::Method;
 use chicoryford_node::clock;
@@ -111,7 +111,7 @@
 }
 
 fn scoring() -> Route {
-    Route { timeout_ms: Some(PASS_MS), ..route("score", Kind::Idempotent, ATTEMPTS) }
+    Route { timeout_ms: Some(PASS_MS), ..route("score", RouteKind::Idempotent, ATTEMPTS) }
 }
 
 fn config() -> Config {
@@ -169,16 +169,16 @@
     let address = listen(|stream| {
         actix_rt::spawn(run(stream));
     });
-    Job { sample, left_ms: SAMPLE_LIMIT_MS, cost, ..support::job::job(address.await) }
+    Job { sample, remaining_ms: SAMPLE_LIMIT_MS, cost, ..support::job::job(address.await) }
 }
 
 /// Makes a host execute a run until its scorer is given up. Returns the host's last report.
-async fn run_until_given_up(runner: &Rc<Runner>, cost: Cost) -> Report {
-    let reports: Rc<RefCell<Vec<Report>>> = Rc::default();
+async fn run_until_given_up(runner: &Rc<Runner>, cost: Cost) -> RunReport {
+    let reports: Rc<RefCell<Vec<RunReport>>> = Rc::default();
     let sink = reports.clone();
     runner.attach_local(move |report| sink.borrow_mut().push(report.clone()));
-    runner.handle_local(Work::Run(Box::new(job(cost).await)));
-    let unscored = |report: &&Report| report.standing == Standing::Unscored;
+    runner.handle_local(HostCommand::Run(Box::new(job(cost).await)));
+    let unscored = |report: &&RunReport| report.status == RunStatus::Unscored;
     for _ in 0..SAMPLE_LIMIT_MS / 20 {
         if let Some(last) = reports.borrow().last().filter(unscored) {
             return last.clone();
@@ -220,15 +220,15 @@
 async fn a_scorers_failures_are_reported_as_they_occur() {
     let (scorers, _calls) = scorers(Duration::from_millis(300)).await;
     let runner = host(&scorers);
-    let reports: Rc<RefCell<Vec<Report>>> = Rc::default();
+    let reports: Rc<RefCell<Vec<RunReport>>> = Rc::default();
     let sink = reports.clone();
     runner.attach_local(move |report| sink.borrow_mut().push(report.clone()));
     actix_rt::spawn(runner.clone().run());
-    runner.handle_local(Work::Run(Box::new(job(Cost::default()).await)));
+    runner.handle_local(HostCommand::Run(Box::new(job(Cost::default()).await)));
     tokio::time::sleep(Duration::from_millis(800)).await;
     let reports = reports.borrow();
     let last = reports.last().expect("a report");
-    assert_eq!(last.standing, Standing::Scoring);
+    assert_eq!(last.status, RunStatus::Scoring);
     assert!(last.cost.scorer.failures > 0, "{last:?}");
 }
 
@@ -238,10 +238,10 @@
 async fn each_endpoint_that_a_call_uses_is_reported_at_once() {
     let (scorers, _calls) = scorers(Duration::from_millis(2_000)).await;
     let runner = host(&scorers);
-    let reports: Rc<RefCell<Vec<Report>>> = Rc::default();
+    let reports: Rc<RefCell<Vec<RunReport>>> = Rc::default();
     let sink = reports.clone();
     runner.attach_local(move |report| sink.borrow_mut().push(report.clone()));
-    runner.handle_local(Work::Run(Box::new(job(Cost::default()).await)));
+    runner.handle_local(HostCommand::Run(Box::new(job(Cost::default()).await)));
     tokio::time::sleep(Duration::from_millis(200)).await;
     // The second endpoint was asked as a hedge, because the first is silent.
     let reports = reports.borrow();
@@ -254,7 +254,7 @@
 #[actix_rt::test]
 async fn the_next_host_continues_with_the_cost_of_a_scorers_call() {
     let (scorers, calls) = scorers(Duration::from_millis(10)).await;
-    let spent = |endpoints: &[&str]| Spent {
+    let spent = |endpoints: &[&str]| CallCost {
         failures: ATTEMPTS - 1,
         endpoints: endpoints.iter().map(|id| (*id).to_owned()).collect(),
     };
@@ -275,11 +275,11 @@
     let closed = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
     for (number, mut endpoint) in scorers.into_iter().enumerate() {
         if number < ATTEMPTS as usize {
-            endpoint.said.address = closed;
+            endpoint.announcement.address = closed;
         }
         forwarder.apply(&Update::Endpoint(endpoint));
     }
-    let spent = Spent {
+    let spent = CallCost {
         failures: 0,
         endpoints: (0..ATTEMPTS).map(|number| format!("i{number}")).collect(),
     };
@@ -300,7 +300,7 @@
     let (scorers, calls) = scorers_with_status(404, Duration::from_millis(1)).await;
     let runner = host(&scorers);
     runner.attach_local(|_| {});
-    runner.handle_local(Work::Run(Box::new(job(Cost::default()).await)));
+    runner.handle_local(HostCommand::Run(Box::new(job(Cost::default()).await)));
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     assert!((3..=7).contains(&calls.borrow().len()), "{calls:?}");
 }
--- a/components/node/tests/support/endpoint.rs
+++ b/components/node/tests/support/endpoint.rs
@@ -5,13 +5,13 @@
 
 use chicoryford_fleet::Announcement;
 use chicoryford_fleet::Endpoint;
-use chicoryford_fleet::Standing;
+use chicoryford_fleet::EndpointStatus;
 
 /// Creates a ready endpoint.
 pub fn endpoint(service: &str, id: &str, address: SocketAddr, slots: u32) -> Endpoint {
     let said = Announcement {
         id: id.to_owned(),
-        born: 0,
+        started_ms: 0,
         service: service.to_owned(),
         address,
         data_centre: "z".to_owned(),
@@ -20,5 +20,5 @@
         models: BTreeMap::new(),
         sequence: 1,
     };
-    Endpoint { said, standing: Standing::Ready }
+    Endpoint { announcement: said, status: EndpointStatus::Ready }
 }
--- a/components/node/tests/support/job.rs
+++ b/components/node/tests/support/job.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use chicoryford_fleet::Sample;
-use chicoryford_fleet::plan::Made;
+use chicoryford_fleet::plan::SampleOutput;
 use chicoryford_fleet::run::Cost;
 use chicoryford_fleet::run::Job;
 
@@ -20,10 +20,10 @@
         endpoint: "e".to_owned(),
         address,
         version: 1,
-        least: 1,
-        single: false,
-        left_ms: 10_000,
-        made: Made::default(),
+        min_version: 1,
+        single_version: false,
+        remaining_ms: 10_000,
+        output: SampleOutput::default(),
         cost: Cost::default(),
     }
 }
--- a/components/node/tests/support/route.rs
+++ b/components/node/tests/support/route.rs
@@ -1,11 +1,11 @@
 //! A route of a plain service.
 
-use chicoryford_fleet::Kind;
 use chicoryford_fleet::Route;
+use chicoryford_fleet::RouteKind;
 use chicoryford_fleet::Share;
 
 /// Creates a route on the host "h" to a service, for all paths below `/SERVICE/`.
-pub fn route(service: &str, kind: Kind, attempts: u32) -> Route {
+pub fn route(service: &str, kind: RouteKind, attempts: u32) -> Route {
     Route {
         name: service.to_owned(),
         host: "h".to_owned(),
@@ -19,7 +19,7 @@
         resumable: false,
         due_ms: None,
         age_ms: None,
-        single: false,
+        single_version: false,
         open: false,
     }
 }
