--- a/components/fleet/benches/round.rs
+++ b/components/fleet/benches/round.rs
@@ -26,7 +26,7 @@
 use chicoryford_types::Epoch;
 use chicoryford_types::Millis;
 
-use support::said;
+use support::announcement;
 use support::steps_config;
 
 /// Engines: those of the largest deployment, and a tenth, a third and all of those beside 300 VMs.
@@ -43,7 +43,7 @@
         service: "engines".to_owned(),
         slots: 6,
         models: MODELS.iter().map(|model| ((*model).to_owned(), 4)).collect(),
-        ..said(&format!("i-{number:010x}"), 1)
+        ..announcement(&format!("i-{number:010x}"), 1)
     };
     Endpoint { announcement: said, status: EndpointStatus::Ready }
 }
--- a/components/fleet/src/plan/assign.rs
+++ b/components/fleet/src/plan/assign.rs
@@ -1,11 +1,11 @@
-//! Which samples start now, and on which engines.
+//! Assigns waiting samples to engines.
 
 use std::collections::BTreeMap;
 
 use chicoryford_types::Millis;
 
 use super::Planner;
-use super::candidates::Free;
+use super::candidates::Candidates;
 use super::engine::EngineState;
 use super::samples::Assignment;
 use super::samples::Phase;
@@ -16,35 +16,43 @@
 use crate::step::Step;
 
 impl Planner {
-    /// Chooses the samples that start now: steps by rank and by the time at which they are due,
-    /// of each the longest samples first, on the engine with the fewest runs. Each run beside it
-    /// makes a sample half a percent slower (measured), which for the longest is time that its step
-    /// does not have; to read a prompt once more takes 1 to 3 ms. So an engine that has read the
-    /// group's prompt is preferred only among those with as few runs.
+    /// Returns the samples that start now and the engine for each. Steps are ordered by priority
+    /// and then by due time; within a step the longest samples come first. Each sample goes to the
+    /// engine with the fewest runs.
+    ///
+    /// Every concurrent run on the same engine makes a sample half a percent slower. The longest
+    /// samples have no time to spare within their step, while reading a prompt once more takes only
+    /// 1 to 3 ms. An engine that has already read the group's prompt is therefore preferred only
+    /// over engines with the same load.
     pub fn assign(&mut self, config: &Config, now: Millis) -> Vec<Assignment> {
-        let mut free: u32 = self
+        let mut free_slots: u32 = self
             .engines
             .values()
-            .filter(|seat| seat.is_ready(now))
+            .filter(|engine| engine.is_ready(now))
             .map(EngineState::free_slots)
             .sum();
-        let mut chosen = Vec::new();
-        let waiting = self.steps.values().filter(|work| work.waiting > 0 && work.held_until <= now);
+        let mut assignments = Vec::new();
+        let waiting =
+            self.steps.values().filter(|planned| planned.waiting > 0 && planned.held_until <= now);
         let mut order: Vec<(u32, Millis, String)> = waiting
-            .map(|work| {
-                (work.step.priority, work.submitted_at + work.step.due_ms, work.step.id.clone())
+            .map(|planned| {
+                (
+                    planned.step.priority,
+                    planned.submitted_at + planned.step.due_ms,
+                    planned.step.id.clone(),
+                )
             })
             .collect();
         order.sort();
         for (_, _, id) in order {
-            if free == 0 {
+            if free_slots == 0 {
                 break;
             }
-            let before = chosen.len();
-            self.assign_step(&id, config, now, &mut chosen);
-            free = free.saturating_sub((chosen.len() - before) as u32);
+            let before = assignments.len();
+            self.assign_step(&id, config, now, &mut assignments);
+            free_slots = free_slots.saturating_sub((assignments.len() - before) as u32);
         }
-        chosen
+        assignments
     }
 
     fn assign_step(
@@ -52,46 +60,49 @@
         id: &str,
         config: &Config,
         now: Millis,
-        chosen: &mut Vec<Assignment>,
+        assignments: &mut Vec<Assignment>,
     ) {
-        let Some(work) = self.steps.get_mut(id) else { return };
-        let step = work.step.clone();
-        let usual = if self.policy.engine_paces { self.median_pace_ms } else { 0.0 };
-        let mut homes: BTreeMap<&str, String> = BTreeMap::new();
+        let Some(planned) = self.steps.get_mut(id) else { return };
+        let step = planned.step.clone();
+        let median_pace = if self.policy.engine_paces { self.median_pace_ms } else { 0.0 };
+        let mut group_engines: BTreeMap<&str, String> = BTreeMap::new();
         let mut waiting: Vec<(u32, &Route)> = Vec::new();
-        for index in &work.order {
+        for index in &planned.order {
             let (sample, progress) =
-                (&step.samples[*index as usize], &work.progress[*index as usize]);
+                (&step.samples[*index as usize], &planned.progress[*index as usize]);
             if progress.phase == Phase::Waiting && progress.blocked_until > now {
                 continue;
             }
             if progress.phase == Phase::Waiting {
                 waiting.extend(config.find(&step.host, &sample.path).map(|route| (*index, route)));
-            } else if let (Some(seat), false) = (&progress.engine, sample.group.is_empty()) {
-                homes.entry(&sample.group).or_insert_with(|| seat.clone());
+            } else if let (Some(engine), false) = (&progress.engine, sample.group.is_empty()) {
+                group_engines.entry(&sample.group).or_insert_with(|| engine.clone());
             }
         }
-        // All samples of a step have the same route, but for odd ones.
-        for alike in waiting.chunk_by(|(_, a), (_, b)| std::ptr::eq(*a, *b)) {
-            let route = alike[0].1;
-            let fitting = self.engines.values_mut().filter(|seat| fits(seat, &step, route, now));
-            let mut free = Free::new(fitting, usual, now);
-            for (index, _) in alike {
+        // Nearly all samples of a step share one route, so they are processed by runs of equal
+        // routes.
+        for same_route in waiting.chunk_by(|(_, a), (_, b)| std::ptr::eq(*a, *b)) {
+            let route = same_route[0].1;
+            let eligible =
+                self.engines.values_mut().filter(|engine| is_eligible(engine, &step, route, now));
+            let mut candidates = Candidates::new(eligible, median_pace, now);
+            for (index, _) in same_route {
                 let group = step.samples[*index as usize].group.as_str();
-                let progress = &mut work.progress[*index as usize];
-                let home = homes.get(group).filter(|_| self.policy.group_homes);
-                let home = home.map(String::as_str);
-                let taken = free.take(&step.model, progress.avoided_engine.as_deref(), home);
-                let Some(seat) = taken else { continue };
+                let progress = &mut planned.progress[*index as usize];
+                let preferred = group_engines.get(group).filter(|_| self.policy.group_homes);
+                let preferred = preferred.map(String::as_str);
+                let reserved =
+                    candidates.reserve(&step.model, progress.avoided_engine.as_deref(), preferred);
+                let Some(engine) = reserved else { continue };
                 self.last_run += 1;
-                work.waiting -= 1;
+                planned.waiting -= 1;
                 let mut assignment = Assignment {
                     run: self.last_run,
                     step: step.clone(),
                     index: *index,
-                    endpoint: seat.endpoint.announcement.id.clone(),
-                    address: seat.endpoint.announcement.address,
-                    version: seat
+                    endpoint: engine.endpoint.announcement.id.clone(),
+                    address: engine.endpoint.announcement.address,
+                    version: engine
                         .endpoint
                         .announcement
                         .models
@@ -101,20 +112,22 @@
                     output: SampleOutput::default(),
                     cost: progress.cost.clone(),
                     remaining_ms: progress.deadline.since(now),
-                    other_runs: seat.load() - 1,
+                    other_runs: engine.load() - 1,
                     started: now,
                 };
-                progress.begin(&mut assignment);
-                homes.insert(group, assignment.endpoint.clone());
-                chosen.push(assignment);
+                progress.start(&mut assignment);
+                group_engines.insert(group, assignment.endpoint.clone());
+                assignments.push(assignment);
             }
         }
     }
 }
 
 impl Progress {
-    /// Notes that the sample runs, and adds to the assignment what was made of it before.
-    fn begin(&mut self, assignment: &mut Assignment) {
+    /// Marks the sample as running on the assigned engine and copies its output so far into the
+    /// assignment. The output is discarded if the step requires a single version and the engine has
+    /// another one.
+    fn start(&mut self, assignment: &mut Assignment) {
         let version = assignment.version;
         if assignment.step.single_version
             && self.output.versions.first().is_some_and(|v| *v != version)
@@ -132,12 +145,12 @@
     }
 }
 
-/// Tells whether a step's samples may go to an engine, if it has room.
-fn fits(seat: &EngineState, step: &Step, route: &Route, now: Millis) -> bool {
-    let said = &seat.endpoint.announcement;
-    let version = said.models.get(&step.model);
-    seat.is_ready(now)
-        && seat.loading.as_deref() != Some(&step.model)
-        && route.leads_to(&said.service)
+/// Returns whether an engine is eligible for samples of a step, regardless of free slots.
+fn is_eligible(engine: &EngineState, step: &Step, route: &Route, now: Millis) -> bool {
+    let announcement = &engine.endpoint.announcement;
+    let version = announcement.models.get(&step.model);
+    engine.is_ready(now)
+        && engine.loading.as_deref() != Some(&step.model)
+        && route.leads_to(&announcement.service)
         && version.is_some_and(|version| *version >= step.min_version)
 }
--- a/components/fleet/src/plan/candidates.rs
+++ b/components/fleet/src/plan/candidates.rs
@@ -1,8 +1,8 @@
-//! The engines that take one more run of a step, the least loaded first.
+//! Engines that can take another run of a step, least loaded first.
 //!
-//! With 3,000 engines a look at all of them for each sample took the leader 9.5 ms for a step, and as
-//! much again in each round in which samples waited for engines with newer weights: hundreds of rounds
-//! a second, until members took the leader for lost. So they are looked at once a step.
+//! The engines are examined once per step. Examining all 3,000 engines for each sample took the
+//! leader 9.5 ms per step, and as much again in every round in which samples waited for engines
+//! with newer weights. With hundreds of rounds a second, members considered the leader lost.
 
 use std::cmp::Ordering;
 use std::cmp::Reverse;
@@ -13,11 +13,11 @@
 use super::engine::EngineState;
 use super::engine::rank;
 
-/// An engine's rank when it was last looked at.
+/// An engine's rank when it was last computed.
 #[derive(Clone, Copy, Debug)]
 struct Ranked {
     rank: f64,
-    place: usize,
+    index: usize,
 }
 
 impl PartialEq for Ranked {
@@ -36,88 +36,96 @@
 
 impl Ord for Ranked {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.rank.total_cmp(&other.rank).then(self.place.cmp(&other.place))
+        self.rank.total_cmp(&other.rank).then(self.index.cmp(&other.index))
     }
 }
 
-/// Engines that fit a step, by rank.
-pub(super) struct Free<'a> {
-    /// In the order of their identities.
-    seats: Vec<&'a mut EngineState>,
-    /// A rank may be out of date: an engine can be taken for its group's sake while it is not first.
-    order: BinaryHeap<Reverse<Ranked>>,
-    usual: f64,
+/// Eligible engines for a step, ordered by rank.
+pub(super) struct Candidates<'a> {
+    /// Sorted by engine id.
+    engines: Vec<&'a mut EngineState>,
+    /// Ranks may be stale: an engine can be reserved for its group while it is not at the head of
+    /// the queue.
+    queue: BinaryHeap<Reverse<Ranked>>,
+    median_pace: f64,
     now: Millis,
 }
 
-impl<'a> Free<'a> {
-    /// Ranks engines, which come in the order of their identities.
+impl<'a> Candidates<'a> {
+    /// Ranks the engines, which must be sorted by id. Engines without free slots are left out.
     pub(super) fn new(
-        seats: impl Iterator<Item = &'a mut EngineState>,
-        usual: f64,
+        engines: impl Iterator<Item = &'a mut EngineState>,
+        median_pace: f64,
         now: Millis,
     ) -> Self {
-        let seats: Vec<&'a mut EngineState> = seats.filter(|seat| seat.free_slots() > 0).collect();
-        let ranked = |(place, seat): (usize, &&mut EngineState)| {
-            Reverse(Ranked { rank: rank(seat, usual, now), place })
+        let engines: Vec<&'a mut EngineState> =
+            engines.filter(|engine| engine.free_slots() > 0).collect();
+        let ranked = |(index, engine): (usize, &&mut EngineState)| {
+            Reverse(Ranked { rank: rank(engine, median_pace, now), index })
         };
-        let order = seats.iter().enumerate().map(ranked).collect();
-        Self { seats, order, usual, now }
+        let queue = engines.iter().enumerate().map(ranked).collect();
+        Self { engines, queue, median_pace, now }
     }
 
-    /// Takes a place for a run of a model: on the first engine, or on `home`, which has read the
-    /// prompt, if it ranks as low. An engine to be avoided is passed over.
-    pub(super) fn take(
+    /// Reserves a slot for a run of `model` and returns the engine: the best-ranked one, or
+    /// `preferred`, which has already read the prompt, if its rank is as good. The engine `avoid`
+    /// is skipped.
+    pub(super) fn reserve(
         &mut self,
         model: &str,
         avoid: Option<&str>,
-        home: Option<&str>,
+        preferred: Option<&str>,
     ) -> Option<&EngineState> {
         let mut avoided = None;
         let best = loop {
-            let Some(best) = self.first() else { break None };
-            if avoid != Some(self.id(best.place)) {
+            let Some(best) = self.pop_best() else { break None };
+            if avoid != Some(self.id(best.index)) {
                 break Some(best);
             }
             avoided = Some(best);
         };
-        self.order.extend(avoided.map(Reverse));
+        self.queue.extend(avoided.map(Reverse));
         let best = best?;
-        let home = home.filter(|home| avoid != Some(home)).and_then(|home| self.find(home));
-        let home = home
-            .filter(|place| self.seats[*place].free_slots() > 0 && self.rank(*place) <= best.rank);
-        let place = home.unwrap_or(best.place);
-        *self.seats[place].running.entry(model.to_owned()).or_default() += 1;
-        if self.seats[best.place].free_slots() > 0 {
-            self.order.push(Reverse(Ranked { rank: self.rank(best.place), ..best }));
+        let preferred = preferred
+            .filter(|preferred| avoid != Some(preferred))
+            .and_then(|preferred| self.find(preferred));
+        let preferred = preferred.filter(|index| {
+            self.engines[*index].free_slots() > 0 && self.rank(*index) <= best.rank
+        });
+        let index = preferred.unwrap_or(best.index);
+        *self.engines[index].running.entry(model.to_owned()).or_default() += 1;
+        if self.engines[best.index].free_slots() > 0 {
+            self.queue.push(Reverse(Ranked { rank: self.rank(best.index), ..best }));
         }
-        Some(self.seats[place])
+        Some(self.engines[index])
     }
 
-    /// Takes the first engine out of the order, once its rank is known to be that of now.
-    fn first(&mut self) -> Option<Ranked> {
+    /// Pops the best engine whose queued rank is up to date, re-queueing engines with stale ranks.
+    fn pop_best(&mut self) -> Option<Ranked> {
         loop {
-            let Reverse(first) = self.order.pop()?;
-            if self.seats[first.place].free_slots() == 0 {
+            let Reverse(first) = self.queue.pop()?;
+            if self.engines[first.index].free_slots() == 0 {
                 continue;
             }
-            let rank = self.rank(first.place);
+            let rank = self.rank(first.index);
             if rank.total_cmp(&first.rank) == Ordering::Equal {
                 return Some(first);
             }
-            self.order.push(Reverse(Ranked { rank, ..first }));
+            self.queue.push(Reverse(Ranked { rank, ..first }));
         }
     }
 
-    fn rank(&self, place: usize) -> f64 {
-        rank(self.seats[place], self.usual, self.now)
+    fn rank(&self, index: usize) -> f64 {
+        rank(self.engines[index], self.median_pace, self.now)
     }
 
-    fn id(&self, place: usize) -> &str {
-        &self.seats[place].endpoint.announcement.id
+    fn id(&self, index: usize) -> &str {
+        &self.engines[index].endpoint.announcement.id
     }
 
     fn find(&self, id: &str) -> Option<usize> {
-        self.seats.binary_search_by(|seat| seat.endpoint.announcement.id.as_str().cmp(id)).ok()
+        self.engines
+            .binary_search_by(|engine| engine.endpoint.announcement.id.as_str().cmp(id))
+            .ok()
     }
 }
--- a/components/fleet/src/plan/checkpoints.rs
+++ b/components/fleet/src/plan/checkpoints.rs
@@ -1,56 +1,60 @@
-//! What long runs have made, for the case that all processes are lost.
+//! Checkpoints of long runs on the stores, which survive the loss of all processes.
 
 use super::Planner;
 use super::samples::Checkpoint;
 use super::samples::Phase;
 use super::samples::SampleOutput;
 
-/// Events of a run after which it is noted on the stores. That is about a second, which is what
-/// the loss of all processes at once costs the longest runs; most runs are over before.
-const NOTED: usize = 24;
+/// Events after which a run is checkpointed. This takes about a second, which is how much work the
+/// longest runs repeat after the loss of all processes. Most runs are shorter and are never
+/// checkpointed.
+const CHECKPOINT_EVENTS: usize = 24;
 
 impl Planner {
-    /// Adds what was noted of samples of a step that was taken over.
-    pub fn restore_checkpoints(&mut self, step: &str, notes: Vec<Checkpoint>) {
-        let Some(work) = self.steps.get_mut(step) else { return };
-        for note in notes {
-            let Some(progress) = work.progress.get_mut(note.index as usize) else { continue };
-            let from = note.from as usize;
+    /// Restores the checkpoints of a step that was taken over from a previous leader.
+    pub fn restore_checkpoints(&mut self, step: &str, checkpoints: Vec<Checkpoint>) {
+        let Some(planned) = self.steps.get_mut(step) else { return };
+        for checkpoint in checkpoints {
+            let Some(progress) = planned.progress.get_mut(checkpoint.index as usize) else {
+                continue;
+            };
+            let from = checkpoint.from as usize;
             if progress.phase == Phase::Waiting && from <= progress.output.events.len() {
                 progress.output.events.truncate(from);
-                progress.output.events.extend(note.output.events);
-                progress.output.last_id = note.output.last_id;
-                progress.output.versions = note.output.versions;
+                progress.output.events.extend(checkpoint.output.events);
+                progress.output.last_id = checkpoint.output.last_id;
+                progress.output.versions = checkpoint.output.versions;
                 progress.checkpointed = progress.output.events.len();
             }
         }
     }
 
-    /// Gives what is to be noted: runs that have made much since they were noted last.
+    /// Returns, by step, checkpoints of the runs that have produced at least [`CHECKPOINT_EVENTS`]
+    /// since their last one, and marks these events as checkpointed.
     pub fn take_checkpoints(&mut self) -> Vec<(String, Vec<Checkpoint>)> {
-        let mut all = Vec::new();
+        let mut by_step = Vec::new();
         if !self.policy.run_notes {
-            return all;
+            return by_step;
         }
-        for (id, work) in &mut self.steps {
-            let mut notes = Vec::new();
-            for (index, progress) in work.progress.iter_mut().enumerate() {
-                let made = &progress.output;
-                let more = made.events.len().saturating_sub(progress.checkpointed);
-                if progress.phase != Phase::Running || more < NOTED {
+        for (id, planned) in &mut self.steps {
+            let mut checkpoints = Vec::new();
+            for (index, progress) in planned.progress.iter_mut().enumerate() {
+                let output = &progress.output;
+                let new_events = output.events.len().saturating_sub(progress.checkpointed);
+                if progress.phase != Phase::Running || new_events < CHECKPOINT_EVENTS {
                     continue;
                 }
                 let from = progress.checkpointed;
-                progress.checkpointed = made.events.len();
-                let events = made.events[from..].to_vec();
-                let (last, versions) = (made.last_id.clone(), made.versions.clone());
-                let made = SampleOutput { events, last_id: last, versions };
-                notes.push(Checkpoint { index: index as u32, from: from as u32, output: made });
+                progress.checkpointed = output.events.len();
+                let events = output.events[from..].to_vec();
+                let (last_id, versions) = (output.last_id.clone(), output.versions.clone());
+                let output = SampleOutput { events, last_id, versions };
+                checkpoints.push(Checkpoint { index: index as u32, from: from as u32, output });
             }
-            if !notes.is_empty() {
-                all.push((id.clone(), notes));
+            if !checkpoints.is_empty() {
+                by_step.push((id.clone(), checkpoints));
             }
         }
-        all
+        by_step
     }
 }
--- a/components/fleet/src/plan/engine.rs
+++ b/components/fleet/src/plan/engine.rs
@@ -1,4 +1,4 @@
-//! An engine as the planner knows it.
+//! The planner's state of an engine.
 
 use std::collections::BTreeMap;
 
@@ -7,27 +7,33 @@
 use crate::endpoint::Endpoint;
 use crate::endpoint::EndpointStatus;
 
-/// Milliseconds without news of a pace after which half of it is forgotten.
-pub(super) const HALF_MS: f64 = 2_000.0;
+/// Half-life in milliseconds of a measured pace: without new measurements its weight halves in this
+/// time.
+pub(super) const PACE_HALF_LIFE_MS: f64 = 2_000.0;
 
-/// What the planner knows of an engine.
+/// What the planner knows about an engine.
 #[derive(Clone, Debug)]
 pub struct EngineState {
-    /// What the engine announced.
+    /// The endpoint as last announced.
     pub endpoint: Endpoint,
-    /// Runs there, by model.
+    /// Active runs by model.
     pub running: BTreeMap<String, u32>,
-    /// The model that is being loaded there, or is about to be.
+    /// The model whose weights are being loaded or are about to be.
     pub loading: Option<String>,
+    /// Moving average of the milliseconds between events; zero before the first measurement.
     pub(super) pace_ms: f64,
     pub(super) paced_at: Millis,
+    /// Consecutive failures.
     pub(super) failures: u32,
+    /// No runs are assigned before this time.
     pub(super) blocked_until: Millis,
+    /// The announcement sequence at which the address turned out to belong to another endpoint. The
+    /// engine gets no runs until a newer announcement.
     pub(super) moved_sequence: Option<u64>,
 }
 
 impl EngineState {
-    /// Starts without runs.
+    /// Creates the state of an engine without runs.
     pub(super) fn new(endpoint: &Endpoint) -> Self {
         Self {
             endpoint: endpoint.clone(),
@@ -41,16 +47,18 @@
         }
     }
 
-    /// Counts the runs there.
+    /// Returns the number of active runs.
     pub fn load(&self) -> u32 {
         self.running.values().sum()
     }
 
-    /// Tells whether it may be given work.
+    /// Returns whether the engine may be assigned runs.
     pub fn is_ready(&self, now: Millis) -> bool {
-        let heard_again =
+        let announced_since_move =
             self.moved_sequence.is_none_or(|since| self.endpoint.announcement.sequence > since);
-        self.endpoint.status == EndpointStatus::Ready && now >= self.blocked_until && heard_again
+        self.endpoint.status == EndpointStatus::Ready
+            && now >= self.blocked_until
+            && announced_since_move
     }
 
     pub(super) fn free_slots(&self) -> u32 {
@@ -58,14 +66,15 @@
     }
 
     pub(super) fn pace(&self, now: Millis) -> f64 {
-        self.pace_ms * 0.5_f64.powf(now.since(self.paced_at) as f64 / HALF_MS)
+        self.pace_ms * 0.5_f64.powf(now.since(self.paced_at) as f64 / PACE_HALF_LIFE_MS)
     }
 }
 
-/// Ranks an engine for one more run: the least loaded first, a slow one by how slow it is.
-pub(super) fn rank(seat: &EngineState, usual: f64, now: Millis) -> f64 {
-    let slots = f64::from(seat.endpoint.announcement.slots.max(1));
-    let load = f64::from(seat.load()) / slots;
-    let slow = if usual > 0.0 { (seat.pace(now) / usual).max(1.0) } else { 1.0 };
-    (1.0 + load) * slow
+/// Ranks an engine for another run, lower is better: by its load, multiplied by how much slower
+/// than `median_pace` it is.
+pub(super) fn rank(engine: &EngineState, median_pace: f64, now: Millis) -> f64 {
+    let slots = f64::from(engine.endpoint.announcement.slots.max(1));
+    let load = f64::from(engine.load()) / slots;
+    let slowdown = if median_pace > 0.0 { (engine.pace(now) / median_pace).max(1.0) } else { 1.0 };
+    (1.0 + load) * slowdown
 }
--- a/components/fleet/src/plan/listing.rs
+++ b/components/fleet/src/plan/listing.rs
@@ -1,4 +1,5 @@
-//! When verdicts on samples are listed: together with others of their step.
+//! Decides when finished results of a step are listed in the log, in batches with other results of
+//! the step.
 
 use std::collections::BTreeMap;
 
@@ -6,125 +7,132 @@
 
 use super::Planner;
 use super::samples::Phase;
-use super::samples::Work;
+use super::samples::StepPlan;
 
-/// Milliseconds for which verdicts wait for others in any case, so that they share a part, an entry of
-/// the log and a sync. It is short beside the half second between two reads of a trainer.
+/// Milliseconds for which every result waits for others, so that they share a part, a log entry and
+/// a sync. This is short compared to the half second between two reads by a trainer.
 pub const LIST_DELAY_MS: u64 = 25;
-/// Milliseconds for which the last verdicts of a step wait for each other while nobody waits for them:
-/// the time between two reads of a trainer.
+/// Milliseconds for which the last results of a step wait for each other while no read is pending:
+/// the time between two reads by a trainer.
 pub const FINAL_LIST_DELAY_MS: u64 = 500;
-/// Milliseconds for which they wait at most: as long as a read of a trainer waits.
+/// Maximum wait in milliseconds of a result before it is listed: as long as a read by a trainer
+/// waits.
 pub const MAX_LIST_DELAY_MS: u64 = 1_000;
-/// Milliseconds before a read is over at which what it waits for is listed. To write a part to the
-/// stores and to commit takes 10 to 20 ms.
-const LISTING_MS: u64 = 50;
-/// Milliseconds between the beginnings of two reads of a trainer at least.
+/// Milliseconds before the end of a pending read at which the results that it waits for are listed.
+/// Writing a part to the stores and committing takes 10 to 20 ms.
+const LIST_BEFORE_READ_END_MS: u64 = 50;
+/// Minimum milliseconds between the starts of two reads by a trainer.
 const READ_GAP_MS: u64 = 500;
-/// Milliseconds before a step's last results are expected at which its trainer had best begin to read:
-/// more than [`READ_GAP_MS`], so that it goes on at once when they come, and so much less than a read
-/// waits that they may come some tenths of a second later.
+/// Milliseconds before the expected last results of a step at which its trainer should start a
+/// read. This is more than [`READ_GAP_MS`], so that the trainer continues as soon as they arrive,
+/// and enough less than the duration of a read that the results may be some tenths of a second
+/// late.
 const READ_AHEAD_MS: u64 = 700;
-/// Milliseconds by which the last results may come later than expected.
-const READ_SPARE_MS: u64 = 100;
-/// Milliseconds from a sample's last event to its listing: its scorer's call, the stores, the log.
-const SCORING_MS: u64 = 80;
-/// The share of a step's samples that are its last: one of ten.
-const FEW: usize = 10;
+/// Milliseconds by which the last results may be later than expected.
+const LATE_RESULT_MARGIN_MS: u64 = 100;
+/// Milliseconds from a sample's last event until it is listed: scorer call, store writes and log
+/// commit.
+const SCORE_AND_LIST_MS: u64 = 80;
+/// The delay for last results applies once at most one in this many samples of a step is left.
+const LAST_RESULTS_DIVISOR: usize = 10;
 
 impl Planner {
-    /// Tells when verdicts of a step are to be listed. The first has waited since `since`; the read
-    /// that waits for results and ends first does so at `read`.
+    /// Returns when the pending results of a step are to be listed. `since` is when the first of
+    /// them became pending, `read` the end of the waiting read that ends first.
     ///
-    /// A trainer begins a read each half second, or as soon as the one before is answered if that
-    /// took longer. After a read that is answered at once it reads nothing for half a second; if the
-    /// last results come in that time, it has its whole step that much later. Trainers ended their
-    /// steps 0.46 s after the last result on average (14 steps of two trainers), 0.03 s where
-    /// nothing was listed just before it. So the last tenth of a step is listed when a read would
-    /// end anyway, and at once when its trainer has as many whole groups as it waits for, or nothing
-    /// is left.
+    /// A trainer starts a read every half second, or as soon as the previous read is answered if
+    /// that took longer. After a read that was answered at once, it does not read for half a
+    /// second. If the last results arrive in that time, the whole step of the trainer ends that
+    /// much later. Trainers ended their steps 0.46 s after the last result on average (14 steps of
+    /// two trainers), but 0.03 s after it where nothing had been listed shortly before. Therefore
+    /// the last tenth of a step is listed when a pending read would end anyway. Results are listed
+    /// without this delay once the trainer has as many complete groups as it waits for, or once no
+    /// samples are left.
     ///
-    /// A read that would end less than half a second before the last results are expected is
-    /// answered earlier, so that the next one has begun by then and lasts until they come.
+    /// A read that would end less than half a second before the expected last results is answered
+    /// early, so that the next read has started by then and lasts until they arrive.
     pub fn list_at(&self, step: &str, since: Millis, read: Option<Millis>) -> Millis {
-        let soon = since + LIST_DELAY_MS;
-        let work = self.steps.get(step).filter(|_| self.policy.last_together);
-        if !work.is_some_and(Work::ends_soon) {
-            return soon;
+        let earliest = since + LIST_DELAY_MS;
+        let planned = self.steps.get(step).filter(|_| self.policy.last_together);
+        if !planned.is_some_and(StepPlan::is_near_end) {
+            return earliest;
         }
         let Some(read) = read else { return since + FINAL_LIST_DELAY_MS };
-        let mut at = read.0.saturating_sub(LISTING_MS);
-        if let Some(Millis(end)) = work.and_then(|work| self.expected_end(work))
+        let mut at = read.0.saturating_sub(LIST_BEFORE_READ_END_MS);
+        if let Some(Millis(end)) = planned.and_then(|planned| self.expected_end(planned))
             && self.policy.timed_reads
-            && read.0 < end + READ_SPARE_MS
+            && read.0 < end + LATE_RESULT_MARGIN_MS
             && read.0 + READ_GAP_MS > end
-            && soon.0 + READ_GAP_MS <= end
+            && earliest.0 + READ_GAP_MS <= end
         {
             at = at.min(end.saturating_sub(READ_AHEAD_MS));
         }
-        Millis(at).clamp(soon, since + MAX_LIST_DELAY_MS)
+        Millis(at).clamp(earliest, since + MAX_LIST_DELAY_MS)
     }
 
-    /// Tells when the last results of a step are expected: when its runs are as long as the longest
-    /// sample that its model made lately. Shorter ones end before; none if some have not begun.
-    fn expected_end(&self, work: &Work) -> Option<Millis> {
-        let longest = self.longest_outputs.get(&work.step.model)?.most();
+    /// Returns when the last results of a step are expected, assuming that all its runs become as
+    /// long as the longest recent sample of the model. Shorter runs end earlier. Returns `None` if
+    /// a sample has not started.
+    fn expected_end(&self, planned: &StepPlan) -> Option<Millis> {
+        let longest = self.longest_outputs.get(&planned.step.model)?.max_events();
         let mut end = Millis::default();
-        for progress in &work.progress {
+        for progress in &planned.progress {
             match progress.phase {
                 Phase::Settled | Phase::Scoring => continue,
                 Phase::Waiting => return None,
                 Phase::Running => {}
             }
-            let seat = self.engines.get(progress.engine.as_ref()?)?;
-            let pace = if seat.pace_ms > 0.0 { seat.pace_ms } else { self.median_pace_ms };
-            let left = longest.saturating_sub(progress.output.events.len());
-            end = end.max(progress.last_event + (left as f64 * pace) as u64 + SCORING_MS);
+            let engine = self.engines.get(progress.engine.as_ref()?)?;
+            let pace = if engine.pace_ms > 0.0 { engine.pace_ms } else { self.median_pace_ms };
+            let remaining = longest.saturating_sub(progress.output.events.len());
+            end =
+                end.max(progress.last_event + (remaining as f64 * pace) as u64 + SCORE_AND_LIST_MS);
         }
         Some(end)
     }
 
-    /// Notes how many events a sample of a model came to.
+    /// Records the length in events of a finished sample.
     pub(super) fn record_length(&mut self, model: &str, events: usize) {
         let longest = self.longest_outputs.entry(model.to_owned()).or_default();
-        longest.now = longest.now.max(events);
+        longest.current = longest.current.max(events);
     }
 
-    /// Begins to look anew for the longest sample of a model: a step of it was opened.
+    /// Starts a new measurement of the longest sample of a model because one of its steps was
+    /// opened.
     pub(super) fn record_step_opened(&mut self, model: &str) {
         let longest = self.longest_outputs.entry(model.to_owned()).or_default();
-        longest.before = std::mem::take(&mut longest.now);
+        longest.previous = std::mem::take(&mut longest.current);
     }
 }
 
-/// The events of the longest sample that a model made since its newest step was opened, and since the
-/// one before that.
+/// The most events in a sample of a model since its newest step was opened (`current`), and between
+/// the opening of the step before and then (`previous`).
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Longest {
-    now: usize,
-    before: usize,
+pub(super) struct LongestOutput {
+    current: usize,
+    previous: usize,
 }
 
-impl Longest {
-    fn most(self) -> usize {
-        self.now.max(self.before)
+impl LongestOutput {
+    fn max_events(self) -> usize {
+        self.current.max(self.previous)
     }
 }
 
-impl Work {
-    /// Tells whether few samples are left that its trainer needs.
-    fn ends_soon(&self) -> bool {
+impl StepPlan {
+    /// Returns whether only a few samples are left and the trainer still needs some of them.
+    fn is_near_end(&self) -> bool {
         let left = self.progress.iter().filter(|progress| progress.phase != Phase::Settled).count();
-        left > 0 && left * FEW <= self.progress.len() && !self.is_enough()
+        left > 0 && left * LAST_RESULTS_DIVISOR <= self.progress.len() && !self.has_wanted_groups()
     }
 
-    /// Tells whether as many groups have all their verdicts as the trainer waits for.
-    fn is_enough(&self) -> bool {
-        let mut whole: BTreeMap<&str, bool> = BTreeMap::new();
+    /// Returns whether as many groups are complete as the trainer waits for.
+    fn has_wanted_groups(&self) -> bool {
+        let mut complete: BTreeMap<&str, bool> = BTreeMap::new();
         for (sample, progress) in self.step.samples.iter().zip(&self.progress) {
             let group = if sample.group.is_empty() { &sample.id } else { &sample.group };
-            *whole.entry(group).or_insert(true) &= progress.phase == Phase::Settled;
+            *complete.entry(group).or_insert(true) &= progress.phase == Phase::Settled;
         }
-        whole.values().filter(|whole| **whole).count() as u64 >= self.step.wanted_groups
+        complete.values().filter(|complete| **complete).count() as u64 >= self.step.wanted_groups
     }
 }
--- a/components/fleet/src/plan/mod.rs
+++ b/components/fleet/src/plan/mod.rs
@@ -1,7 +1,8 @@
-//! Which sample runs next, and on which engine.
+//! Schedules samples: decides which sample runs next and on which engine.
 //!
-//! The leader plans for the whole fleet: nobody else sends samples, so it knows what each engine
-//! has without asking. Hosts carry runs out ([`crate::run`]), and tell the next leader of them.
+//! The leader schedules for the whole fleet. No other process sends samples, so the planner tracks
+//! the load of each engine without asking it. Hosts execute the runs ([`crate::run`]) and report
+//! them to the next leader after a change of leader.
 
 mod assign;
 mod candidates;
@@ -39,46 +40,48 @@
 
 use samples::Phase;
 use samples::Progress;
-use samples::Work;
+use samples::StepPlan;
 
-/// How many times slower than the usual engine one must be for its runs to go on elsewhere. An
-/// engine with all its slots taken is about a tenth slower than an idle one, so this is a fault.
-const SLOW: f64 = 2.0;
+/// Pace of an engine, as a multiple of the median, above which its runs are moved. An engine with
+/// all slots in use is about a tenth slower than an idle one, so this ratio indicates a fault.
+const SLOW_RATIO: f64 = 2.0;
 
-/// Milliseconds for which the planner remembers what samples of a step that is over have cost. Their trainer
-/// submits them again in one of its next steps, if at all.
-const PAST_MS: u64 = 120_000;
+/// Milliseconds for which the planner keeps the costs of failed samples of closed steps. If their
+/// trainer submits them again, it does so in one of its next steps.
+const PAST_COST_MS: u64 = 120_000;
 
-/// Plans samples' runs.
+/// Schedules the samples of all open steps on the engines.
 #[derive(Default)]
 pub struct Planner {
-    steps: BTreeMap<String, Work>,
+    steps: BTreeMap<String, StepPlan>,
     engines: BTreeMap<String, EngineState>,
     median_pace_ms: f64,
-    /// The longest samples of late, by model.
-    longest_outputs: BTreeMap<String, listing::Longest>,
-    /// The number of the last run.
+    /// The longest recent samples, by model.
+    longest_outputs: BTreeMap<String, listing::LongestOutput>,
+    /// The id of the last run.
     last_run: u64,
-    /// Hosts that were asked what they run and have not told yet.
+    /// Hosts that were asked for their runs and have not reported yet.
     unreported_hosts: BTreeSet<String>,
-    /// Samples that failed in steps that are over, with what they had cost by when, in case they come again.
+    /// Costs of failed samples of closed steps with the time at which the step was closed, in case
+    /// the samples are submitted again.
     past_costs: BTreeMap<String, (Cost, Millis)>,
     policy: Policy,
 }
 
 impl Planner {
-    /// Makes the plan of a leader; its runs are numbered apart from those of other epochs.
+    /// Creates the planner of a leader. Run ids contain the epoch, so they differ between leaders.
     pub fn new(epoch: Epoch) -> Self {
         Self { last_run: epoch.0 << 32, ..Self::default() }
     }
 
-    /// Plans with these mechanisms.
+    /// Sets which scheduling mechanisms are enabled.
     pub fn with_policy(self, policy: Policy) -> Self {
         Self { policy, ..self }
     }
 
-    /// Takes in a step that is open. `listed` tells which samples have their results, `at` when it
-    /// was submitted, and `held` until when hosts may still tell that they run samples of it.
+    /// Adds an open step. `listed` returns whether a sample already has its result, `at` is when
+    /// the step was submitted, and until `held` hosts may still report runs of it that were started
+    /// under a previous leader.
     pub fn open_step(
         &mut self,
         step: Arc<Step>,
@@ -120,7 +123,7 @@
         }
         self.steps.insert(
             id,
-            Work {
+            StepPlan {
                 step,
                 order,
                 submitted_at: at,
@@ -132,84 +135,88 @@
         );
     }
 
-    /// Forgets a step: it is over. Gives the runs that hosts still have: host, sample, run.
+    /// Removes a step that has ended and returns the runs that hosts still have, as host, sample
+    /// index and run id.
     pub fn close_step(&mut self, step: &str, now: Millis) -> Vec<(String, u32, u64)> {
-        let Some(work) = self.steps.remove(step) else { return Vec::new() };
+        let Some(planned) = self.steps.remove(step) else { return Vec::new() };
         let mut hosted = Vec::new();
-        self.past_costs.retain(|_, (_, at)| now.since(*at) < PAST_MS);
-        for (index, progress) in work.progress.into_iter().enumerate() {
+        self.past_costs.retain(|_, (_, at)| now.since(*at) < PAST_COST_MS);
+        for (index, progress) in planned.progress.into_iter().enumerate() {
             if progress.cost.has_failed() {
-                let id = work.step.samples[index].id.clone();
+                let id = planned.step.samples[index].id.clone();
                 self.past_costs.insert(id, (progress.cost, now));
             }
             if progress.phase == Phase::Running {
-                self.release_slot(progress.engine.as_deref(), &work.step.model);
+                self.release_slot(progress.engine.as_deref(), &planned.step.model);
             }
             hosted.extend(progress.host.map(|host| (host, index as u32, progress.run)));
         }
         hosted
     }
 
-    /// Tells whether a step is planned.
+    /// Returns whether a step is open in the planner.
     pub fn has_step(&self, step: &str) -> bool {
         self.steps.contains_key(step)
     }
 
-    /// Takes in what is known of an engine.
+    /// Adds an engine or updates its endpoint. A restart resets everything but its runs and its
+    /// load order.
     pub fn update_engine(&mut self, endpoint: &Endpoint) {
         match self.engines.get_mut(&endpoint.announcement.id) {
-            // Runs and orders of the start before are still counted, until they end.
-            Some(seat)
-                if seat.endpoint.announcement.started_ms < endpoint.announcement.started_ms =>
+            // Runs and load orders from before the restart still count until they end.
+            Some(engine)
+                if engine.endpoint.announcement.started_ms < endpoint.announcement.started_ms =>
             {
-                let running = std::mem::take(&mut seat.running);
-                let loading = seat.loading.take();
-                *seat = EngineState { running, loading, ..EngineState::new(endpoint) };
+                let running = std::mem::take(&mut engine.running);
+                let loading = engine.loading.take();
+                *engine = EngineState { running, loading, ..EngineState::new(endpoint) };
             }
-            Some(seat) => seat.endpoint = endpoint.clone(),
+            Some(engine) => engine.endpoint = endpoint.clone(),
             None => {
                 self.engines.insert(endpoint.announcement.id.clone(), EngineState::new(endpoint));
             }
         }
     }
 
-    /// Notes that an engine was heard again, with an announcement of this number.
+    /// Records a heartbeat of an engine with the sequence number of its announcement.
     pub fn record_heartbeat(&mut self, id: &str, sequence: u64) {
-        if let Some(seat) = self.engines.get_mut(id) {
-            seat.endpoint.announcement.sequence = sequence;
+        if let Some(engine) = self.engines.get_mut(id) {
+            engine.endpoint.announcement.sequence = sequence;
         }
     }
 
-    /// Forgets an engine.
+    /// Removes an engine.
     pub fn remove_engine(&mut self, id: &str) {
         self.engines.remove(id);
     }
 
-    /// Gives the engines.
+    /// Returns all engines.
     pub fn engines(&self) -> impl Iterator<Item = &EngineState> {
         self.engines.values()
     }
 
-    /// Gives an engine to be changed.
+    /// Returns an engine for modification.
     pub fn engine_mut(&mut self, id: &str) -> Option<&mut EngineState> {
         self.engines.get_mut(id)
     }
 
-    /// Counts the waiting samples of a model for which no engine is new enough, and gives the
-    /// version that they need.
+    /// Returns the number of waiting samples of a model for which no engine has a new enough
+    /// version.
     pub fn starved_samples(&self, model: &str) -> usize {
-        let newest = self.engines.values().filter(|seat| seat.loading.as_deref() != Some(model));
-        let newest = newest.filter_map(|seat| seat.endpoint.announcement.models.get(model)).max();
-        let works = self.steps.values().filter(|work| {
-            work.step.model == model
-                && newest.is_none_or(|version| *version < work.step.min_version)
+        let newest =
+            self.engines.values().filter(|engine| engine.loading.as_deref() != Some(model));
+        let newest =
+            newest.filter_map(|engine| engine.endpoint.announcement.models.get(model)).max();
+        let planned = self.steps.values().filter(|planned| {
+            planned.step.model == model
+                && newest.is_none_or(|version| *version < planned.step.min_version)
         });
-        works.map(|work| work.waiting).sum()
+        planned.map(|planned| planned.waiting).sum()
     }
 
-    /// Counts the samples of open steps by what they are doing.
+    /// Returns the number of samples of open steps by phase.
     pub fn phase_counts(&self) -> [(&'static str, usize); 4] {
-        let all = || self.steps.values().flat_map(|work| &work.progress);
+        let all = || self.steps.values().flat_map(|planned| &planned.progress);
         let count = |phase: Phase| all().filter(|progress| progress.phase == phase).count();
         [
             ("waiting", count(Phase::Waiting)),
@@ -219,46 +226,50 @@
         ]
     }
 
-    /// Gives the tokens that open steps of a model ask for: its share of the engines.
+    /// Returns the tokens of all samples in open steps of a model, which determines its share of
+    /// the engines.
     pub fn token_demand(&self, model: &str) -> u64 {
-        let works = self.steps.values().filter(|work| work.step.model == model);
-        works.flat_map(|work| &work.step.samples).map(|sample| sample.tokens).sum()
+        let planned = self.steps.values().filter(|planned| planned.step.model == model);
+        planned.flat_map(|planned| &planned.step.samples).map(|sample| sample.tokens).sum()
     }
 
-    /// Counts the samples of a model's open steps.
+    /// Returns the number of samples in open steps of a model.
     pub fn open_samples(&self, model: &str) -> usize {
-        let works = self.steps.values().filter(|work| work.step.model == model);
-        works.map(|work| work.step.samples.len()).sum()
+        let planned = self.steps.values().filter(|planned| planned.step.model == model);
+        planned.map(|planned| planned.step.samples.len()).sum()
     }
 
-    /// Tells whether samples of a model's open steps must each be made by one version.
+    /// Returns whether an open step of a model requires that each sample is generated by a single
+    /// version.
     pub fn needs_single_version(&self, model: &str) -> bool {
-        self.steps.values().any(|work| work.step.model == model && work.step.single_version)
+        self.steps
+            .values()
+            .any(|planned| planned.step.model == model && planned.step.single_version)
     }
 
-    /// Notes which VM hosts a run.
+    /// Records which VM hosts a run.
     pub fn set_host(&mut self, step: &str, index: u32, host: &str) {
-        if let Some(work) = self.steps.get_mut(step) {
-            let progress = &mut work.progress[index as usize];
+        if let Some(planned) = self.steps.get_mut(step) {
+            let progress = &mut planned.progress[index as usize];
             progress.host = Some(host.to_owned());
             progress.reported = true;
         }
     }
 
-    /// Gives the VM that hosts a sample's run, and the run.
+    /// Returns the VM that hosts a sample's run, and the run id.
     pub fn host(&self, step: &str, index: u32) -> Option<(String, u64)> {
         let progress = self.steps.get(step)?.progress.get(index as usize)?;
         Some((progress.host.clone()?, progress.run))
     }
 
-    /// Gives what was made of a sample.
+    /// Returns a sample's output so far.
     pub fn output(&self, step: &str, index: u32) -> Option<&SampleOutput> {
         Some(&self.steps.get(step)?.progress.get(index as usize)?.output)
     }
 
-    pub(super) fn release_slot(&mut self, seat: Option<&str>, model: &str) {
-        let Some(seat) = seat.and_then(|id| self.engines.get_mut(id)) else { return };
-        if let Some(running) = seat.running.get_mut(model) {
+    pub(super) fn release_slot(&mut self, engine: Option<&str>, model: &str) {
+        let Some(engine) = engine.and_then(|id| self.engines.get_mut(id)) else { return };
+        if let Some(running) = engine.running.get_mut(model) {
             *running = running.saturating_sub(1);
         }
     }
--- a/components/fleet/src/plan/reports.rs
+++ b/components/fleet/src/plan/reports.rs
@@ -1,4 +1,4 @@
-//! What hosts tell of runs, and what follows from it.
+//! Processes what hosts report about runs.
 
 use chicoryford_types::Millis;
 
@@ -13,81 +13,83 @@
 use crate::run::RunReport;
 use crate::step::Sample;
 
-/// Milliseconds for which an engine is left alone after a failure; doubled for each further one.
-const PENALTY_MS: u64 = 200;
-/// Doublings of the penalty at most, which makes it 3.2 s.
-const DOUBLINGS: u32 = 4;
-/// Milliseconds for which an engine that says it is full is left alone.
-const FULL_MS: u64 = 100;
-/// The weight of the newest measurement of an engine's pace. Hosts tell the mean of some events
-/// of each run four times a second, so the last second or so counts.
-const NEWEST: f64 = 0.15;
-
-/// Crashes after which a sample is run again only after a rest.
-const SUSPECTED: u32 = 3;
-/// Crashes after which it is not run again.
-const CONVICTED: u32 = 6;
-/// Milliseconds of the rest: an engine that crashed is back by then.
-const REST_MS: u64 = 4_000;
-
-/// Gives the milliseconds for which a sample rests that has crashed so many engines. It is not given up: only
-/// an engine's answer, or its age, allows that.
-fn rest_ms(crashes: u32) -> u64 {
+/// Milliseconds for which an engine gets no runs after a failure, doubled for each consecutive
+/// failure.
+const FAILURE_PENALTY_MS: u64 = 200;
+/// Maximum number of doublings of the penalty, which limits it to 3.2 s.
+const MAX_DOUBLINGS: u32 = 4;
+/// Milliseconds for which an engine that reported to be full gets no runs.
+const FULL_PENALTY_MS: u64 = 100;
+/// Weight of the newest measurement in the moving average of an engine's pace. Hosts report the
+/// mean over some events of each run four times a second, so the average covers about the last
+/// second.
+const NEWEST_WEIGHT: f64 = 0.15;
+
+/// Engine crashes after which a sample is run again only after a delay.
+const DELAYED_CRASHES: u32 = 3;
+/// Engine crashes after which a sample is not run again.
+const MAX_CRASHES: u32 = 6;
+/// The delay in milliseconds; a crashed engine has restarted by then.
+const CRASH_DELAY_MS: u64 = 4_000;
+
+/// Returns the milliseconds to wait before a sample runs again after it crashed that many engines.
+/// The sample is not given up: only an engine's response or its age permits that.
+fn crash_delay_ms(crashes: u32) -> u64 {
     match crashes {
-        0..SUSPECTED => 0,
-        SUSPECTED..CONVICTED => REST_MS,
+        0..DELAYED_CRASHES => 0,
+        DELAYED_CRASHES..MAX_CRASHES => CRASH_DELAY_MS,
         _ => u64::MAX,
     }
 }
 
 impl Planner {
-    /// Takes in what a host tells of a run, and tells what follows.
+    /// Records a report of a host about a run and returns how the host proceeds.
     pub fn record_report(&mut self, host: &str, report: &RunReport, now: Millis) -> ReportAction {
-        let Some(work) = self.steps.get_mut(&report.step) else { return ReportAction::Stop };
-        let Some(progress) = work.progress.get_mut(report.index as usize) else {
+        let Some(planned) = self.steps.get_mut(&report.step) else { return ReportAction::Stop };
+        let Some(progress) = planned.progress.get_mut(report.index as usize) else {
             return ReportAction::Stop;
         };
         progress.cost.merge(&report.cost);
         progress.deadline = progress.deadline.min(now + report.remaining_ms);
-        let live = matches!(progress.phase, Phase::Running | Phase::Scoring);
-        let same = progress.host.as_deref() == Some(host) && progress.run == report.run;
-        let claimed = progress.phase == Phase::Waiting && progress.claimable;
-        if claimed && report.from > 0 {
-            // It was sent before the host was asked to tell all of it. Stopped for this, the run
-            // would begin anew, and with it all that it has made.
+        let active = matches!(progress.phase, Phase::Running | Phase::Scoring);
+        let same_run = progress.host.as_deref() == Some(host) && progress.run == report.run;
+        let unclaimed = progress.phase == Phase::Waiting && progress.claimable;
+        if unclaimed && report.from > 0 {
+            // The report was sent before the host was asked for its complete output. Stopping the
+            // run now would make it start again and lose its output.
             return ReportAction::Defer;
         }
-        if claimed {
-            // The leader did not know of this run: it was begun under the leader before.
-            work.waiting -= 1;
+        if unclaimed {
+            // The run was started under the previous leader and is new to this one.
+            planned.waiting -= 1;
             progress.phase = Phase::Running;
             progress.engine = Some(report.endpoint.clone());
             progress.host = Some(host.to_owned());
             progress.run = report.run;
             progress.cost.crashes = report.cost.crashes;
             progress.started = now;
-            if let Some(seat) = self.engines.get_mut(&report.endpoint) {
-                *seat.running.entry(work.step.model.clone()).or_default() += 1;
+            if let Some(engine) = self.engines.get_mut(&report.endpoint) {
+                *engine.running.entry(planned.step.model.clone()).or_default() += 1;
             }
-        } else if !live || !same {
+        } else if !active || !same_run {
             return ReportAction::Stop;
         }
         progress.reported = true;
-        let before = progress.output.events.len();
+        let known_events = progress.output.events.len();
         if !report.append_to(&mut progress.output) {
             return ReportAction::Stop;
         }
         progress.checkpointed = progress.checkpointed.min(progress.output.events.len());
-        if progress.output.events.len() > before {
+        if progress.output.events.len() > known_events {
             progress.last_event = now;
             progress.cost.crashes = 0;
         }
         if report.status == run::RunStatus::Scoring && progress.phase == Phase::Running {
             progress.phase = Phase::Scoring;
-            let seat = progress.engine.take();
-            let model = work.step.model.clone();
+            let engine = progress.engine.take();
+            let model = planned.step.model.clone();
             let events = progress.output.events.len();
-            self.release_slot(seat.as_deref(), &model);
+            self.release_slot(engine.as_deref(), &model);
             self.record_length(&model, events);
         }
         if report.gap_ms > 0 {
@@ -96,68 +98,69 @@
         ReportAction::Continue
     }
 
-    pub(super) fn record_pace(&mut self, seat: &str, gap: f64, now: Millis) {
-        let Some(seat) = self.engines.get_mut(seat) else { return };
-        let pace = seat.pace_ms;
-        seat.pace_ms = if pace > 0.0 { pace + NEWEST * (gap - pace) } else { gap };
-        seat.paced_at = now;
-        seat.failures = 0;
+    pub(super) fn record_pace(&mut self, engine: &str, gap: f64, now: Millis) {
+        let Some(engine) = self.engines.get_mut(engine) else { return };
+        let pace = engine.pace_ms;
+        engine.pace_ms = if pace > 0.0 { pace + NEWEST_WEIGHT * (gap - pace) } else { gap };
+        engine.paced_at = now;
+        engine.failures = 0;
         if self.median_pace_ms == 0.0 {
             self.median_pace_ms = gap;
         }
     }
 
-    /// Takes the runs of a host away: it is lost. They go on elsewhere after the last event told.
+    /// Returns all runs of a lost host to the queue and returns their number. They resume elsewhere
+    /// after the last reported event.
     pub fn orphan_runs(&mut self, host: &str) -> usize {
         self.orphan_runs_if(host, |_| true)
     }
 
-    /// Notes that a host has connected anew and is about to tell of its runs.
+    /// Records that a host has reconnected and is about to report its runs.
     pub fn mark_unreported(&mut self, host: &str) {
-        let all = self.steps.values_mut().flat_map(|work| &mut work.progress);
+        let all = self.steps.values_mut().flat_map(|planned| &mut planned.progress);
         all.filter(|progress| progress.host.as_deref() == Some(host))
             .for_each(|p| p.reported = false);
     }
 
-    /// Takes the runs of a host away of which it did not tell since it connected: its process is
-    /// another one than that which had them.
+    /// Returns those runs of a host to the queue that it has not reported since it connected, and
+    /// returns their number. The host's process has restarted without them.
     pub fn orphan_unreported_runs(&mut self, host: &str) -> usize {
         self.orphan_runs_if(host, |progress| !progress.reported)
     }
 
-    fn orphan_runs_if(&mut self, host: &str, lost: impl Fn(&Progress) -> bool) -> usize {
+    fn orphan_runs_if(&mut self, host: &str, is_lost: impl Fn(&Progress) -> bool) -> usize {
         let mut orphaned = Vec::new();
-        for work in self.steps.values_mut() {
-            for progress in &mut work.progress {
-                let live = matches!(progress.phase, Phase::Running | Phase::Scoring);
-                if !live || progress.host.as_deref() != Some(host) || !lost(progress) {
+        for planned in self.steps.values_mut() {
+            for progress in &mut planned.progress {
+                let active = matches!(progress.phase, Phase::Running | Phase::Scoring);
+                if !active || progress.host.as_deref() != Some(host) || !is_lost(progress) {
                     continue;
                 }
-                let ran = progress.phase == Phase::Running;
-                orphaned.push((ran, progress.engine.take(), work.step.model.clone()));
+                let was_running = progress.phase == Phase::Running;
+                orphaned.push((was_running, progress.engine.take(), planned.step.model.clone()));
                 progress.phase = Phase::Waiting;
                 progress.host = None;
                 progress.claimable = true;
-                work.waiting += 1;
+                planned.waiting += 1;
             }
         }
-        for (_, seat, model) in orphaned.iter().filter(|(ran, _, _)| *ran) {
-            self.release_slot(seat.as_deref(), model);
+        for (_, engine, model) in orphaned.iter().filter(|(was_running, _, _)| *was_running) {
+            self.release_slot(engine.as_deref(), model);
         }
         orphaned.len()
     }
 
-    /// Takes in how a run ended. A sample that is to be given up stands as it did until its verdict is
-    /// noted ([`Self::settled`]).
+    /// Records how a run ended. A sample that is to be given up keeps its state until its result is
+    /// recorded ([`Self::settle`]).
     pub fn record_run_end(&mut self, step: &str, index: u32, end: RunEnd, now: Millis) -> AfterRun {
-        let Some(work) = self.steps.get_mut(step) else { return AfterRun::Nothing };
-        let attempts = work.step.attempts;
-        let model = work.step.model.clone();
-        let progress = &mut work.progress[index as usize];
+        let Some(planned) = self.steps.get_mut(step) else { return AfterRun::Nothing };
+        let attempts = planned.step.attempts;
+        let model = planned.step.model.clone();
+        let progress = &mut planned.progress[index as usize];
         if progress.phase != Phase::Running {
             return AfterRun::Nothing;
         }
-        let seat = progress.engine.clone();
+        let engine = progress.engine.clone();
         progress.host = None;
         progress.avoided_engine = None;
         match end {
@@ -165,11 +168,11 @@
             RunEnd::Failed => progress.cost.failures += 1,
             RunEnd::Taken => {
                 progress.moves += 1;
-                progress.avoided_engine.clone_from(&seat);
+                progress.avoided_engine.clone_from(&engine);
             }
             RunEnd::Crashed => {
                 progress.cost.crashes += 1;
-                progress.blocked_until = now + rest_ms(progress.cost.crashes);
+                progress.blocked_until = now + crash_delay_ms(progress.cost.crashes);
             }
             RunEnd::Full | RunEnd::Moved | RunEnd::Broken | RunEnd::Late => {}
         }
@@ -178,73 +181,76 @@
         if next == AfterRun::Again {
             progress.phase = Phase::Waiting;
             progress.engine = None;
-            work.waiting += 1;
-            self.release_slot(seat.as_deref(), &model);
+            planned.waiting += 1;
+            self.release_slot(engine.as_deref(), &model);
         }
-        self.penalize(seat.as_deref(), end, now);
+        self.penalize(engine.as_deref(), end, now);
         next
     }
 
-    pub(super) fn penalize(&mut self, seat: Option<&str>, end: RunEnd, now: Millis) {
-        let Some(seat) = seat.and_then(|id| self.engines.get_mut(id)) else { return };
+    pub(super) fn penalize(&mut self, engine: Option<&str>, end: RunEnd, now: Millis) {
+        let Some(engine) = engine.and_then(|id| self.engines.get_mut(id)) else { return };
         match end {
-            RunEnd::Full => seat.blocked_until = now + FULL_MS,
-            RunEnd::Moved => seat.moved_sequence = Some(seat.endpoint.announcement.sequence),
-            // An engine that fails at once is always the idlest. Given work again at once, it has samples
-            // of whole steps fail as often as they may; a sample that fails by itself costs a good engine
-            // 0.2 s, in which others take what comes.
+            RunEnd::Full => engine.blocked_until = now + FULL_PENALTY_MS,
+            RunEnd::Moved => engine.moved_sequence = Some(engine.endpoint.announcement.sequence),
+            // An engine that fails immediately always has the lowest load. Without a delay, it
+            // would get the samples of whole steps until they reach their failure limit. If a
+            // sample itself is at fault, a healthy engine is idle for 0.2 s, during which other
+            // engines take its work.
             RunEnd::Broken | RunEnd::Crashed | RunEnd::Failed => {
-                seat.failures += 1;
-                let doublings = (seat.failures - 1).min(DOUBLINGS);
-                seat.blocked_until = now + (PENALTY_MS << doublings);
+                engine.failures += 1;
+                let doublings = (engine.failures - 1).min(MAX_DOUBLINGS);
+                engine.blocked_until = now + (FAILURE_PENALTY_MS << doublings);
             }
             RunEnd::Unfit | RunEnd::Taken | RunEnd::Late => {}
         }
     }
 
-    /// Notes that a sample's verdict is on its way into the log. Gives the sample's identity; none
-    /// if its step is over, or it had a verdict before.
+    /// Records that a sample's result is about to be written to the log. Returns the sample's id,
+    /// or `None` if the step is closed or the sample had a result already.
     pub fn settle(&mut self, step: &str, index: u32) -> Option<String> {
-        let work = self.steps.get_mut(step)?;
-        let progress = &mut work.progress[index as usize];
+        let planned = self.steps.get_mut(step)?;
+        let progress = &mut planned.progress[index as usize];
         let before = std::mem::replace(&mut progress.phase, Phase::Settled);
-        let (seat, model) = (progress.engine.take(), work.step.model.clone());
-        let sample = work.step.samples[index as usize].id.clone();
-        work.waiting -= usize::from(before == Phase::Waiting);
+        let (engine, model) = (progress.engine.take(), planned.step.model.clone());
+        let sample = planned.step.samples[index as usize].id.clone();
+        planned.waiting -= usize::from(before == Phase::Waiting);
         if before == Phase::Running {
-            self.release_slot(seat.as_deref(), &model);
+            self.release_slot(engine.as_deref(), &model);
         }
         (before != Phase::Settled).then_some(sample)
     }
 
-    /// Gives the waiting samples that have failed as often as they may, in a step before this one.
+    /// Returns waiting samples that reached their failure limit in a previous step.
     pub fn exhausted_samples(&self) -> Vec<(String, u32)> {
-        let mut failed = Vec::new();
-        for (id, work) in self.steps.iter().filter(|(_, work)| work.waiting > 0) {
-            for (index, progress) in work.progress.iter().enumerate() {
-                let over = progress.cost.is_exhausted(work.step.attempts);
-                if progress.phase == Phase::Waiting && over {
-                    failed.push((id.clone(), index as u32));
+        let mut exhausted = Vec::new();
+        for (id, planned) in self.steps.iter().filter(|(_, planned)| planned.waiting > 0) {
+            for (index, progress) in planned.progress.iter().enumerate() {
+                let is_exhausted = progress.cost.is_exhausted(planned.step.attempts);
+                if progress.phase == Phase::Waiting && is_exhausted {
+                    exhausted.push((id.clone(), index as u32));
                 }
             }
         }
-        failed
+        exhausted
     }
 
-    /// Gives the samples that have become too old, or whose route is gone.
+    /// Returns samples that are too old or whose route no longer exists.
     pub fn expired_samples(&self, config: &Config, now: Millis) -> Vec<(String, u32)> {
-        let mut lost = Vec::new();
-        for (id, work) in &self.steps {
-            let old = now.since(work.submitted_at) >= work.step.age_ms;
-            let gone = |sample: &Sample| config.find(&work.step.host, &sample.path).is_none();
-            for (index, progress) in work.progress.iter().enumerate() {
-                let waits = progress.phase == Phase::Waiting;
-                let over = old || (waits && gone(&work.step.samples[index]));
-                if progress.phase != Phase::Settled && over {
-                    lost.push((id.clone(), index as u32));
+        let mut expired = Vec::new();
+        for (id, planned) in &self.steps {
+            let too_old = now.since(planned.submitted_at) >= planned.step.age_ms;
+            let route_is_gone =
+                |sample: &Sample| config.find(&planned.step.host, &sample.path).is_none();
+            for (index, progress) in planned.progress.iter().enumerate() {
+                let is_waiting = progress.phase == Phase::Waiting;
+                let is_expired =
+                    too_old || (is_waiting && route_is_gone(&planned.step.samples[index]));
+                if progress.phase != Phase::Settled && is_expired {
+                    expired.push((id.clone(), index as u32));
                 }
             }
         }
-        lost
+        expired
     }
 }
--- a/components/fleet/src/plan/samples.rs
+++ b/components/fleet/src/plan/samples.rs
@@ -1,4 +1,4 @@
-//! Samples of open steps: what was made of them, and what they are doing.
+//! Samples of open steps: their output and their state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,95 +10,97 @@
 use crate::run::Cost;
 use crate::step::Step;
 
-/// What was made of a sample so far.
+/// The output of a sample so far.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct SampleOutput {
     /// The data of the events, in order.
     pub events: Vec<String>,
-    /// The number of the last event.
+    /// The id of the last event.
     pub last_id: Option<String>,
-    /// The versions that made them, oldest first.
+    /// The versions that generated the events, oldest first.
     pub versions: Vec<u64>,
 }
 
-/// What was made of a sample from an event on, as it is noted on the stores.
+/// The output of a sample from an event on, as stored in a checkpoint.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Checkpoint {
-    /// The place of the sample in its step.
+    /// The index of the sample in its step.
     pub index: u32,
-    /// The place of the first event.
+    /// The index of the first event.
     pub from: u32,
-    /// The events from there on, the number of the last, and all versions so far.
+    /// The events from there on, the id of the last one, and all versions so far.
     pub output: SampleOutput,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum RunEnd {
-    /// The engine answered that it failed.
+    /// The engine responded that the run failed.
     Failed,
-    /// The engine answered that the sample can never be made.
+    /// The engine responded that the sample can never be generated.
     Unfit,
-    /// The engine is full; it did not run the sample.
+    /// The engine is full and did not start the run.
     Full,
-    /// Another endpoint has the address, or the engine has another version; it did not run.
+    /// The address belongs to another endpoint or the engine has another version; the run was not
+    /// started.
     Moved,
-    /// The connection broke or went silent.
+    /// The connection broke or timed out.
     Broken,
-    /// The engine crashed before it had made an event of the sample.
+    /// The engine crashed before it generated an event of the sample.
     Crashed,
-    /// The planner took the run away from a slow engine.
+    /// The planner moved the run away from a slow engine.
     Taken,
-    /// The order reached the host too late; it did not run.
+    /// The order reached the host too late; the run was not started.
     Late,
 }
 
-/// What becomes of a sample after its run.
+/// What follows for a sample when its run has ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AfterRun {
     /// It waits for another run.
     Again,
     /// It is given up.
     GiveUp,
-    /// Nothing: its step is over.
+    /// Nothing, because its step is over.
     Nothing,
 }
 
-/// What follows from a host's report.
+/// How a host proceeds with a run that it reported.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReportAction {
-    /// The host goes on with the run.
+    /// The host continues the run.
     Continue,
-    /// The host is to stop it: it was begun elsewhere, or it is over.
+    /// The host stops the run: it was started elsewhere, or the sample is finished.
     Stop,
-    /// Nothing yet: the run is of the leader before, and the host is about to tell all of it.
+    /// Undecided: the run was started under the previous leader and the host has not yet sent its
+    /// complete output.
     Defer,
 }
 
-/// A sample that is to run now.
+/// A sample that starts now on an engine.
 #[derive(Clone, Debug)]
 pub struct Assignment {
-    /// The number of the run.
+    /// The id of the run.
     pub run: u64,
-    /// Its step.
+    /// The step of the sample.
     pub step: Arc<Step>,
-    /// Its place there.
+    /// The index of the sample in its step.
     pub index: u32,
-    /// The incarnation of the engine.
+    /// The id of the engine, which identifies its incarnation.
     pub endpoint: String,
     /// The engine's address.
     pub address: SocketAddr,
-    /// The version of the model there.
+    /// The version of the model on the engine.
     pub version: u64,
-    /// What was made of it so far.
+    /// The output so far.
     pub output: SampleOutput,
-    /// What it has cost so far.
+    /// The cost so far.
     pub cost: Cost,
-    /// Milliseconds until it is too old.
+    /// Milliseconds until the sample is too old.
     pub remaining_ms: u64,
-    /// Runs that the engine had already.
+    /// Runs that the engine already had.
     pub other_runs: u32,
-    /// When it was assigned.
+    /// When the run was assigned.
     pub started: Millis,
 }
 
@@ -110,42 +112,46 @@
     Settled,
 }
 
+/// The state of a sample in an open step.
 pub(super) struct Progress {
     pub(super) phase: Phase,
     pub(super) engine: Option<String>,
-    /// The run, and the VM that hosts it.
+    /// The id of the current run.
     pub(super) run: u64,
+    /// The VM that hosts the run.
     pub(super) host: Option<String>,
-    /// An engine that was too slow for it.
+    /// An engine that was too slow for the sample.
     pub(super) avoided_engine: Option<String>,
-    /// Whether a host that is not known yet may be running it, as one does that was cut off, or
-    /// that was told to by the leader before.
+    /// Whether an unknown host may be running the sample: one that was disconnected, or one that
+    /// got the run from the previous leader.
     pub(super) claimable: bool,
-    /// Whether its host has told of it since it connected.
+    /// Whether the host has reported the run since it last connected.
     pub(super) reported: bool,
     pub(super) started: Millis,
     pub(super) last_event: Millis,
     pub(super) output: SampleOutput,
-    /// Events that are noted on the stores.
+    /// The number of events in checkpoints on the stores.
     pub(super) checkpointed: usize,
     pub(super) cost: Cost,
-    /// When it is too old, as endpoints were told.
+    /// When the sample is too old, as communicated to endpoints.
     pub(super) deadline: Millis,
-    /// Until when it is run nowhere, because it crashes engines.
+    /// The sample is not run before this time, because it crashes engines.
     pub(super) blocked_until: Millis,
     pub(super) moves: u32,
 }
 
-pub(super) struct Work {
+/// The schedule of an open step.
+pub(super) struct StepPlan {
     pub(super) step: Arc<Step>,
-    /// The samples' places, the longest expected first: a step is over when its last sample is,
-    /// and the longest take most of the time that there is.
+    /// The sample indices, longest expected sample first: a step ends with its last sample, and the
+    /// longest samples take most of the available time.
     pub(super) order: Vec<u32>,
     pub(super) submitted_at: Millis,
-    /// Until then its samples wait for hosts that may be running them.
+    /// Until this time samples wait for reports of hosts that may be running them.
     pub(super) held_until: Millis,
-    /// Whether all hosts were asked what they run of it.
+    /// Whether all hosts were asked for their runs of the step.
     pub(super) hosts_asked: bool,
     pub(super) progress: Vec<Progress>,
+    /// The number of waiting samples.
     pub(super) waiting: usize,
 }
--- a/components/fleet/src/plan/takeover.rs
+++ b/components/fleet/src/plan/takeover.rs
@@ -1,9 +1,9 @@
-//! Steps of the leader before: they wait until all hosts have told what they run.
+//! Holds back steps taken over from the previous leader until all hosts have reported their runs.
 //!
-//! A host goes on with its runs when the leader is lost. Would the next leader begin those samples
-//! anew, two engines would make each of them. So their steps are held; not for a fixed time, but
-//! until every host has told, which takes about a tenth of a second. After the loss of all
-//! processes that brings the first runs 0.4 s nearer.
+//! Hosts continue their runs when the leader is lost. If the next leader started the same samples
+//! again, two engines would generate each of them. Their steps are therefore held until every host
+//! has reported, which takes about a tenth of a second, and not for a fixed time. After the loss of
+//! all processes this starts the first runs 0.4 s earlier.
 
 use std::collections::BTreeSet;
 
@@ -12,23 +12,23 @@
 use super::Planner;
 
 impl Planner {
-    /// Notes which hosts have been asked what they run. Steps that are held now are held no longer
-    /// than until all of them have told.
+    /// Records which hosts were asked for their runs. Steps that are held now are released once all
+    /// of these hosts have reported.
     pub fn await_hosts(&mut self, hosts: BTreeSet<String>, now: Millis) {
-        for work in self.steps.values_mut().filter(|work| work.held_until > now) {
-            work.hosts_asked = true;
+        for planned in self.steps.values_mut().filter(|planned| planned.held_until > now) {
+            planned.hosts_asked = true;
         }
         self.unreported_hosts = hosts;
     }
 
-    /// Notes that a host has told of all its runs. One that was not asked yet tells when it
-    /// connects, which is as good.
+    /// Records that a host has reported all its runs. A host that was not asked reports when it
+    /// connects, which has the same effect.
     pub fn record_host_reported(&mut self, host: &str) {
         if !self.unreported_hosts.remove(host) || !self.unreported_hosts.is_empty() {
             return;
         }
-        for work in self.steps.values_mut().filter(|work| work.hosts_asked) {
-            work.held_until = Millis::default();
+        for planned in self.steps.values_mut().filter(|planned| planned.hosts_asked) {
+            planned.held_until = Millis::default();
         }
     }
 }
--- a/components/fleet/tests/endpoint.rs
+++ b/components/fleet/tests/endpoint.rs
@@ -12,10 +12,10 @@
 use chicoryford_fleet::endpoint::Effect;
 use chicoryford_types::Millis;
 
-use support::said;
+use support::announcement;
 
 fn draining(id: &str, sequence: u64) -> Announcement {
-    Announcement { draining: true, ..said(id, sequence) }
+    Announcement { draining: true, ..announcement(id, sequence) }
 }
 
 fn standing(registry: &Registry, id: &str) -> Option<EndpointStatus> {
@@ -25,9 +25,10 @@
 #[test]
 fn an_announcement_is_spread_once() {
     let mut registry = Registry::default();
-    assert_eq!(registry.announce(said("i", 1), Millis(0)), Effect::Changed);
-    assert_eq!(registry.announce(said("i", 2), Millis(1)), Effect::Refreshed);
-    let newer = Announcement { models: BTreeMap::from([("m".to_owned(), 2)]), ..said("i", 3) };
+    assert_eq!(registry.announce(announcement("i", 1), Millis(0)), Effect::Changed);
+    assert_eq!(registry.announce(announcement("i", 2), Millis(1)), Effect::Refreshed);
+    let newer =
+        Announcement { models: BTreeMap::from([("m".to_owned(), 2)]), ..announcement("i", 3) };
     assert_eq!(registry.announce(newer, Millis(2)), Effect::Changed);
 }
 
@@ -37,13 +38,13 @@
 #[test]
 fn a_late_word_does_not_undo_a_newer_one() {
     let mut registry = Registry::default();
-    registry.announce(said("i", 1), Millis(0));
+    registry.announce(announcement("i", 1), Millis(0));
     assert_eq!(registry.announce(draining("i", 3), Millis(1)), Effect::Changed);
-    assert_eq!(registry.announce(said("i", 2), Millis(2)), Effect::Stale);
-    assert_eq!(registry.announce(said("i", 3), Millis(2)), Effect::Stale);
+    assert_eq!(registry.announce(announcement("i", 2), Millis(2)), Effect::Stale);
+    assert_eq!(registry.announce(announcement("i", 3), Millis(2)), Effect::Stale);
     assert_eq!(standing(&registry, "i"), Some(EndpointStatus::Draining));
     assert_eq!(registry.leave("i", Millis(3)), Effect::Changed);
-    assert_eq!(registry.announce(said("i", 9), Millis(4)), Effect::Stale);
+    assert_eq!(registry.announce(announcement("i", 9), Millis(4)), Effect::Stale);
     assert_eq!(standing(&registry, "i"), Some(EndpointStatus::Gone));
 }
 
@@ -53,10 +54,10 @@
 #[test]
 fn an_address_may_belong_to_another_endpoint() {
     let mut registry = Registry::default();
-    registry.announce(said("old", 7), Millis(0));
-    let other = Announcement { service: "b".to_owned(), ..said("new", 1) };
+    registry.announce(announcement("old", 7), Millis(0));
+    let other = Announcement { service: "b".to_owned(), ..announcement("new", 1) };
     registry.announce(other, Millis(1));
-    registry.announce(said("old", 8), Millis(2));
+    registry.announce(announcement("old", 8), Millis(2));
     assert_eq!(registry.get("new").unwrap().announcement.service, "b");
     assert_eq!(registry.get("old").unwrap().announcement.service, "a");
 }
@@ -64,11 +65,11 @@
 #[test]
 fn a_silent_endpoint_gets_no_work_until_it_is_heard_again() {
     let mut registry = Registry::default();
-    registry.announce(said("i", 1), Millis(0));
+    registry.announce(announcement("i", 1), Millis(0));
     assert!(registry.tick(Millis(5_000)).0.is_empty());
     let (changed, _) = registry.tick(Millis(6_000));
     assert_eq!(changed[0].status, EndpointStatus::Silent);
-    assert_eq!(registry.announce(said("i", 2), Millis(7_000)), Effect::Changed);
+    assert_eq!(registry.announce(announcement("i", 2), Millis(7_000)), Effect::Changed);
     assert_eq!(standing(&registry, "i"), Some(EndpointStatus::Ready));
     let (_, forgotten) = registry.tick(Millis(70_000));
     assert_eq!(forgotten, ["i"]);
@@ -77,18 +78,18 @@
 #[test]
 fn a_new_leader_counts_what_it_adopts_as_heard_now() {
     let mut registry = Registry::default();
-    registry.announce(said("i", 5), Millis(0));
+    registry.announce(announcement("i", 5), Millis(0));
     let known: Vec<_> = registry.all().cloned().collect();
     let settings = chicoryford_fleet::endpoint::Settings::default();
     let mut adopted = Registry::from_known(settings, known.into_iter(), Millis(100_000));
     assert!(adopted.tick(Millis(103_000)).0.is_empty());
-    assert_eq!(adopted.announce(said("i", 5), Millis(103_000)), Effect::Stale);
+    assert_eq!(adopted.announce(announcement("i", 5), Millis(103_000)), Effect::Stale);
     assert_eq!(adopted.set_version("i", "m", 4), Effect::Changed);
     assert_eq!(adopted.set_version("i", "m", 4), Effect::Refreshed);
 }
 
 fn reborn(id: &str, born: u64, sequence: u64) -> Announcement {
-    Announcement { started_ms: born, ..said(id, sequence) }
+    Announcement { started_ms: born, ..announcement(id, sequence) }
 }
 
 /// Symptom: an endpoint that is well gets no work for minutes.
@@ -130,15 +131,15 @@
     let service = |name: &str| Service { name: name.to_owned(), ..Service::default() };
     let config = Config { services: vec![service("a")], ..Config::default() };
     let mut registry = Registry::default();
-    registry.announce(said("i", 1), Millis(0));
-    let foreign = Announcement { service: "x".to_owned(), ..said("i", 2) };
+    registry.announce(announcement("i", 1), Millis(0));
+    let foreign = Announcement { service: "x".to_owned(), ..announcement("i", 2) };
 
     assert!(registry.is_foreign(&foreign, Some(&config)));
     assert!(!registry.is_foreign(&foreign, None), "nothing is configured yet");
-    assert!(!registry.is_foreign(&said("j", 1), Some(&config)));
+    assert!(!registry.is_foreign(&announcement("j", 1), Some(&config)));
     let without = Config::default();
     assert!(!registry.is_foreign(&draining("i", 2), Some(&without)), "its service was taken away");
-    assert!(registry.is_foreign(&said("j", 1), Some(&without)));
+    assert!(registry.is_foreign(&announcement("j", 1), Some(&without)));
 }
 
 /// The load: one of 3,000 endpoints leaves, and its word is acknowledged when the log has forgotten it.
@@ -147,15 +148,16 @@
 fn only_what_changed_of_the_endpoints_is_noted() {
     let mut registry = Registry::default();
     for number in 0..3_000 {
-        registry.announce(said(&format!("i{number}"), 1), Millis(0));
+        registry.announce(announcement(&format!("i{number}"), 1), Millis(0));
     }
     let (live, gone) = registry.diff(&BTreeMap::new());
     assert_eq!((live.len(), gone.len()), (3_000, 0));
     let noted: BTreeMap<_, _> =
         live.into_iter().map(|endpoint| (endpoint.announcement.id.clone(), endpoint)).collect();
-    registry.announce(said("i7", 2), Millis(1));
+    registry.announce(announcement("i7", 2), Millis(1));
     assert_eq!(registry.diff(&noted), (Vec::new(), Vec::new()), "a number is no change");
-    let newer = Announcement { models: BTreeMap::from([("m".to_owned(), 2)]), ..said("i7", 3) };
+    let newer =
+        Announcement { models: BTreeMap::from([("m".to_owned(), 2)]), ..announcement("i7", 3) };
     registry.announce(newer, Millis(2));
     registry.announce(draining("i8", 2), Millis(2));
     let (live, gone) = registry.diff(&noted);
@@ -171,8 +173,12 @@
 fn an_endpoint_that_left_before_it_was_known_is_not_believed_to_be_there() {
     let mut registry = Registry::default();
     assert_eq!(registry.leave("i", Millis(0)), Effect::Stale);
-    assert_eq!(registry.announce(said("i", 4), Millis(3_000)), Effect::Stale);
+    assert_eq!(registry.announce(announcement("i", 4), Millis(3_000)), Effect::Stale);
     assert_eq!(standing(&registry, "i"), None);
     registry.tick(Millis(20_000));
-    assert_eq!(registry.announce(said("i", 1), Millis(20_000)), Effect::Changed, "a new start");
+    assert_eq!(
+        registry.announce(announcement("i", 1), Millis(20_000)),
+        Effect::Changed,
+        "a new start"
+    );
 }
--- a/components/fleet/tests/heartbeats.rs
+++ b/components/fleet/tests/heartbeats.rs
@@ -14,12 +14,12 @@
 use chicoryford_types::Millis;
 
 /// An endpoint that says when it started.
-fn said(id: &str, sequence: u64) -> Announcement {
-    Announcement { started_ms: 7, ..support::said(id, sequence) }
+fn announcement(id: &str, sequence: u64) -> Announcement {
+    Announcement { started_ms: 7, ..support::announcement(id, sequence) }
 }
 
 fn known(standing: EndpointStatus) -> Endpoint {
-    Endpoint { announcement: said("i", 3), status: standing }
+    Endpoint { announcement: announcement("i", 3), status: standing }
 }
 
 /// The signs of one control process after a second of 3,000 endpoints that each say what is known:
@@ -29,9 +29,9 @@
     let mut hearing = HeartbeatBuffer::default();
     for number in 0..3_000 {
         let id = format!("i-{number}");
-        let known = Endpoint { announcement: said(&id, 3), status: EndpointStatus::Ready };
-        assert!(hearing.record(Some(&known), &said(&id, 4), Millis(10)));
-        assert!(hearing.record(Some(&known), &said(&id, 5), Millis(900)));
+        let known = Endpoint { announcement: announcement(&id, 3), status: EndpointStatus::Ready };
+        assert!(hearing.record(Some(&known), &announcement(&id, 4), Millis(10)));
+        assert!(hearing.record(Some(&known), &announcement(&id, 5), Millis(900)));
     }
     let signs = hearing.pending(Millis(1_000));
     assert_eq!(signs.len(), 3_000);
@@ -45,15 +45,18 @@
     let mut hearing = HeartbeatBuffer::default();
     let ready = known(EndpointStatus::Ready);
     let other_version =
-        Announcement { models: BTreeMap::from([("m".to_owned(), 2)]), ..said("i", 4) };
-    let started_again = Announcement { started_ms: 8, ..said("i", 1) };
-    let draining = Announcement { draining: true, ..said("i", 4) };
+        Announcement { models: BTreeMap::from([("m".to_owned(), 2)]), ..announcement("i", 4) };
+    let started_again = Announcement { started_ms: 8, ..announcement("i", 1) };
+    let draining = Announcement { draining: true, ..announcement("i", 4) };
     for changed in [other_version, started_again, draining] {
         assert!(!hearing.record(Some(&ready), &changed, Millis(0)), "{changed:?}");
     }
-    assert!(!hearing.record(None, &said("i", 4), Millis(0)));
+    assert!(!hearing.record(None, &announcement("i", 4), Millis(0)));
     for standing in [EndpointStatus::Draining, EndpointStatus::Gone, EndpointStatus::Silent] {
-        assert!(!hearing.record(Some(&known(standing)), &said("i", 4), Millis(0)), "{standing:?}");
+        assert!(
+            !hearing.record(Some(&known(standing)), &announcement("i", 4), Millis(0)),
+            "{standing:?}"
+        );
     }
     assert!(hearing.pending(Millis(0)).is_empty());
 }
@@ -64,15 +67,15 @@
 #[test]
 fn an_announcement_that_was_overtaken_is_no_fresh_sign() {
     let mut hearing = HeartbeatBuffer::default();
-    hearing.record(Some(&known(EndpointStatus::Ready)), &said("i", 6), Millis(100));
-    hearing.record(Some(&known(EndpointStatus::Ready)), &said("i", 5), Millis(4_000));
+    hearing.record(Some(&known(EndpointStatus::Ready)), &announcement("i", 6), Millis(100));
+    hearing.record(Some(&known(EndpointStatus::Ready)), &announcement("i", 5), Millis(4_000));
     let sign = Heartbeat { id: "i".to_owned(), started_ms: 7, sequence: 6, age_ms: 4_900 };
     assert_eq!(hearing.pending(Millis(5_000)), [sign]);
 }
 
 fn registry(now: Millis) -> Registry {
     let mut registry = Registry::default();
-    registry.announce(said("i", 3), now);
+    registry.announce(announcement("i", 3), now);
     registry
 }
 
@@ -109,13 +112,13 @@
 fn a_sign_does_not_bring_back_an_endpoint_that_leaves_or_started_again() {
     let mut registry = registry(Millis(0));
     assert!(!registry.record_heartbeat(&sign(3, 0), Millis(1)), "it was known");
-    registry.announce(Announcement { draining: true, ..said("i", 4) }, Millis(2));
+    registry.announce(Announcement { draining: true, ..announcement("i", 4) }, Millis(2));
     assert!(!registry.record_heartbeat(&sign(5, 0), Millis(3)));
     assert_eq!(registry.get("i").unwrap().status, EndpointStatus::Draining);
     registry.leave("i", Millis(4));
     assert!(!registry.record_heartbeat(&sign(6, 0), Millis(5)));
     assert_eq!(registry.get("i").unwrap().status, EndpointStatus::Gone);
-    registry.announce(Announcement { started_ms: 9, ..said("i", 1) }, Millis(6));
+    registry.announce(Announcement { started_ms: 9, ..announcement("i", 1) }, Millis(6));
     assert!(!registry.record_heartbeat(&sign(7, 0), Millis(7)), "it is of the start before");
     assert_eq!(registry.get("i").unwrap().announcement.sequence, 1);
 }
--- a/components/fleet/tests/support/mod.rs
+++ b/components/fleet/tests/support/mod.rs
@@ -1,7 +1,6 @@
-//! What several tests of a fleet start from: endpoints as they announce themselves, and the route of
-//! steps.
+//! Shared test data: announcements of endpoints and a configuration with a route for steps.
 
-// Each test file is a program of its own and takes only what it needs.
+// Each test file is compiled as a separate program and uses only some of these functions.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -12,13 +11,13 @@
 use chicoryford_fleet::RouteKind;
 use chicoryford_fleet::Share;
 
-/// An endpoint of the service "a" with the first version of the model "m".
-pub fn said(id: &str, sequence: u64) -> Announcement {
+/// Returns an announcement of an endpoint of the service "a" that has version 1 of the model "m".
+pub fn announcement(id: &str, sequence: u64) -> Announcement {
     Announcement {
         id: id.to_owned(),
         started_ms: 0,
         service: "a".to_owned(),
-        address: "10.0.0.1:80".parse().expect("it is an address"),
+        address: "10.0.0.1:80".parse().expect("the address is valid"),
         data_centre: "z".to_owned(),
         slots: 4,
         draining: false,
@@ -27,7 +26,7 @@
     }
 }
 
-/// One route, on which steps go to the service "engines".
+/// Returns a configuration with a single route, which sends steps to the service "engines".
 pub fn steps_config() -> Config {
     let route = Route {
         name: "steps".to_owned(),
