--- a/components/fleet/src/duty.rs
+++ b/components/fleet/src/duty.rs
@@ -1,67 +1,74 @@
-//! Who may call the platform on the fleet's behalf.
+//! The duty: a lease on calling the platform on behalf of the fleet.
 //!
-//! Such calls are the duty of one VM at a time, with a token that rises with each change of holder.
-//! The leader takes the duty by a command in the log, and its epoch is the token, so no two VMs can
-//! ever have the same. A leader that was replaced may not know it yet: it may be frozen or cut off,
-//! and a platform that checks no tokens would carry out what it says. So it holds the duty for a
-//! limited time by its own steady clock, and the next leader takes it only when that time and a
-//! margin are over by the fleet's clock, which never runs ahead of the clock of the holder before.
+//! One VM at a time holds the duty. Its calls carry a token that increases with every change of
+//! holder. The leader acquires the duty with a command in the log and uses its epoch as the token,
+//! so two VMs never have the same token. A leader that was replaced may not have noticed, because
+//! it is paused or disconnected, and a platform that does not check tokens would execute its calls.
+//! The holder therefore keeps the duty only for a limited time by its own monotonic clock. The next
+//! leader acquires it only after this time and a margin have passed on the fleet clock, which never
+//! runs ahead of the previous holder's clock.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Milliseconds for which the duty is held without another word in the log.
+/// Milliseconds for which the duty is held without renewal in the log.
 ///
-/// Two holders must not act by turns within the lease of the platform, three seconds: whoever takes
-/// the duty back waits for this long and the margin since the other took it.
-const HOLD_MS: u64 = 3_000;
-/// Milliseconds between the end of a holder's time and the beginning of the next one's: a call that
-/// left at the last moment is still on its way, and two steady clocks differ by some milliseconds.
+/// Two holders must not alternate within the lease of the platform, which is three seconds. A VM
+/// that acquires the duty again waits at least for this time plus the margin after the other VM
+/// acquired it.
+const LEASE_MS: u64 = 3_000;
+/// Milliseconds between the end of a holder's lease and the earliest acquisition by another VM. A
+/// call sent at the last moment may still be in transit, and two monotonic clocks differ by some
+/// milliseconds.
 const MARGIN_MS: u64 = 700;
-/// Milliseconds that must be left of the time for a call to begin.
-const LEAST_MS: u64 = 200;
+/// Minimum remaining milliseconds of the lease for a call to start.
+const MIN_CALL_MS: u64 = 200;
 
-/// Who holds the duty, as the log says.
+/// The current holder of the duty according to the log.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Holding {
-    /// The holder's VM.
+    /// The VM that holds the duty.
     pub holder: String,
     /// The token of its calls.
     pub token: u64,
-    /// The fleet's clock until which nobody else may take the duty.
+    /// The fleet clock at which another VM may acquire the duty.
     pub until: u64,
 }
 
-/// What one who wants to call does next.
+/// What a VM that wants to call the platform does next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DutyAction {
-    /// It calls, and abandons the call after so many milliseconds.
+    /// Call the platform, with a timeout of this many milliseconds.
     Call(u64),
-    /// It writes into the log that it holds the duty.
+    /// Acquire or renew the duty in the log.
     Acquire,
-    /// It waits: another may still be calling.
+    /// Wait, because the holder may still be calling.
     Wait,
 }
 
 impl Holding {
-    /// Makes the holding of one who takes the duty when the fleet's clock reads `now`.
+    /// Creates the holding of a VM that acquires the duty at `now` of the fleet clock.
     pub fn new(holder: &str, token: u64, now: u64) -> Self {
-        Self { holder: holder.to_owned(), token, until: now + HOLD_MS + MARGIN_MS }
+        Self { holder: holder.to_owned(), token, until: now + LEASE_MS + MARGIN_MS }
     }
 
-    /// Tells whether another one may come after this one, in a command of this time.
+    /// Returns whether `next` may replace this holding in a command stamped `at`.
     pub fn can_pass_to(&self, next: &Self, at: u64) -> bool {
         next.token >= self.token && (next.holder == self.holder || at >= self.until)
     }
 
-    /// Decides what the VM does that has this token.
-    pub fn next_action(held: Option<&Self>, holder: &str, token: u64, now: u64) -> DutyAction {
-        let Some(held) = held else { return DutyAction::Acquire };
-        if held.holder == holder && held.token == token {
-            let left = held.until.saturating_sub(MARGIN_MS).saturating_sub(now);
-            return if left >= LEAST_MS { DutyAction::Call(left) } else { DutyAction::Acquire };
+    /// Returns what the VM `holder` with this token does at `now` of the fleet clock.
+    pub fn next_action(current: Option<&Self>, holder: &str, token: u64, now: u64) -> DutyAction {
+        let Some(current) = current else { return DutyAction::Acquire };
+        if current.holder == holder && current.token == token {
+            let remaining_ms = current.until.saturating_sub(MARGIN_MS).saturating_sub(now);
+            return if remaining_ms >= MIN_CALL_MS {
+                DutyAction::Call(remaining_ms)
+            } else {
+                DutyAction::Acquire
+            };
         }
         let next = Self::new(holder, token, now);
-        if held.can_pass_to(&next, now) { DutyAction::Acquire } else { DutyAction::Wait }
+        if current.can_pass_to(&next, now) { DutyAction::Acquire } else { DutyAction::Wait }
     }
 }
--- a/components/fleet/src/order_lease.rs
+++ b/components/fleet/src/order_lease.rs
@@ -1,33 +1,33 @@
-//! When a new leader may give an engine its first order.
+//! Decides when a new leader may give an engine its first order.
 //!
-//! Two leaders must not give orders to an engine by turns: the older one's may arrive after the
-//! newer one's and undo it. Engines that check fences refuse an older epoch, so there the new
-//! leader only leaves alone, for one lease, those engines that it knows to have been ordered lately:
-//! the leader before may be alive and in touch. Engines that do not check fences get no order from
-//! it at all for one lease.
+//! Orders of two leaders to an engine must not alternate: an order of the old leader could arrive
+//! after one of the new leader and revert it. Engines that check fencing tokens reject orders of an
+//! older epoch. With these, the new leader waits for one lease only for engines that recently got
+//! an order, as the previous leader may still be running and connected to them. Engines that do not
+//! check fencing tokens get no orders from a new leader for one lease.
 //!
-//! A version that waits for three seconds after each change of leader makes the next step wait for
-//! up to two: no engine is new enough for its samples.
+//! If every version waited for three seconds after a change of leader, the next step would wait for
+//! up to two seconds because no engine is new enough for its samples.
 
 use std::collections::BTreeMap;
 
 use chicoryford_types::Millis;
 
-/// What a leader knows of the orders before its own.
+/// What a leader needs to respect the orders of its predecessor.
 #[derive(Clone, Debug, Default)]
 pub struct OrderLease {
-    /// When its leadership began.
+    /// When this leader was elected.
     pub leader_since: Millis,
-    /// Milliseconds for which an order of the leader before counts.
+    /// Milliseconds for which an order of the previous leader must be respected.
     pub lease_ms: u64,
-    /// Whether engines refuse orders of an epoch before one that they have seen.
+    /// Whether engines reject orders of an older epoch than the newest one that they have seen.
     pub engines_fence: bool,
-    /// When the leader before told of an order, by the engine's incarnation.
+    /// When the previous leader announced its last order, by engine id.
     pub last_orders: BTreeMap<String, Millis>,
 }
 
 impl OrderLease {
-    /// Tells whether an engine may be given orders.
+    /// Returns whether an engine may be given orders.
     pub fn may_order(&self, engine: &str, now: Millis) -> bool {
         let since = if self.engines_fence {
             self.last_orders.get(engine)
--- a/components/fleet/src/pick.rs
+++ b/components/fleet/src/pick.rs
@@ -1,11 +1,11 @@
-//! Which endpoint of a plain service gets the next attempt.
+//! Load balancing for services other than steps: chooses the endpoint of each attempt.
 //!
-//! Each process goes by what it sees itself: its own attempts under way, how long they took, and
-//! failures. Reports of others would be older than the requests are long.
+//! Each process uses only its own observations: its attempts in flight, their durations and
+//! failures. Reports of other processes would be older than the duration of a request.
 //!
-//! Routes of one service may ask for very different work: beside answers of 25 ms, one of 200 ms says
-//! nothing of its endpoint. So what is usual is learned by route, and of an endpoint only how many
-//! times as long it takes.
+//! Routes of one service may have very different durations. Next to answers of 25 ms, an answer of
+//! 200 ms does not show that its endpoint is slow. Usual durations are therefore measured per
+//! route, and endpoints only by how many times longer than usual they take.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,78 +22,83 @@
 use crate::endpoint::EndpointStatus;
 use crate::policy::Policy;
 
-/// The weight of the newest measurement in the mean: about the last five count.
-const NEWEST: f64 = 0.2;
-/// Milliseconds that an attempt is expected to take on a route of which nothing is known.
-const UNKNOWN_MS: f64 = 30.0;
-/// Answers of a route of which the median is its usual time: few enough to follow a change within
-/// seconds, and enough that the one in a hundred that takes five times as long does not show.
-const ANSWERS: usize = 15;
-/// How many times as long as usual one answer counts at most. A single stray would otherwise keep
-/// its endpoint without work for many seconds.
-const STRAY: f64 = 20.0;
-/// Milliseconds without an attempt after which half of what was measured is forgotten. An
-/// endpoint that was slow for some seconds would otherwise never be tried again.
-const HALF_MS: f64 = 3_000.0;
-/// Milliseconds for which an endpoint is left alone after a failure; doubled for each further one.
-const PENALTY_MS: u64 = 250;
-/// Doublings of the penalty at most, which makes it four seconds.
-const DOUBLINGS: u32 = 4;
+/// Weight of the newest measurement in the moving average, which covers about the last five.
+const NEWEST_WEIGHT: f64 = 0.2;
+/// Expected duration in milliseconds of an attempt on a route without measurements.
+const UNKNOWN_DURATION_MS: f64 = 30.0;
+/// Number of recent answers of a route whose median is its usual duration: few enough to follow a
+/// change within seconds, and enough that the one answer in a hundred that takes five times as long
+/// has no effect.
+const MEDIAN_ANSWERS: usize = 15;
+/// Maximum slowness that a single answer counts as. A single outlier would otherwise keep its
+/// endpoint without work for many seconds.
+const MAX_SLOWNESS: f64 = 20.0;
+/// Half-life in milliseconds of a measured slowness. Without decay, an endpoint that was slow for
+/// some seconds would never be tried again.
+const SLOWNESS_HALF_LIFE_MS: f64 = 3_000.0;
+/// Milliseconds for which an endpoint is avoided after a failure, doubled for each consecutive
+/// failure.
+const FAILURE_PENALTY_MS: u64 = 250;
+/// Maximum number of doublings of the penalty, which limits it to four seconds.
+const MAX_DOUBLINGS: u32 = 4;
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptOutcome {
-    /// With an answer, after so many milliseconds.
+    /// It was answered after this many milliseconds.
     Answered(u64),
-    /// With a refusal: it is full.
+    /// The endpoint is full and refused it.
     Refused,
-    /// With a failure of the endpoint or of the way to it.
+    /// The endpoint or the connection to it failed.
     Failed,
-    /// Its caller left, or another attempt was faster, after so many milliseconds: it takes at
-    /// least that long.
+    /// It was cancelled after this many milliseconds, because its caller disconnected or another
+    /// attempt was faster. Its duration would have been at least that long.
     Dropped(u64),
-    /// Another endpoint has the address now.
+    /// The address belongs to another endpoint now.
     Moved,
 }
 
 #[derive(Clone, Debug)]
 struct EndpointState {
     endpoint: Endpoint,
+    /// Attempts of this process in flight.
     running: u32,
-    /// How many times as long as usual it takes.
+    /// Moving average of its durations as a multiple of the usual duration.
     slowness: f64,
-    measured: Millis,
+    measured_at: Millis,
+    /// Consecutive failures.
     failures: u32,
-    until: Millis,
+    avoided_until: Millis,
+    /// Whether another endpoint has its address; reset by its next announcement.
     moved: bool,
 }
 
-/// Where an attempt goes.
+/// The endpoint chosen for an attempt.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
-    /// The incarnation.
+    /// The endpoint id, which identifies its incarnation.
     pub id: String,
     /// The address.
     pub address: SocketAddr,
-    /// Milliseconds that the attempt is expected to take.
+    /// Expected duration of the attempt in milliseconds.
     pub expected_ms: u32,
-    /// Attempts of this process that it has already.
+    /// Attempts of this process that it already has.
     pub running: u32,
-    /// Milliseconds for which it would rather be left alone: it failed or was full lately, and so
-    /// had all others.
+    /// Remaining penalty in milliseconds. It is not zero if the endpoint, like all others, was full
+    /// or failed recently.
     pub penalty_ms: u32,
 }
 
-/// Why there is no endpoint to go to.
+/// Why no endpoint can be chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PickError {
-    /// The service has no endpoint that is ready.
+    /// The service has no ready endpoint.
     NoneReady,
-    /// None of those that are ready fits.
+    /// No ready endpoint is allowed by the filter.
     AllTried,
 }
 
-/// Chooses endpoints.
+/// Chooses endpoints and tracks their load and speed.
 pub struct Picker {
     endpoints: BTreeMap<String, EndpointState>,
     recent_times: BTreeMap<String, RecentTimes>,
@@ -101,13 +106,13 @@
     policy: Policy,
 }
 
-/// The latest answers of a route, in milliseconds.
+/// Durations of the latest answers of a route, in milliseconds.
 #[derive(Clone, Debug, Default)]
 struct RecentTimes(VecDeque<f64>);
 
 impl RecentTimes {
-    fn note(&mut self, ms: f64) {
-        if self.0.len() == ANSWERS {
+    fn record(&mut self, ms: f64) {
+        if self.0.len() == MEDIAN_ANSWERS {
             self.0.pop_front();
         }
         self.0.push_back(ms);
@@ -121,32 +126,32 @@
 }
 
 impl Picker {
-    /// Makes one that knows no endpoint. The seed breaks ties.
+    /// Creates a picker without endpoints. The seed determines how ties are broken.
     pub fn new(seed: u64) -> Self {
         let rng = SmallRng::seed_from_u64(seed);
-        let (seats, usual) = (BTreeMap::new(), BTreeMap::new());
-        Self { endpoints: seats, recent_times: usual, rng, policy: Policy::default() }
+        let (endpoints, recent_times) = (BTreeMap::new(), BTreeMap::new());
+        Self { endpoints, recent_times, rng, policy: Policy::default() }
     }
 
-    /// Chooses with these mechanisms.
+    /// Sets which mechanisms are enabled.
     pub fn with_policy(self, policy: Policy) -> Self {
         Self { policy, ..self }
     }
 
-    /// Takes in what is known of an endpoint.
+    /// Adds an endpoint or updates it.
     pub fn observe(&mut self, endpoint: &Endpoint) {
         match self.endpoints.get_mut(&endpoint.announcement.id) {
-            // Attempts at the start before are still counted, until they end.
-            Some(seat)
-                if seat.endpoint.announcement.started_ms < endpoint.announcement.started_ms =>
+            // Attempts from before the restart still count until they end.
+            Some(state)
+                if state.endpoint.announcement.started_ms < endpoint.announcement.started_ms =>
             {
-                *seat = EndpointState { running: seat.running, ..EndpointState::new(endpoint) };
+                *state = EndpointState { running: state.running, ..EndpointState::new(endpoint) };
             }
-            Some(seat) => {
-                if seat.endpoint.announcement.sequence < endpoint.announcement.sequence {
-                    seat.moved = false;
+            Some(state) => {
+                if state.endpoint.announcement.sequence < endpoint.announcement.sequence {
+                    state.moved = false;
                 }
-                seat.endpoint = endpoint.clone();
+                state.endpoint = endpoint.clone();
             }
             None => {
                 self.endpoints
@@ -155,22 +160,23 @@
         }
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint.
     pub fn forget(&mut self, id: &str) {
         self.endpoints.remove(id);
     }
 
-    /// Forgets all endpoints that `known` does not name.
+    /// Removes all endpoints for which `known` returns false.
     pub fn retain(&mut self, known: impl Fn(&str) -> bool) {
         self.endpoints.retain(|id, _| known(id));
     }
 
-    /// Forgets what is usual on all routes that `known` does not name.
+    /// Removes the measured durations of all routes for which `known` returns false.
     pub fn retain_routes(&mut self, known: impl Fn(&str) -> bool) {
         self.recent_times.retain(|route, _| known(route));
     }
 
-    /// Chooses an endpoint of a service among those that fit, and counts the attempt.
+    /// Chooses an endpoint of a service among those for which `fits` returns true, and counts the
+    /// attempt.
     ///
     /// # Errors
     ///
@@ -182,46 +188,47 @@
         fits: impl Fn(&str) -> bool,
         now: Millis,
     ) -> Result<Target, PickError> {
-        let usual = self.median_ms(route).unwrap_or(UNKNOWN_MS);
+        let usual_ms = self.median_ms(route).unwrap_or(UNKNOWN_DURATION_MS);
         let ready: Vec<&EndpointState> =
-            self.endpoints.values().filter(|seat| seat.serves(service)).collect();
+            self.endpoints.values().filter(|state| state.serves(service)).collect();
         if ready.is_empty() {
             return Err(PickError::NoneReady);
         }
-        let fresh: Vec<&EndpointState> =
-            ready.into_iter().filter(|seat| fits(&seat.endpoint.announcement.id)).collect();
-        // Endpoints that failed lately come last, but one of them is better than none.
-        let best = fresh.iter().map(|seat| {
-            let penalty = if self.policy.penalties { seat.until.since(now) } else { 0 };
-            let slowness = if self.policy.learned_times { seat.slowness_at(now) } else { 1.0 };
-            let expected = seat.expected(usual * slowness);
-            (penalty, expected * (1.0 + self.rng.random_range(0.0..0.1)), seat)
+        let candidates: Vec<&EndpointState> =
+            ready.into_iter().filter(|state| fits(&state.endpoint.announcement.id)).collect();
+        // Endpoints that failed recently are used only if there are no others.
+        let best = candidates.iter().map(|state| {
+            let penalty = if self.policy.penalties { state.avoided_until.since(now) } else { 0 };
+            let slowness = if self.policy.learned_times { state.slowness_at(now) } else { 1.0 };
+            let expected = state.expected_ms(usual_ms * slowness);
+            (penalty, expected * (1.0 + self.rng.random_range(0.0..0.1)), state)
         });
         let best = best.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        let Some((penalty, expected, seat)) = best else { return Err(PickError::AllTried) };
-        let said = &seat.endpoint.announcement;
+        let Some((penalty, expected, state)) = best else { return Err(PickError::AllTried) };
+        let announcement = &state.endpoint.announcement;
         let target = Target {
-            id: said.id.clone(),
-            address: said.address,
+            id: announcement.id.clone(),
+            address: announcement.address,
             expected_ms: expected as u32,
-            running: seat.running,
+            running: state.running,
             penalty_ms: penalty as u32,
         };
-        if let Some(seat) = self.endpoints.get_mut(&target.id) {
-            seat.running += 1;
+        if let Some(state) = self.endpoints.get_mut(&target.id) {
+            state.running += 1;
         }
         Ok(target)
     }
 
-    /// Tells whether an endpoint of a service is ready that fits.
+    /// Returns whether a service has a ready endpoint for which `fits` returns true.
     pub fn has_ready(&self, service: &str, fits: impl Fn(&str) -> bool) -> bool {
         self.endpoints
             .values()
-            .any(|seat| seat.serves(service) && fits(&seat.endpoint.announcement.id))
+            .any(|state| state.serves(service) && fits(&state.endpoint.announcement.id))
     }
 
-    /// Gives the endpoints of a service, among those that fit, that all processes prefer for one request, by
-    /// rendezvous hashing: if one of them goes, the others stay.
+    /// Returns the endpoints that every process prefers for a request, among those for which `fits`
+    /// returns true. They are selected by rendezvous hashing, so the others stay the same if one of
+    /// them is removed.
     pub fn preferred(
         &self,
         service: &str,
@@ -229,51 +236,51 @@
         count: usize,
         fits: impl Fn(&str) -> bool,
     ) -> BTreeSet<String> {
-        let ready = self.endpoints.values().filter(|seat| seat.serves(service));
-        let ready = ready.map(|seat| &*seat.endpoint.announcement.id).filter(|id| fits(id));
-        let weigh = |id: &str| Fingerprint::of(format!("{request} {id}").as_bytes());
-        let mut weighed: Vec<(Fingerprint, &str)> = ready.map(|id| (weigh(id), id)).collect();
-        weighed.sort_unstable();
-        weighed.into_iter().take(count).map(|(_, id)| id.to_owned()).collect()
+        let ready = self.endpoints.values().filter(|state| state.serves(service));
+        let ready = ready.map(|state| &*state.endpoint.announcement.id).filter(|id| fits(id));
+        let hash = |id: &str| Fingerprint::of(format!("{request} {id}").as_bytes());
+        let mut hashed: Vec<(Fingerprint, &str)> = ready.map(|id| (hash(id), id)).collect();
+        hashed.sort_unstable();
+        hashed.into_iter().take(count).map(|(_, id)| id.to_owned()).collect()
     }
 
-    /// Tells whether an endpoint may still be given work.
+    /// Returns whether an endpoint may be given work.
     pub fn is_ready(&self, id: &str) -> bool {
-        self.endpoints.get(id).is_some_and(|seat| seat.endpoint.status == EndpointStatus::Ready)
+        self.endpoints.get(id).is_some_and(|state| state.endpoint.status == EndpointStatus::Ready)
     }
 
-    /// Gives the time that half of a route's answers took lately, as measured here.
+    /// Returns the median duration of a route's recent answers, as measured by this process.
     pub fn median_ms(&self, route: &str) -> Option<f64> {
         self.recent_times.get(route)?.median()
     }
 
-    /// Takes in how an attempt of a route ended.
-    pub fn record_outcome(&mut self, id: &str, route: &str, ending: AttemptOutcome, now: Millis) {
-        if let AttemptOutcome::Answered(ms) = ending {
-            self.recent_times.entry(route.to_owned()).or_default().note(ms as f64);
+    /// Records how an attempt on a route ended.
+    pub fn record_outcome(&mut self, id: &str, route: &str, outcome: AttemptOutcome, now: Millis) {
+        if let AttemptOutcome::Answered(ms) = outcome {
+            self.recent_times.entry(route.to_owned()).or_default().record(ms as f64);
         }
-        let usual = self.median_ms(route).unwrap_or(UNKNOWN_MS).max(1.0);
-        let Some(seat) = self.endpoints.get_mut(id) else { return };
-        seat.running = seat.running.saturating_sub(1);
-        match ending {
+        let usual_ms = self.median_ms(route).unwrap_or(UNKNOWN_DURATION_MS).max(1.0);
+        let Some(state) = self.endpoints.get_mut(id) else { return };
+        state.running = state.running.saturating_sub(1);
+        match outcome {
             AttemptOutcome::Answered(ms) => {
-                seat.failures = 0;
-                seat.until = Millis::default();
-                seat.measure(ms as f64 / usual, now);
+                state.failures = 0;
+                state.avoided_until = Millis::default();
+                state.record_slowness(ms as f64 / usual_ms, now);
             }
             AttemptOutcome::Dropped(ms) => {
-                let slowness = ms as f64 / usual;
-                if slowness > seat.slowness {
-                    seat.measure(slowness, now);
+                let slowness = ms as f64 / usual_ms;
+                if slowness > state.slowness {
+                    state.record_slowness(slowness, now);
                 }
             }
-            AttemptOutcome::Refused => seat.until = now + PENALTY_MS,
+            AttemptOutcome::Refused => state.avoided_until = now + FAILURE_PENALTY_MS,
             AttemptOutcome::Failed => {
-                seat.failures += 1;
-                let doublings = (seat.failures - 1).min(DOUBLINGS);
-                seat.until = now + (PENALTY_MS << doublings);
+                state.failures += 1;
+                let doublings = (state.failures - 1).min(MAX_DOUBLINGS);
+                state.avoided_until = now + (FAILURE_PENALTY_MS << doublings);
             }
-            AttemptOutcome::Moved => seat.moved = true,
+            AttemptOutcome::Moved => state.moved = true,
         }
     }
 }
@@ -284,32 +291,32 @@
             endpoint: endpoint.clone(),
             running: 0,
             slowness: 1.0,
-            measured: Millis::default(),
+            measured_at: Millis::default(),
             failures: 0,
-            until: Millis::default(),
+            avoided_until: Millis::default(),
             moved: false,
         }
     }
 
     fn serves(&self, service: &str) -> bool {
-        let Endpoint { announcement: said, status: standing } = &self.endpoint;
-        said.service == service && *standing == EndpointStatus::Ready && !self.moved
+        let Endpoint { announcement, status } = &self.endpoint;
+        announcement.service == service && *status == EndpointStatus::Ready && !self.moved
     }
 
-    fn measure(&mut self, slowness: f64, now: Millis) {
-        self.slowness += NEWEST * (slowness.min(STRAY) - self.slowness);
-        self.measured = now;
+    fn record_slowness(&mut self, slowness: f64, now: Millis) {
+        self.slowness += NEWEST_WEIGHT * (slowness.min(MAX_SLOWNESS) - self.slowness);
+        self.measured_at = now;
     }
 
-    /// Gives how many times as long as usual an attempt takes here. What was measured fades towards
-    /// what is usual, so that an endpoint that was slow is tried again.
+    /// Returns how many times longer than usual an attempt takes on this endpoint. The measured
+    /// value decays towards one, so that a slow endpoint is tried again.
     fn slowness_at(&self, now: Millis) -> f64 {
-        let age = now.since(self.measured) as f64;
-        1.0 + (self.slowness - 1.0) * 0.5_f64.powf(age / HALF_MS)
+        let age = now.since(self.measured_at) as f64;
+        1.0 + (self.slowness - 1.0) * 0.5_f64.powf(age / SLOWNESS_HALF_LIFE_MS)
     }
 
-    /// Estimates how long one more attempt takes here that takes so long by itself.
-    fn expected(&self, alone_ms: f64) -> f64 {
+    /// Estimates the duration of another attempt that would take `alone_ms` on an idle endpoint.
+    fn expected_ms(&self, alone_ms: f64) -> f64 {
         let slots = f64::from(self.endpoint.announcement.slots.max(1));
         alone_ms * (1.0 + f64::from(self.running) / slots)
     }
--- a/components/fleet/src/policy.rs
+++ b/components/fleet/src/policy.rs
@@ -1,48 +1,50 @@
-//! The mechanisms that decide where work goes, each of which may be switched off.
+//! Switches for the mechanisms that decide where work is sent.
 //!
-//! All of them are on; a switch is there to measure what its mechanism is worth on a deployment
-//! (docs/POLICY.md), and to do without one that harms there.
+//! All of them are enabled by default. Disabling one serves to measure its effect on a deployment
+//! (docs/POLICY.md), or to avoid it where it does harm.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Which mechanisms are on.
+/// Which mechanisms are enabled.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// A second attempt beside the first of a request that may be repeated and takes too long.
+    /// Start a second, concurrent attempt for an idempotent request that takes too long.
     pub second_attempts: bool,
-    /// Endpoints that failed or refused are left alone for a while.
+    /// Avoid endpoints for some time after they failed or refused a request.
     pub penalties: bool,
-    /// Attempts go where they took the least time lately; else to the least loaded endpoint.
+    /// Send attempts to the endpoint with the shortest recent durations instead of the least loaded
+    /// one.
     pub learned_times: bool,
-    /// Of a step's samples the longest start first; else in the order of the step.
+    /// Start the longest samples of a step first instead of in the order of the step.
     pub longest_first: bool,
-    /// A sample goes to an engine that has read its group's prompt, among those as little loaded.
+    /// Prefer engines that have read the prompt of a sample's group, among equally loaded ones.
     pub group_homes: bool,
-    /// Engines that are slower than usual come last.
+    /// Assign runs to engines slower than usual only after the others.
     pub engine_paces: bool,
-    /// Runs on engines that are far slower than usual go on elsewhere.
+    /// Move runs away from engines that are much slower than usual.
     pub slow_moves: bool,
-    /// The last results of a step are listed together.
+    /// List the last results of a step together.
     pub last_together: bool,
-    /// A read is answered early so that the next one is under way when a step's last results come.
+    /// Answer a read early so that the next one is pending when the last results of a step arrive.
     pub timed_reads: bool,
-    /// What long runs have made is noted on the stores.
+    /// Write checkpoints of long runs to the stores.
     pub run_notes: bool,
-    /// A model's engines beyond half take new weights too, when there is room.
+    /// Load new weights on more than half of the engines of a model if the load limit permits.
     pub spare_loads: bool,
-    /// Engines of models whose samples wait load first, then those furthest behind.
+    /// Load weights first on engines of models with waiting samples, then on those with the oldest
+    /// versions.
     pub load_order: bool,
-    /// Runs are hosted in the data centre of their engine.
+    /// Host runs in the data centre of their engine.
     pub near_hosts: bool,
-    /// One copy of each part lies in the leader's data centre.
+    /// Keep one copy of each part in the data centre of the leader.
     pub near_copies: bool,
-    /// Entries read texts of results from stores of their own data centre.
+    /// Let entries read result texts from stores in their own data centre.
     pub near_reads: bool,
-    /// Entries keep results that they have read.
+    /// Cache results that entries have read.
     pub kept_results: bool,
-    /// Frames between processes are compressed.
+    /// Compress frames between processes.
     pub compression: bool,
 }
 
--- a/components/fleet/src/swap.rs
+++ b/components/fleet/src/swap.rs
@@ -1,9 +1,9 @@
-//! Which engines take new weights, and when.
+//! Selects the engines that load new weights.
 //!
-//! Each engine has every model, each in a version of its own. A change of version takes about a
-//! second in which the engine runs nothing of that model, and more engines than a few at once
-//! slow each other down. With several trainers, all versions on all engines would be more loads
-//! than there is time for, so each model's newest versions go to a share of the engines.
+//! Every engine holds every model, each in its own version. A change of version takes about a
+//! second, in which the engine runs nothing of that model, and more than a few concurrent loads
+//! slow each other down. With several trainers, there is not enough time to load every version on
+//! every engine, so the newest versions of each model are loaded only on a share of the engines.
 
 use std::collections::BTreeMap;
 
@@ -13,39 +13,39 @@
 use crate::plan::EngineState;
 use crate::policy::Policy;
 
-/// The share of a service's engines that may load at once: two of nine. Loads beyond it take
-/// longer in proportion, so more at once only takes more engines out of work.
-const AT_ONCE: (usize, usize) = (2, 9);
-/// Engines that each model gets at least, so that the loss of one does not stop its trainer.
-const LEAST: usize = 2;
+/// Share of the engines of a service that may load concurrently: two of nine. Load times grow in
+/// proportion beyond it, so more concurrent loads only make more engines unavailable.
+const MAX_LOADING_SHARE: (usize, usize) = (2, 9);
+/// Minimum number of engines per model, so that the loss of one does not stop its trainer.
+const MIN_ENGINES: usize = 2;
 
-/// The share of a model's engines that take each new version first: one of two. An engine serves
-/// the steps of its own version and of the next, so each needs every second version at least.
-const EACH: (usize, usize) = (1, 2);
-/// The share of the loads at once that the other engines may take. All versions on all engines
-/// take about as much time as there is between two versions; they make room at the beginning of
-/// the next step, but must not hold up engines that can serve no step at all.
-const SPARE: (usize, usize) = (2, 3);
+/// Share of the engines of a model that load each new version first: one of two. An engine serves
+/// the steps of its own version and of the next one, so it needs at least every second version.
+const FIRST_SHARE: (usize, usize) = (1, 2);
+/// Share of the concurrent loads that the other engines may use. Loading every version on all
+/// engines takes about as long as the time between two versions. It leaves more engines for the
+/// start of the next step, but must not delay engines that cannot serve any step.
+const SPARE_SHARE: (usize, usize) = (2, 3);
 
-/// A model's claim to engines.
+/// A model's demand for engines.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ModelDemand {
     /// The model.
     pub model: String,
-    /// The version that its engines are to have.
+    /// The version to load.
     pub version: u64,
-    /// How much it asks for, in tokens.
+    /// The tokens of its open samples.
     pub tokens: u64,
-    /// The most samples that it had open at once.
+    /// The largest number of samples that it had open at the same time.
     pub peak_samples: usize,
-    /// Samples that wait because no engine is new enough.
+    /// Samples that wait because no engine has a new enough version.
     pub starved: usize,
 }
 
-/// An engine that is to take new weights.
+/// A load of new weights on an engine.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct WeightLoad {
-    /// The engine's incarnation.
+    /// The engine id.
     pub endpoint: String,
     /// The model.
     pub model: String,
@@ -53,117 +53,129 @@
     pub version: u64,
 }
 
-/// Samples for which a model is given one engine. A run beside another takes half a percent longer, so
-/// more engines than one for two samples make nothing faster, and each takes an order and a load for
-/// every version: 2,900 of them for 3,000 engines and three trainers in half a minute.
-const EACH_SERVES: usize = 2;
+/// Samples per engine when engines are assigned to a model. A concurrent run makes a run half a
+/// percent slower, so more than one engine for two samples gains nothing. Each additional engine
+/// needs an order and a load for every version, which amounted to 2,900 for 3,000 engines and three
+/// trainers in half a minute.
+const SAMPLES_PER_ENGINE: usize = 2;
 
-/// Divides engines among models by demand: each gets [`LEAST`] where there are enough, the rest
-/// goes by tokens, up to what a model has samples for. Engines keep their order, so that a change of
-/// demand moves few of them; those that nobody needs have no owner.
+/// Assigns engines to models and returns the model of each assigned engine. Each model gets
+/// [`MIN_ENGINES`] if there are enough; the rest is divided in proportion to the tokens of the
+/// models, up to the number needed for their samples. The order of the engines is kept, so that a
+/// change of demand reassigns few of them. Engines that no model needs are not assigned.
 pub fn assign_engines<'a>(
     engines: &[&'a str],
-    claims: &'a [ModelDemand],
+    demands: &'a [ModelDemand],
 ) -> BTreeMap<&'a str, &'a str> {
-    let (count, models) = (engines.len(), claims.len());
+    let (count, models) = (engines.len(), demands.len());
     if models == 0 {
         return BTreeMap::new();
     }
-    let least = LEAST.min(count / models);
-    let spare = count - least * models;
-    let total: u64 = claims.iter().map(|claim| claim.tokens.max(1)).sum();
-    let mut owners = BTreeMap::new();
-    let (mut next, mut sum) = (0, 0);
-    for (place, claim) in claims.iter().enumerate() {
-        sum += claim.tokens.max(1);
-        let share = (spare as u64 * sum + total / 2) / total;
-        let end = (least * (place + 1) + share as usize).min(count);
+    let minimum = MIN_ENGINES.min(count / models);
+    let spare = count - minimum * models;
+    let total: u64 = demands.iter().map(|demand| demand.tokens.max(1)).sum();
+    let mut assigned = BTreeMap::new();
+    let (mut next, mut tokens) = (0, 0);
+    for (index, demand) in demands.iter().enumerate() {
+        tokens += demand.tokens.max(1);
+        let share = (spare as u64 * tokens + total / 2) / total;
+        let end = (minimum * (index + 1) + share as usize).min(count);
         let end = end.max(next);
-        let needed = claim.peak_samples.div_ceil(EACH_SERVES).max(LEAST);
-        for engine in engines[next..end].iter().take(needed) {
-            owners.insert(*engine, claim.model.as_str());
+        let needed_engines = demand.peak_samples.div_ceil(SAMPLES_PER_ENGINE).max(MIN_ENGINES);
+        for engine in engines[next..end].iter().take(needed_engines) {
+            assigned.insert(*engine, demand.model.as_str());
         }
         next = end;
     }
-    owners
+    assigned
 }
 
-/// Chooses the engines that take new weights now: first for models whose samples wait for them,
-/// then those furthest behind, then the idlest.
+/// Selects the engines that load new weights now: first those of models whose samples wait for
+/// them, then those with the oldest versions, then the least loaded.
 pub fn select_loads(
-    seats: &[&EngineState],
-    claims: &[ModelDemand],
-    turn: &OrderLease,
+    engines: &[&EngineState],
+    demands: &[ModelDemand],
+    order_lease: &OrderLease,
     policy: Policy,
     now: Millis,
 ) -> Vec<WeightLoad> {
-    let mut engines: Vec<&str> = seats.iter().map(|seat| &*seat.endpoint.announcement.id).collect();
-    engines.sort_unstable();
-    let owners = assign_engines(&engines, claims);
-    let most = (seats.len() * AT_ONCE.0 / AT_ONCE.1).max(1);
-    let busy = seats.iter().filter(|seat| seat.loading.is_some()).count();
-    let mut behind: Vec<(Urgency, WeightLoad)> = Vec::new();
-    for claim in claims {
-        let own = |seat: &&&EngineState| {
-            owners.get(&*seat.endpoint.announcement.id) == Some(&&*claim.model)
+    let mut ids: Vec<&str> =
+        engines.iter().map(|engine| &*engine.endpoint.announcement.id).collect();
+    ids.sort_unstable();
+    let assigned = assign_engines(&ids, demands);
+    let max_loading = (engines.len() * MAX_LOADING_SHARE.0 / MAX_LOADING_SHARE.1).max(1);
+    let loading = engines.iter().filter(|engine| engine.loading.is_some()).count();
+    let mut outdated: Vec<(Urgency, WeightLoad)> = Vec::new();
+    for demand in demands {
+        let own_engines = |engine: &&&EngineState| {
+            assigned.get(&*engine.endpoint.announcement.id) == Some(&&*demand.model)
         };
-        let own: Vec<&EngineState> = seats.iter().filter(own).copied().collect();
-        behind.extend(behind_of(&own, claim, turn, now));
+        let own_engines: Vec<&EngineState> = engines.iter().filter(own_engines).copied().collect();
+        outdated.extend(outdated_engines(&own_engines, demand, order_lease, now));
     }
     if policy.load_order {
-        behind.sort();
+        outdated.sort();
     }
-    let room = most.saturating_sub(busy);
-    let spare = if policy.spare_loads { (most * SPARE.0).div_ceil(SPARE.1) } else { 0 };
-    let spare = spare.saturating_sub(busy);
-    let chosen = behind.into_iter().enumerate();
-    let fits = |place: usize, urgency: &Urgency| place < if urgency.0 { spare } else { room };
-    chosen
-        .filter(|(place, (urgency, _))| fits(*place, urgency))
-        .map(|(_, (_, wish))| wish)
+    let free_loads = max_loading.saturating_sub(loading);
+    let spare =
+        if policy.spare_loads { (max_loading * SPARE_SHARE.0).div_ceil(SPARE_SHARE.1) } else { 0 };
+    let spare = spare.saturating_sub(loading);
+    let ordered = outdated.into_iter().enumerate();
+    let is_within_limit =
+        |index: usize, urgency: &Urgency| index < if urgency.0 { spare } else { free_loads };
+    ordered
+        .filter(|(index, (urgency, _))| is_within_limit(*index, urgency))
+        .map(|(_, (_, load))| load)
         .collect()
 }
 
-/// What goes first: engines that are needed, then models with starved samples, then the version
-/// held, then the runs there.
+/// Priority of a load, lowest first: whether enough engines of the model have the version without
+/// it (a spare load), whether the model has no starved samples, the version that the engine holds,
+/// and its runs of the model.
 type Urgency = (bool, bool, u64, u32);
 
-fn behind_of(
-    own: &[&EngineState],
-    claim: &ModelDemand,
-    turn: &OrderLease,
+fn outdated_engines(
+    own_engines: &[&EngineState],
+    demand: &ModelDemand,
+    order_lease: &OrderLease,
     now: Millis,
 ) -> Vec<(Urgency, WeightLoad)> {
-    let held = |seat: &EngineState| seat.endpoint.announcement.models.get(&claim.model).copied();
-    let loading = |seat: &EngineState| seat.loading.as_deref() == Some(&claim.model);
-    let new = own.iter().filter(|seat| held(seat) >= Some(claim.version) || loading(seat)).count();
-    let enough = (own.len() * EACH.0).div_ceil(EACH.1);
-    let mut left = enough.saturating_sub(new);
-    let mut able: Vec<&&EngineState> = own
+    let held_version =
+        |engine: &EngineState| engine.endpoint.announcement.models.get(&demand.model).copied();
+    let loading = |engine: &EngineState| engine.loading.as_deref() == Some(&demand.model);
+    let up_to_date = own_engines
         .iter()
-        .filter(|seat| seat.loading.is_none() && seat.is_ready(now))
-        .filter(|seat| turn.may_order(&seat.endpoint.announcement.id, now))
-        .filter(|seat| held(seat).is_some_and(|held| held < claim.version))
+        .filter(|engine| held_version(engine) >= Some(demand.version) || loading(engine))
+        .count();
+    let wanted = (own_engines.len() * FIRST_SHARE.0).div_ceil(FIRST_SHARE.1);
+    let mut missing = wanted.saturating_sub(up_to_date);
+    let mut available: Vec<&&EngineState> = own_engines
+        .iter()
+        .filter(|engine| engine.loading.is_none() && engine.is_ready(now))
+        .filter(|engine| order_lease.may_order(&engine.endpoint.announcement.id, now))
+        .filter(|engine| held_version(engine).is_some_and(|version| version < demand.version))
         .collect();
-    able.sort_by_key(|seat| (held(seat), running(seat, claim), &seat.endpoint.announcement.id));
-    let mut behind = Vec::new();
-    for seat in able {
-        let version = held(seat).unwrap_or_default();
-        // Two versions behind, an engine can serve no step that is still to come.
-        let useless = version + 1 < claim.version;
-        let spare = !useless && left == 0;
-        left = left.saturating_sub(1);
-        let urgency = (spare, claim.starved == 0, version, running(seat, claim));
-        let wish = WeightLoad {
-            endpoint: seat.endpoint.announcement.id.clone(),
-            model: claim.model.clone(),
-            version: claim.version,
+    available.sort_by_key(|engine| {
+        (held_version(engine), running(engine, demand), &engine.endpoint.announcement.id)
+    });
+    let mut outdated = Vec::new();
+    for engine in available {
+        let version = held_version(engine).unwrap_or_default();
+        // An engine two versions behind cannot serve any future step.
+        let unusable = version + 1 < demand.version;
+        let spare = !unusable && missing == 0;
+        missing = missing.saturating_sub(1);
+        let urgency = (spare, demand.starved == 0, version, running(engine, demand));
+        let load = WeightLoad {
+            endpoint: engine.endpoint.announcement.id.clone(),
+            model: demand.model.clone(),
+            version: demand.version,
         };
-        behind.push((urgency, wish));
+        outdated.push((urgency, load));
     }
-    behind
+    outdated
 }
 
-fn running(seat: &EngineState, claim: &ModelDemand) -> u32 {
-    seat.running.get(&claim.model).copied().unwrap_or_default()
+fn running(engine: &EngineState, demand: &ModelDemand) -> u32 {
+    engine.running.get(&demand.model).copied().unwrap_or_default()
 }
--- a/components/fleet/src/wait_queue.rs
+++ b/components/fleet/src/wait_queue.rs
@@ -1,10 +1,10 @@
-//! The line in which requests wait at a process while all endpoints of a service are full.
+//! Queue for requests at a process while all endpoints of a service are full.
 //!
-//! Without it each request asks the endpoints again by itself, so a place that comes free goes to
-//! whoever asks most often: a workspace with many requests starves the others. Here they ask one
-//! after the other, the most urgent first, and of equally urgent ones by start-time fair queueing over
-//! workspaces (Goyal, Vin and Cheng, 1996), so that one with few requests does not wait behind all
-//! those of one with many.
+//! Without it, every request would retry on its own, and a free slot would go to whoever retries
+//! most often, so that a workspace with many requests would starve the others. With the queue,
+//! requests retry one after the other, most urgent first. Equally urgent requests are ordered by
+//! start-time fair queueing over workspaces (Goyal, Vin and Cheng, 1996), so that a workspace with
+//! few requests does not wait behind all requests of a workspace with many.
 
 use std::collections::BTreeSet;
 
@@ -12,11 +12,11 @@
 use chicoryford_types::Millis;
 use chicoryford_types::Workspace;
 
-/// Milliseconds for which endpoints that were all full are left alone. A request at them takes about as
-/// long.
+/// Milliseconds without retries after all endpoints were full, which is about the duration of a
+/// request.
 const PAUSE_MS: u64 = 30;
 
-/// A request's place: its rank, its virtual time, and a number that tells it from others.
+/// Position of a request: its priority, its virtual time, and a number that makes it unique.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct QueuePosition {
     rank: u32,
@@ -24,7 +24,7 @@
     number: u64,
 }
 
-/// Requests that wait for a service.
+/// Requests that wait for a slot at an endpoint of a service.
 #[derive(Clone, Debug, Default)]
 pub struct WaitQueue {
     fair: Fair,
@@ -34,12 +34,13 @@
 }
 
 impl WaitQueue {
-    /// Tells whether a request that comes now waits: others do, or all endpoints were full just now.
+    /// Returns whether a new request has to wait, because others do or because all endpoints were
+    /// full a moment ago.
     pub fn must_wait(&self, now: Millis) -> bool {
         !self.waiting.is_empty() || now < self.paused_until
     }
 
-    /// Takes in that a request found all endpoints full.
+    /// Pauses retries after a request found all endpoints full.
     pub fn pause(&mut self, now: Millis) {
         self.paused_until = now + PAUSE_MS;
     }
@@ -48,29 +49,30 @@
     pub fn push(&mut self, workspace: &str, rank: u32) -> QueuePosition {
         self.last_number += 1;
         let tag = self.fair.tag(&Workspace::from(workspace), 1);
-        let place = QueuePosition { rank, tag, number: self.last_number };
-        self.waiting.insert(place);
-        place
+        let position = QueuePosition { rank, tag, number: self.last_number };
+        self.waiting.insert(position);
+        position
     }
 
-    /// Adds a request again that was first and found all endpoints full: it keeps its place.
-    pub fn requeue(&mut self, place: QueuePosition) {
-        self.waiting.insert(place);
+    /// Adds a request again at its previous position, after it was admitted and found all endpoints
+    /// full.
+    pub fn requeue(&mut self, position: QueuePosition) {
+        self.waiting.insert(position);
     }
 
-    /// Gives the milliseconds until this request may ask endpoints; none while others go before it.
-    pub fn wait_ms(&self, place: QueuePosition, now: Millis) -> Option<u64> {
-        (self.waiting.first() == Some(&place)).then(|| self.paused_until.since(now))
+    /// Returns the milliseconds until a request may retry, or `None` while others are ahead of it.
+    pub fn wait_ms(&self, position: QueuePosition, now: Millis) -> Option<u64> {
+        (self.waiting.first() == Some(&position)).then(|| self.paused_until.since(now))
     }
 
-    /// Takes out a request that goes on to ask endpoints.
-    pub fn admit(&mut self, place: QueuePosition) {
-        self.waiting.remove(&place);
-        self.fair.advance(place.tag);
+    /// Removes a request that is about to retry, and advances the virtual time to its own.
+    pub fn admit(&mut self, position: QueuePosition) {
+        self.waiting.remove(&position);
+        self.fair.advance(position.tag);
     }
 
-    /// Takes out a request that has given up.
-    pub fn remove(&mut self, place: QueuePosition) {
-        self.waiting.remove(&place);
+    /// Removes a request that was abandoned.
+    pub fn remove(&mut self, position: QueuePosition) {
+        self.waiting.remove(&position);
     }
 }
--- a/components/fleet/tests/duty.rs
+++ b/components/fleet/tests/duty.rs
@@ -1,4 +1,5 @@
-//! One VM at a time calls the platform, whatever leaders believe of themselves.
+//! Tests that one VM at a time calls the platform, regardless of how many consider themselves the
+//! leader.
 
 use chicoryford_fleet::duty::DutyAction;
 use chicoryford_fleet::duty::Holding;
@@ -6,14 +7,14 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Milliseconds within which two holders must not act by turns.
+/// Milliseconds within which calls of two holders must not alternate.
 const LEASE_MS: u64 = 3_000;
-/// Milliseconds that a call may take on its way; later ones are reset with their connection.
-const WAY_MS: u64 = 400;
+/// Maximum milliseconds that a call is in transit; slower ones are reset with their connection.
+const MAX_TRANSIT_MS: u64 = 400;
 const VMS: usize = 3;
 
 #[test]
-fn the_duty_is_taken_before_the_first_call_and_again_before_it_ends() {
+fn the_duty_is_acquired_before_the_first_call_and_renewed_before_it_ends() {
     assert_eq!(Holding::next_action(None, "a", 1, 0), DutyAction::Acquire);
     let held = Holding::new("a", 1, 1_000);
     assert_eq!(Holding::next_action(Some(&held), "a", 1, 1_000), DutyAction::Call(3_000));
@@ -21,59 +22,63 @@
 }
 
 #[test]
-fn another_one_waits_until_the_holder_has_surely_stopped() {
+fn another_vm_waits_until_the_holder_has_certainly_stopped() {
     let held = Holding::new("a", 1, 1_000);
     assert_eq!(Holding::next_action(Some(&held), "b", 2, 4_699), DutyAction::Wait);
     assert_eq!(Holding::next_action(Some(&held), "b", 2, 4_700), DutyAction::Acquire);
     assert!(!held.can_pass_to(&Holding::new("b", 2, 4_000), 4_699));
-    assert!(!held.can_pass_to(&Holding::new("a", 0, 9_000), 9_000), "a token never falls");
-    assert!(held.can_pass_to(&Holding::new("a", 2, 1_100), 1_100), "the VM itself need not wait");
+    assert!(!held.can_pass_to(&Holding::new("a", 0, 9_000), 9_000), "a token never decreases");
+    assert!(
+        held.can_pass_to(&Holding::new("a", 2, 1_100), 1_100),
+        "the holder itself does not wait"
+    );
 }
 
-/// Which protection is off, to see that the check would notice.
+/// Which protection is disabled, to verify that the check detects its absence.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Off {
+enum Disabled {
     Nothing,
-    /// A holder calls however long ago it took the duty.
+    /// A holder calls no matter how long ago it acquired the duty.
     End,
     /// The next holder does not wait.
     Wait,
-    /// The holder is the one that was elected last, whether the log says so or not.
+    /// The leader elected last is the holder regardless of the log.
     Log,
 }
 
-/// One who was elected, and may not know that another was after it.
+/// An elected leader, which may not have noticed that it was replaced.
 struct Leader {
     vm: usize,
     epoch: u64,
-    /// When it began to lead, and the fleet's clock then.
+    /// When it was elected, and the fleet clock at that time.
     began: (u64, u64),
-    /// When it has learnt that it leads no more.
-    learns: u64,
-    /// Until when its VM is frozen.
-    frozen: u64,
-    /// The holding as far as it knows.
+    /// When it notices that it was replaced.
+    notices_at: u64,
+    /// Until when its VM is paused.
+    paused_until: u64,
+    /// The last holding that it has seen.
     known: Option<Holding>,
 }
 
 impl Leader {
-    /// Reads the fleet's clock as this leader tells it; its steady clock is a little off.
+    /// Returns the fleet clock as computed by this leader, whose monotonic clock has a small error.
     fn fleet_now(&self, now: u64) -> u64 {
         let passed = now - self.began.0;
         self.began.1 + passed + passed * self.vm as u64 / 10_000
     }
 }
 
-/// A call as it arrives at the platform.
+/// A call that arrived at the platform.
 struct Arrived {
     at: u64,
     vm: usize,
     token: u64,
 }
 
-/// Plays a minute of elections, leaders that were cut off or frozen and believe that they lead, and
-/// calls that take their time; gives the calls as they arrive.
-fn play(seed: u64, off: Off) -> Vec<Arrived> {
+/// Simulates a minute of elections, of leaders that are disconnected or paused and still consider
+/// themselves the leader, and of calls with random transit times. Returns the calls in their order
+/// of arrival.
+fn simulate(seed: u64, disabled: Disabled) -> Vec<Arrived> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut leaders: Vec<Leader> = Vec::new();
     let (mut log, mut clock) = (None::<Holding>, 0);
@@ -85,48 +90,55 @@
             let epoch = leaders.len() as u64 + 1;
             let known = log.clone();
             let vm = rng.random_range(0..VMS);
-            let lasts = rng.random_range(0..5_000);
+            let delay = rng.random_range(0..5_000);
             if let Some(last) = leaders.last_mut() {
-                last.learns = now + lasts;
+                last.notices_at = now + delay;
             }
             let began = (now, clock);
-            leaders.push(Leader { vm, epoch, began, learns: u64::MAX, frozen: 0, known });
+            leaders.push(Leader {
+                vm,
+                epoch,
+                began,
+                notices_at: u64::MAX,
+                paused_until: 0,
+                known,
+            });
         }
         let newest = leaders.len() - 1;
         for (number, leader) in leaders.iter_mut().enumerate() {
             if rng.random_ratio(1, 400) {
-                leader.frozen = now + rng.random_range(500..8_000);
+                leader.paused_until = now + rng.random_range(500..8_000);
             }
-            if now >= leader.learns || now < leader.frozen {
+            if now >= leader.notices_at || now < leader.paused_until {
                 continue;
             }
             let fleet = leader.fleet_now(now);
             let node = leader.vm.to_string();
-            let turn = match (
-                off,
+            let action = match (
+                disabled,
                 Holding::next_action(leader.known.as_ref(), &node, leader.epoch, fleet),
             ) {
-                (Off::Log, _) => DutyAction::Call(LEASE_MS),
-                (Off::Wait, DutyAction::Wait) => DutyAction::Acquire,
-                (Off::End, DutyAction::Acquire)
+                (Disabled::Log, _) => DutyAction::Call(LEASE_MS),
+                (Disabled::Wait, DutyAction::Wait) => DutyAction::Acquire,
+                (Disabled::End, DutyAction::Acquire)
                     if leader.known.as_ref().is_some_and(|k| k.token == leader.epoch) =>
                 {
                     DutyAction::Call(LEASE_MS)
                 }
-                (_, turn) => turn,
+                (_, action) => action,
             };
-            match turn {
+            match action {
                 DutyAction::Acquire if number == newest => {
                     clock = clock.max(fleet);
                     let next = Holding::new(&node, leader.epoch, fleet);
                     let free = log.as_ref().is_none_or(|held| held.can_pass_to(&next, clock));
-                    if free || off == Off::Wait {
+                    if free || disabled == Disabled::Wait {
                         log = Some(next);
                     }
                     leader.known.clone_from(&log);
                 }
                 DutyAction::Call(_) => {
-                    let at = now + rng.random_range(1..WAY_MS);
+                    let at = now + rng.random_range(1..MAX_TRANSIT_MS);
                     arrived.push(Arrived { at, vm: leader.vm, token: leader.epoch });
                 }
                 DutyAction::Acquire | DutyAction::Wait => {}
@@ -137,8 +149,8 @@
     arrived
 }
 
-/// Tells what is wrong with the calls, if anything is.
-fn fault(calls: &[Arrived]) -> Option<String> {
+/// Returns a description of the first violation in the calls, if any.
+fn violation(calls: &[Arrived]) -> Option<String> {
     for pair in calls.windows(2) {
         if pair[1].token < pair[0].token && pair[1].vm != pair[0].vm {
             return Some(format!(
@@ -147,10 +159,10 @@
             ));
         }
     }
-    for (place, last) in calls.iter().enumerate() {
-        let lately = calls[..place].iter().rev().take_while(|call| last.at - call.at < LEASE_MS);
+    for (index, last) in calls.iter().enumerate() {
+        let recent = calls[..index].iter().rev().take_while(|call| last.at - call.at < LEASE_MS);
         let mut other = false;
-        for call in lately {
+        for call in recent {
             if call.vm != last.vm {
                 other = true;
             } else if other {
@@ -161,22 +173,24 @@
     None
 }
 
-/// Symptom: two VMs call the platform by turns, or with a token below one that it has seen.
-/// Sequence: a leader is frozen or cut off while it holds the duty; another is elected, and a third, or
-/// the first again; each believes that it leads for up to five seconds after the next was elected.
-/// Cause: the duty has to end by the holder's own clock before anybody else begins.
-/// Proof: no play has such calls, and with each protection off some play does.
+/// Guards against two VMs that call the platform in alternation, or with a lower token than one
+/// already used. A leader is paused or disconnected while it holds the duty; another one is
+/// elected, and then a third one or the first one again. Each of them considers itself the leader
+/// for up to five seconds after the next election. The duty must end by the clock of its holder
+/// before another VM acquires it. No simulation has such calls, and some simulation does with each
+/// of the protections disabled.
 #[test]
-fn holders_never_act_by_turns_within_the_lease() {
+fn calls_of_two_holders_never_alternate_within_the_lease() {
     let mut calls = 0;
     for seed in 0..2_000 {
-        let arrived = play(seed, Off::Nothing);
+        let arrived = simulate(seed, Disabled::Nothing);
         calls += arrived.len();
-        assert_eq!(fault(&arrived), None, "seed {seed}");
+        assert_eq!(violation(&arrived), None, "seed {seed}");
     }
-    assert!(calls > 200_000, "holders do call: {calls}");
-    for off in [Off::End, Off::Wait, Off::Log] {
-        let noticed = (0..200).filter(|seed| fault(&play(*seed, off)).is_some()).count();
-        assert!(noticed > 0, "{off:?} is not noticed");
+    assert!(calls > 200_000, "too few calls: {calls}");
+    for disabled in [Disabled::End, Disabled::Wait, Disabled::Log] {
+        let detected =
+            (0..200).filter(|seed| violation(&simulate(*seed, disabled)).is_some()).count();
+        assert!(detected > 0, "{disabled:?} is not detected");
     }
 }
--- a/components/fleet/tests/order_lease.rs
+++ b/components/fleet/tests/order_lease.rs
@@ -1,35 +1,36 @@
-//! When a new leader gives engines orders.
+//! Tests of when a new leader may give orders to engines.
 
 use std::collections::BTreeMap;
 
 use chicoryford_fleet::order_lease::OrderLease;
 use chicoryford_types::Millis;
 
-const BEGAN: Millis = Millis(10_000);
+const LEADER_SINCE: Millis = Millis(10_000);
 
-fn turn(fenced: bool) -> OrderLease {
-    let ordered = BTreeMap::from([("lately".to_owned(), BEGAN), ("old".to_owned(), Millis(7_000))]);
-    OrderLease { leader_since: BEGAN, lease_ms: 3_000, engines_fence: fenced, last_orders: ordered }
+fn lease(engines_fence: bool) -> OrderLease {
+    let last_orders =
+        BTreeMap::from([("lately".to_owned(), LEADER_SINCE), ("old".to_owned(), Millis(7_000))]);
+    OrderLease { leader_since: LEADER_SINCE, lease_ms: 3_000, engines_fence, last_orders }
 }
 
-/// Symptom: after a change of leader a step waits for two seconds until its first sample runs.
-/// Sequence: the leader is cut off just when a version is named; the next leader gives no engine an
-/// order for three seconds; the step that needs the version comes meanwhile.
-/// Cause: it waited for all engines, though only few had an order of the leader before.
+/// Guards against a step that waits for two seconds after a change of leader. The leader was
+/// disconnected when a version was published, and the next leader gave no engine an order for three
+/// seconds, in which the step that needed the version was submitted. It waited for all engines,
+/// though only a few had got an order from the previous leader.
 #[test]
-fn engines_with_fences_are_ordered_at_once_unless_they_were_lately() {
-    let turn = turn(true);
-    assert!(turn.may_order("never", BEGAN));
-    assert!(turn.may_order("old", BEGAN));
-    assert!(!turn.may_order("lately", BEGAN + 2_999));
-    assert!(turn.may_order("lately", BEGAN + 3_000));
+fn fencing_engines_get_orders_at_once_unless_they_got_one_recently() {
+    let lease = lease(true);
+    assert!(lease.may_order("never", LEADER_SINCE));
+    assert!(lease.may_order("old", LEADER_SINCE));
+    assert!(!lease.may_order("lately", LEADER_SINCE + 2_999));
+    assert!(lease.may_order("lately", LEADER_SINCE + 3_000));
 }
 
 #[test]
-fn engines_without_fences_are_not_ordered_for_a_lease() {
-    let turn = turn(false);
+fn engines_without_fencing_get_no_orders_for_one_lease() {
+    let lease = lease(false);
     for engine in ["never", "old", "lately"] {
-        assert!(!turn.may_order(engine, BEGAN + 2_999));
-        assert!(turn.may_order(engine, BEGAN + 3_000));
+        assert!(!lease.may_order(engine, LEADER_SINCE + 2_999));
+        assert!(lease.may_order(engine, LEADER_SINCE + 3_000));
     }
 }
--- a/components/fleet/tests/pick.rs
+++ b/components/fleet/tests/pick.rs
@@ -1,4 +1,4 @@
-//! Which endpoint gets the next attempt of a plain request.
+//! Tests of the choice of an endpoint for an attempt.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use chicoryford_types::Millis;
 
 fn endpoint(id: &str, sequence: u64) -> Endpoint {
-    let said = Announcement {
+    let announcement = Announcement {
         id: id.to_owned(),
         started_ms: 0,
         service: "desk".to_owned(),
@@ -22,7 +22,7 @@
         models: BTreeMap::new(),
         sequence,
     };
-    Endpoint { announcement: said, status: EndpointStatus::Ready }
+    Endpoint { announcement, status: EndpointStatus::Ready }
 }
 
 fn picker(ids: &[&str]) -> Picker {
@@ -43,10 +43,10 @@
     assert_eq!(chosen, ["a", "b", "c"]);
 }
 
-/// The load: one endpoint of three turns four times slower for some seconds, while requests are
-/// due within a few times the usual work.
+/// One of three endpoints becomes four times slower for some seconds, while the deadline of a
+/// request is only a few times its usual duration.
 #[test]
-fn a_slow_endpoint_gets_little_work_until_it_is_forgotten() {
+fn a_slow_endpoint_gets_few_attempts_until_its_slowness_decays() {
     let mut picker = picker(&["a", "b", "c"]);
     let mut now = 0;
     let mut slow = 0;
@@ -73,18 +73,17 @@
     assert!(later.contains(&"a".to_owned()), "it is tried again");
 }
 
-/// Symptom: one broken endpoint draws most of the requests and fails them.
-/// Sequence: it fails each attempt at once, so it is always the least loaded.
-/// Cause: failures were not held against it.
+/// Guards against a broken endpoint that gets most requests and fails them: as it fails every
+/// attempt immediately, it always has the lowest load.
 #[test]
-fn an_endpoint_that_fails_is_left_alone_for_a_while() {
+fn a_failing_endpoint_is_avoided_for_a_while() {
     let mut picker = picker(&["a", "b"]);
     let mut failed = 0;
     for n in 0..100 {
         let id = pick(&mut picker, n * 10);
-        let ending = if id == "a" { AttemptOutcome::Failed } else { AttemptOutcome::Answered(25) };
+        let outcome = if id == "a" { AttemptOutcome::Failed } else { AttemptOutcome::Answered(25) };
         failed += u32::from(id == "a");
-        picker.record_outcome(&id, "route", ending, Millis(n * 10));
+        picker.record_outcome(&id, "route", outcome, Millis(n * 10));
     }
     assert!(failed <= 5, "{failed}");
 }
@@ -100,7 +99,7 @@
 }
 
 #[test]
-fn an_endpoint_that_moved_is_not_used_until_it_is_heard_again() {
+fn a_moved_endpoint_is_not_used_until_its_next_announcement() {
     let mut picker = picker(&["a"]);
     let id = pick(&mut picker, 0);
     picker.record_outcome(&id, "route", AttemptOutcome::Moved, Millis(0));
@@ -110,18 +109,18 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_no_work() {
+fn a_draining_endpoint_gets_no_attempts() {
     let mut picker = picker(&["a"]);
     picker.observe(&Endpoint { status: EndpointStatus::Draining, ..endpoint("a", 2) });
     assert_eq!(picker.pick("desk", "route", |_| true, Millis(1)), Err(PickError::NoneReady));
     assert!(!picker.is_ready("a"));
 }
 
-/// Symptom: an endpoint that started again stays idle. Sequence: it fails a few times as it crashes, or
-/// another endpoint answers at its address; it starts again under its identity. Cause: what was
-/// measured of the start before was held against the next one.
+/// Guards against a restarted endpoint that stays idle: it fails some attempts while it crashes, or
+/// another endpoint answers at its address, and measurements from before the restart were applied
+/// to the restarted endpoint with the same id.
 #[test]
-fn a_new_start_under_the_same_identity_is_a_new_endpoint() {
+fn a_restart_under_the_same_id_resets_the_measurements() {
     let mut picker = picker(&["a"]);
     assert_eq!(pick(&mut picker, 0), "a");
     picker.record_outcome("a", "route", AttemptOutcome::Moved, Millis(1));
@@ -132,12 +131,11 @@
     assert_eq!(pick(&mut picker, 3), "a");
 }
 
-/// The load: one service under two routes, whose answers take 25 ms and 200 ms, with no endpoint any
-/// slower than another. Symptom: second attempts of quick requests begin when they are late already,
-/// and endpoints are shunned for the long work that they were given. Cause: what is usual was learned
-/// by service.
+/// Guards against measuring usual durations by service. One service has two routes whose answers
+/// take 25 ms and 200 ms, and all its endpoints are equally fast. Second attempts of short requests
+/// started too late, and endpoints were avoided because of the long requests that they had run.
 #[test]
-fn routes_of_one_service_have_their_own_usual_time() {
+fn routes_of_one_service_have_separate_usual_durations() {
     let mut picker = picker(&["a", "b", "c"]);
     let mut counts = BTreeMap::new();
     for n in 0..300 {
@@ -152,9 +150,9 @@
     assert!(counts.values().all(|count| (80..=120).contains(count)), "{counts:?}");
 }
 
-/// An endpoint that is slow at one route is slow at the others, too.
+/// An endpoint that is slow on one route is slow on the others too.
 #[test]
-fn what_is_learned_of_an_endpoint_holds_on_all_routes() {
+fn slowness_of_an_endpoint_applies_to_all_routes() {
     let mut picker = picker(&["a", "b"]);
     for n in 0..40 {
         let id = picker.pick("desk", "quick", |_| true, Millis(n * 10)).unwrap().id;
@@ -169,16 +167,16 @@
 }
 
 #[test]
-fn a_route_that_is_gone_is_forgotten() {
+fn measurements_of_a_removed_route_are_dropped() {
     let mut picker = picker(&["a"]);
     picker.record_outcome("a", "route", AttemptOutcome::Answered(25), Millis(1));
     picker.retain_routes(|route| route != "route");
     assert_eq!(picker.median_ms("route"), None);
 }
 
-/// Guards against processes that carry the same request and ask different endpoints.
+/// Guards against processes that handle the same request and send it to different endpoints.
 #[test]
-fn all_processes_prefer_the_same_endpoints_and_keep_them_when_another_goes() {
+fn all_processes_prefer_the_same_endpoints_and_keep_them_when_one_is_removed() {
     let names = ["a", "b", "c", "d", "e", "f", "g"];
     let (one, mut other) = (picker(&names), picker(&names));
     for request in 0..50 {
@@ -186,9 +184,9 @@
         let preferred = one.preferred("desk", &request, 3, |_| true);
         assert_eq!(preferred.len(), 3);
         assert_eq!(other.preferred("desk", &request, 3, |_| true), preferred);
-        let gone = preferred.first().unwrap();
-        let left = one.preferred("desk", &request, 3, |id| id != gone);
-        assert_eq!(left.intersection(&preferred).count(), 2, "{preferred:?} {left:?}");
+        let removed = preferred.first().unwrap();
+        let remaining = one.preferred("desk", &request, 3, |id| id != removed);
+        assert_eq!(remaining.intersection(&preferred).count(), 2, "{preferred:?} {remaining:?}");
     }
     other.forget("a");
     let without = other.preferred("desk", "r0", 7, |_| true);
--- a/components/fleet/tests/policy.rs
+++ b/components/fleet/tests/policy.rs
@@ -1,4 +1,5 @@
-//! Each switch stops its mechanism and nothing else; settings may name some of them.
+//! Tests that each switch disables only its mechanism, and that settings may contain some of the
+//! switches.
 
 mod support;
 
@@ -22,13 +23,13 @@
 
 use support::steps_config;
 
-/// Where a store gives parts.
+/// The address of a store, which these tests do not use.
 fn address() -> SocketAddr {
     "10.0.0.1:7".parse().unwrap()
 }
 
 fn endpoint(id: &str, service: &str) -> Endpoint {
-    let said = Announcement {
+    let announcement = Announcement {
         id: id.to_owned(),
         started_ms: 0,
         service: service.to_owned(),
@@ -39,10 +40,11 @@
         models: BTreeMap::from([("m".to_owned(), 1)]),
         sequence: 1,
     };
-    Endpoint { announcement: said, status: EndpointStatus::Ready }
+    Endpoint { announcement, status: EndpointStatus::Ready }
 }
 
-/// Which endpoint is picked after one of two has failed.
+/// Returns how often the failed one of two endpoints is picked right after its failure, as a list
+/// of its id.
 fn after_a_failure(policy: Policy) -> Vec<String> {
     let mut picker = Picker::new(7).with_policy(policy);
     picker.observe(&endpoint("a", "desk"));
@@ -54,16 +56,16 @@
 }
 
 #[test]
-fn without_penalties_an_endpoint_that_failed_is_asked_again_at_once() {
+fn without_penalties_a_failed_endpoint_is_picked_again_at_once() {
     assert!(after_a_failure(Policy::default()).is_empty());
     let off = Policy { penalties: false, ..Policy::default() };
-    assert_eq!(after_a_failure(off).len(), 1, "two picks go to two endpoints");
+    assert_eq!(after_a_failure(off).len(), 1, "the two attempts use both endpoints");
 }
 
-/// Which samples start first where there is room for two.
+/// Returns the samples that start first when two slots are free.
 fn first_started(policy: Policy) -> Vec<u32> {
-    let mut plan = Planner::new(Epoch(1)).with_policy(policy);
-    plan.update_engine(&endpoint("e", "engines"));
+    let mut planner = Planner::new(Epoch(1)).with_policy(policy);
+    planner.update_engine(&endpoint("e", "engines"));
     let sample = |expected: u64| Sample {
         id: format!("s{expected}"),
         path: "/s/1".to_owned(),
@@ -79,8 +81,8 @@
         samples: [5, 1, 9, 3].into_iter().map(sample).collect(),
         ..Step::default()
     };
-    plan.open_step(Arc::new(step), Millis(0), Millis::default(), |_| false);
-    plan.assign(&steps_config(), Millis(1)).iter().map(|assignment| assignment.index).collect()
+    planner.open_step(Arc::new(step), Millis(0), Millis::default(), |_| false);
+    planner.assign(&steps_config(), Millis(1)).iter().map(|assignment| assignment.index).collect()
 }
 
 #[test]
--- a/components/fleet/tests/wait_queue.rs
+++ b/components/fleet/tests/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait share what comes free.
+//! Tests of the queue of requests that wait for a slot.
 
 use std::collections::BTreeMap;
 
@@ -7,79 +7,80 @@
 use chicoryford_types::Millis;
 
 #[test]
-fn the_most_urgent_goes_first_and_others_wait_for_it() {
-    let mut line = WaitQueue::default();
+fn the_most_urgent_request_is_first_and_others_wait() {
+    let mut queue = WaitQueue::default();
     let now = Millis(1_000);
-    assert!(!line.must_wait(now));
-    line.pause(now);
-    let late = line.push("w", 2);
-    let urgent = line.push("x", 0);
-    assert_eq!(line.wait_ms(late, now), None);
-    assert_eq!(line.wait_ms(urgent, now), Some(30));
-    assert_eq!(line.wait_ms(urgent, now + 30), Some(0));
-    line.admit(urgent);
-    assert_eq!(line.wait_ms(late, now + 30), Some(0));
-    line.remove(late);
-    assert!(!line.must_wait(now + 30));
+    assert!(!queue.must_wait(now));
+    queue.pause(now);
+    let late = queue.push("w", 2);
+    let urgent = queue.push("x", 0);
+    assert_eq!(queue.wait_ms(late, now), None);
+    assert_eq!(queue.wait_ms(urgent, now), Some(30));
+    assert_eq!(queue.wait_ms(urgent, now + 30), Some(0));
+    queue.admit(urgent);
+    assert_eq!(queue.wait_ms(late, now + 30), Some(0));
+    queue.remove(late);
+    assert!(!queue.must_wait(now + 30));
 }
 
 #[test]
-fn a_request_that_found_endpoints_full_again_keeps_its_place() {
-    let mut line = WaitQueue::default();
-    let (first, second) = (line.push("w", 1), line.push("x", 1));
-    line.admit(first);
-    assert_eq!(line.wait_ms(second, Millis(0)), Some(0));
-    line.requeue(first);
-    assert_eq!(line.wait_ms(second, Millis(0)), None);
+fn a_request_that_found_endpoints_full_again_keeps_its_position() {
+    let mut queue = WaitQueue::default();
+    let (first, second) = (queue.push("w", 1), queue.push("x", 1));
+    queue.admit(first);
+    assert_eq!(queue.wait_ms(second, Millis(0)), Some(0));
+    queue.requeue(first);
+    assert_eq!(queue.wait_ms(second, Millis(0)), None);
 }
 
-/// A request of the play.
+/// A request in the simulation.
 struct Request {
     workspace: String,
-    came: u64,
-    place: Option<QueuePosition>,
+    arrived: u64,
+    position: Option<QueuePosition>,
 }
 
-/// Plays 20 s of 88 workspaces before one endpoint that is left of four, with six places and requests of
-/// 25 ms, 240 a second. Gives the part of each workspace's requests that were served; those that
-/// have waited for 90 ms are refused.
-fn play(requests: &[(u64, String)], fair: bool) -> BTreeMap<String, f64> {
-    let mut line = WaitQueue::default();
+/// Simulates 20 s in which 88 workspaces share the one remaining endpoint of four, with six slots,
+/// requests of 25 ms and 240 requests a second. Returns the share of the requests of each workspace
+/// that were served. Requests that have waited for 90 ms are rejected.
+fn simulate(requests: &[(u64, String)], fair: bool) -> BTreeMap<String, f64> {
+    let mut queue = WaitQueue::default();
     let mut waiting: Vec<Request> = Vec::new();
     let mut busy: Vec<u64> = Vec::new();
-    let (mut asked, mut served) = (BTreeMap::<String, f64>::new(), BTreeMap::<String, f64>::new());
-    let mut coming = requests.iter().peekable();
+    let (mut sent, mut served) = (BTreeMap::<String, f64>::new(), BTreeMap::<String, f64>::new());
+    let mut arriving = requests.iter().peekable();
     for now in 0..20_000 {
         busy.retain(|end| *end > now);
-        while let Some((came, workspace)) = coming.next_if(|(came, _)| *came <= now) {
-            *asked.entry(workspace.clone()).or_default() += 1.0;
+        while let Some((arrived, workspace)) = arriving.next_if(|(arrived, _)| *arrived <= now) {
+            *sent.entry(workspace.clone()).or_default() += 1.0;
             let name = if fair { workspace.as_str() } else { "" };
-            let place = Some(line.push(name, 1));
-            waiting.push(Request { workspace: workspace.clone(), came: *came, place });
+            let position = Some(queue.push(name, 1));
+            waiting.push(Request { workspace: workspace.clone(), arrived: *arrived, position });
         }
         waiting.retain(|request| {
-            let in_time = now - request.came <= 90;
-            if let Some(place) = request.place.filter(|_| !in_time) {
-                line.remove(place);
+            let in_time = now - request.arrived <= 90;
+            if let Some(position) = request.position.filter(|_| !in_time) {
+                queue.remove(position);
             }
             in_time
         });
         while busy.len() < 6 {
-            let turn = |one: &Request| line.wait_ms(one.place.unwrap(), Millis(now)) == Some(0);
-            let Some(first) = waiting.iter().position(turn) else { break };
+            let is_next =
+                |one: &Request| queue.wait_ms(one.position.unwrap(), Millis(now)) == Some(0);
+            let Some(first) = waiting.iter().position(is_next) else { break };
             let request = waiting.swap_remove(first);
-            line.admit(request.place.unwrap());
+            queue.admit(request.position.unwrap());
             busy.push(now + 25);
             *served.entry(request.workspace).or_default() += 1.0;
         }
     }
-    asked
-        .iter()
-        .map(|(name, asked)| (name.clone(), served.get(name).unwrap_or(&0.0) / asked))
+    sent.iter()
+        .map(|(name, sent)| (name.clone(), served.get(name).unwrap_or(&0.0) / sent))
         .collect()
 }
 
-/// Gives the requests of 88 workspaces that send `each` a second, the first one 20 times as many.
+/// Returns the requests of 88 workspaces, each of which sends `each` requests a second, the first
+/// one 20 times as many.
 fn load(each: f64) -> Vec<(u64, String)> {
     let mut requests = Vec::new();
     for number in 0..88 {
@@ -95,18 +96,23 @@
     requests
 }
 
-/// Pattern: three quarters of a service's endpoints are lost while one of 88 workspaces sends 20 times
-/// as much as each other one; what is left carries the others, but not all.
+/// Three quarters of the endpoints of a service are lost while one of 88 workspaces sends 20 times
+/// as many requests as each of the others. The remaining capacity suffices for the others, but not
+/// for all requests.
 #[test]
 fn one_workspace_of_88_does_not_starve_the_others() {
     let requests = load(2.6);
     let alone: Vec<(u64, String)> = requests.iter().filter(|(_, w)| w != "w0").cloned().collect();
-    let (alone, beside) = (play(&alone, true), play(&requests, true));
+    let (alone, together) = (simulate(&alone, true), simulate(&requests, true));
     for (workspace, share) in &alone {
-        assert!(beside[workspace] >= 0.9 * share, "{workspace}: {} of {share}", beside[workspace]);
+        assert!(
+            together[workspace] >= 0.9 * share,
+            "{workspace}: {} of {share}",
+            together[workspace]
+        );
     }
-    assert!(beside["w0"] > 0.1, "it gets what is left: {}", beside["w0"]);
-    let unfair = play(&requests, false);
+    assert!(together["w0"] > 0.1, "it gets the remaining capacity: {}", together["w0"]);
+    let unfair = simulate(&requests, false);
     let starved = alone.iter().filter(|(name, share)| unfair[*name] < 0.9 * **share).count();
-    assert!(starved > 20, "without shares {starved} would be starved");
+    assert!(starved > 20, "without fair queueing {starved} workspaces are starved");
 }
