--- a/components/fleet/benches/round.rs
+++ b/components/fleet/benches/round.rs
@@ -1,7 +1,8 @@
-//! What one round of the leader costs by the number of engines: the planner's looks, the choice of
-//! engines that take new weights, and the samples of a step that start.
+//! Measures the cost of one round of the leader by the number of engines: timeouts of the registry,
+//! the search for slow runs, the selection of weight loads, and the assignment of the samples of a
+//! step.
 //!
-//! `cargo bench -p chicoryford-fleet --bench round`; docs/SCALE.md notes the figures.
+//! `cargo bench -p chicoryford-fleet --bench round`; docs/SCALE.md has the figures.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -29,11 +30,12 @@
 use support::announcement;
 use support::steps_config;
 
-/// Engines: those of the largest deployment, and a tenth, a third and all of those beside 300 VMs.
+/// Numbers of engines: that of the largest deployment, and a tenth, a third and all of those of a
+/// fleet with 300 VMs.
 const ENGINES: [usize; 4] = [46, 300, 1_000, 3_000];
-/// Samples of a step, as the largest deployment's trainers submit them.
+/// Samples per step, as submitted by trainers of the largest deployment.
 const SAMPLES: usize = 144;
-/// Rounds that are timed.
+/// Timed rounds.
 const ROUNDS: u32 = 50;
 const NOW: Millis = Millis(1_000);
 const MODELS: [&str; 3] = ["one", "two", "three"];
@@ -68,7 +70,7 @@
     })
 }
 
-/// Gives the microseconds that one call takes.
+/// Returns the microseconds per call.
 fn time(mut work: impl FnMut()) -> f64 {
     let began = Instant::now();
     for _ in 0..ROUNDS {
@@ -78,7 +80,7 @@
 }
 
 fn main() {
-    // Test runners ask every target for its tests.
+    // Test runners call every target with these arguments to list its tests.
     if std::env::args().any(|argument| argument == "--list" || argument == "--test") {
         return;
     }
--- a/components/fleet/src/copies.rs
+++ b/components/fleet/src/copies.rs
@@ -1,8 +1,8 @@
-//! On which store VMs the parts of steps lie, and when there are too few copies.
+//! Placement of parts on store VMs, and detection of parts with too few copies.
 //!
-//! The log of the control processes holds what must be agreed on, which is small. Bodies and
-//! texts are large, are written once and never changed, so copies of them lie on as many store
-//! VMs as may be lost at once, and one more; the log says on which.
+//! The log of the control processes contains only what must be agreed on, which is small. Bodies
+//! and texts are large, written once and never changed. They are therefore stored on one more store
+//! VM than the number that may be lost at the same time, and the log records on which.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,69 +15,74 @@
 
 use crate::policy::Policy;
 
-/// Identifies a part; drawn by the leader that wrote it.
+/// The id of a part, chosen at random by the leader that wrote it.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
 pub struct PartId(pub u64);
 
-/// A store VM together with the identity of its data folder: one that lost its disk is another.
+/// A store VM and the identity of its data folder. A store that lost its disk gets another
+/// identity.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct StoreId {
     /// The VM.
     pub node: String,
-    /// The identity of its folder.
+    /// The identity of its data folder.
     pub identity: u64,
 }
 
-/// Where a part lies.
+/// Where a part is stored.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum Placement {
-    /// In the log itself, because there were too few stores when it was written.
+    /// In the log, because too few stores were available when it was written.
     Inline(Bytes),
     /// On these stores.
     Stores(BTreeSet<StoreId>),
 }
 
-/// Milliseconds for which a store that is not connected still counts. Stores come back a fraction
-/// of a second after the leader changed; one that is down for longer may be gone for good.
-const ABSENT_MS: u64 = 2_500;
+/// Milliseconds for which the copies of a disconnected store still count. Stores reconnect within a
+/// fraction of a second after a change of leader; a store that stays disconnected for longer may be
+/// lost permanently.
+const ABSENCE_TIMEOUT_MS: u64 = 2_500;
 
-/// What is known of a store.
+/// What the leader knows about a store.
 #[derive(Clone, Debug)]
-struct Known {
+struct StoreInfo {
     identity: u64,
     data_centre: String,
-    /// Where it gives parts.
+    /// The address at which parts can be read.
     address: SocketAddr,
     connected: bool,
+    /// When it last connected or disconnected.
     seen: Millis,
+    /// Copies written to it.
     puts: u64,
 }
 
-/// The store VMs as the leader sees them.
+/// The store VMs known to the leader.
 #[derive(Debug, Default)]
 pub struct Stores {
-    /// The leader's data centre.
+    /// The data centre of the leader.
     data_centre: String,
-    known: BTreeMap<String, Known>,
-    began: Millis,
+    known: BTreeMap<String, StoreInfo>,
+    /// When the leader was elected.
+    started: Millis,
     policy: Policy,
 }
 
 impl Stores {
-    /// Starts to look at stores from a data centre; for a while, those that are not seen yet still
-    /// count.
-    pub fn new(here: &str, now: Millis) -> Self {
-        Self { data_centre: here.to_owned(), began: now, ..Self::default() }
+    /// Creates the set of stores for a leader in a data centre. Stores that have not connected yet
+    /// still count for some time.
+    pub fn new(data_centre: &str, now: Millis) -> Self {
+        Self { data_centre: data_centre.to_owned(), started: now, ..Self::default() }
     }
 
-    /// Chooses with these mechanisms.
+    /// Sets which mechanisms are enabled.
     pub fn with_policy(self, policy: Policy) -> Self {
         Self { policy, ..self }
     }
 
-    /// Notes that a store has connected.
+    /// Records that a store has connected.
     pub fn connected(
         &mut self,
         id: StoreId,
@@ -87,11 +92,11 @@
     ) {
         let puts = self.known.get(&id.node).map_or(0, |known| known.puts);
         let (identity, connected, seen) = (id.identity, true, now);
-        let known = Known { identity, data_centre, address, connected, seen, puts };
+        let known = StoreInfo { identity, data_centre, address, connected, seen, puts };
         self.known.insert(id.node, known);
     }
 
-    /// Notes that a store's connection has ended.
+    /// Records that a store has disconnected.
     pub fn disconnected(&mut self, id: &StoreId, now: Millis) {
         let known = self.known.get_mut(&id.node).filter(|known| known.identity == id.identity);
         if let Some(known) = known {
@@ -100,95 +105,97 @@
         }
     }
 
-    /// Tells whether a copy on a store still counts.
+    /// Returns whether copies on a store still count.
     pub fn is_counted(&self, id: &StoreId, now: Millis) -> bool {
         match self.known.get(&id.node) {
             Some(known) if known.identity != id.identity => false,
-            Some(known) => known.connected || now.since(known.seen) < ABSENT_MS,
-            None => now.since(self.began) < ABSENT_MS,
+            Some(known) => known.connected || now.since(known.seen) < ABSENCE_TIMEOUT_MS,
+            None => now.since(self.started) < ABSENCE_TIMEOUT_MS,
         }
     }
 
-    /// Tells whether a store can be asked now.
+    /// Returns whether a store can be called now.
     pub fn is_connected(&self, id: &StoreId) -> bool {
         let known = self.known.get(&id.node);
         known.is_some_and(|known| known.connected && known.identity == id.identity)
     }
 
-    /// Chooses stores for a new copy, best first: other data centres than those that have one, of
-    /// these the leader's own, then those that were given the fewest. Spread evenly, four of six
-    /// copies would cross to another data centre, and with one near it is three; what is read again
-    /// is near as well.
-    pub fn choose(&self, have: &BTreeSet<StoreId>, avoid: &BTreeSet<String>) -> Vec<StoreId> {
-        let nodes: BTreeSet<&str> = have.iter().map(|id| id.node.as_str()).collect();
-        let mut used: BTreeSet<&str> = nodes
+    /// Returns the stores for a new copy, best first: those in data centres without a copy,
+    /// starting with the data centre of the leader, then those with the fewest writes. With an even
+    /// distribution, four of six copies would be sent to another data centre; with one copy nearby,
+    /// only three are, and later reads are local as well.
+    pub fn choose(&self, holders: &BTreeSet<StoreId>, avoid: &BTreeSet<String>) -> Vec<StoreId> {
+        let nodes: BTreeSet<&str> = holders.iter().map(|id| id.node.as_str()).collect();
+        let mut used_data_centres: BTreeSet<&str> = nodes
             .iter()
             .filter_map(|node| self.known.get(*node))
             .map(|known| known.data_centre.as_str())
             .collect();
-        let mut fit: Vec<(&String, &Known)> = self
+        let mut available: Vec<(&String, &StoreInfo)> = self
             .known
             .iter()
             .filter(|(node, known)| {
                 known.connected && !nodes.contains(node.as_str()) && !avoid.contains(*node)
             })
             .collect();
-        fit.sort_by_key(|(node, known)| (self.is_far(known), known.puts, *node));
-        let (mut apart, beside): (Vec<_>, Vec<_>) =
-            fit.into_iter().partition(|(_, known)| used.insert(&known.data_centre));
-        apart.extend(beside);
-        let id = |(node, known): (&String, &Known)| StoreId {
+        available.sort_by_key(|(node, known)| (self.is_far(known), known.puts, *node));
+        let (mut other_data_centres, same_data_centres): (Vec<_>, Vec<_>) = available
+            .into_iter()
+            .partition(|(_, known)| used_data_centres.insert(&known.data_centre));
+        other_data_centres.extend(same_data_centres);
+        let id = |(node, known): (&String, &StoreInfo)| StoreId {
             node: node.clone(),
             identity: known.identity,
         };
-        apart.into_iter().map(id).collect()
+        other_data_centres.into_iter().map(id).collect()
     }
 
-    /// Gives the stores that can be asked for a part now, nearest first.
+    /// Returns the stores from which a part can be read now, nearest first.
     pub fn holders(&self, stores: &BTreeSet<StoreId>) -> Vec<StoreId> {
-        let mut live: Vec<StoreId> =
+        let mut connected: Vec<StoreId> =
             stores.iter().filter(|id| self.is_connected(id)).cloned().collect();
-        live.sort_by_key(|id| self.known.get(&id.node).is_none_or(|known| self.is_far(known)));
-        live
+        connected.sort_by_key(|id| self.known.get(&id.node).is_none_or(|known| self.is_far(known)));
+        connected
     }
 
-    /// Gives where a part can be read in a data centre, if a copy lies there.
-    pub fn address_in(&self, place: &Placement, data_centre: &str) -> Option<SocketAddr> {
-        let Placement::Stores(stores) = place else { return None };
-        let live = stores.iter().filter(|id| self.is_connected(id));
-        let mut known = live.filter_map(|id| self.known.get(&id.node));
+    /// Returns the address at which a part can be read within a data centre, if a copy is stored
+    /// there.
+    pub fn address_in(&self, placement: &Placement, data_centre: &str) -> Option<SocketAddr> {
+        let Placement::Stores(stores) = placement else { return None };
+        let connected = stores.iter().filter(|id| self.is_connected(id));
+        let mut known = connected.filter_map(|id| self.known.get(&id.node));
         known.find(|known| known.data_centre == data_centre).map(|known| known.address)
     }
 
-    fn is_far(&self, known: &Known) -> bool {
+    fn is_far(&self, known: &StoreInfo) -> bool {
         self.policy.near_copies && known.data_centre != self.data_centre
     }
 
-    /// Counts a copy that a store was given.
+    /// Records that a copy was written to a store.
     pub fn record_put(&mut self, id: &StoreId) {
         if let Some(known) = self.known.get_mut(&id.node) {
             known.puts += 1;
         }
     }
 
-    /// Counts the stores that are connected and that `fits` names.
+    /// Returns the number of connected stores for which `fits` returns true.
     pub fn count(&self, fits: impl Fn(&str) -> bool) -> usize {
         self.known.iter().filter(|(node, known)| known.connected && fits(node)).count()
     }
 
-    /// Tells whether a store VM is known.
+    /// Returns whether a store VM is known.
     pub fn is_known(&self, node: &str) -> bool {
         self.known.contains_key(node)
     }
 
-    /// Finds the copies of a part that count, leaving out stores that are to be emptied.
+    /// Returns the copies of a part that count, except those on stores that are to be emptied.
     pub fn counted_copies(
         &self,
-        place: &Placement,
+        placement: &Placement,
         leaving: &BTreeSet<String>,
         now: Millis,
     ) -> BTreeSet<StoreId> {
-        match place {
+        match placement {
             Placement::Inline(_) => BTreeSet::new(),
             Placement::Stores(stores) => stores
                 .iter()
--- a/components/fleet/src/crashes.rs
+++ b/components/fleet/src/crashes.rs
@@ -1,7 +1,7 @@
-//! Contents that crash the endpoints that run them (docs/SUSPECTS.md).
+//! Counts endpoint crashes per request content (docs/SUSPECTS.md).
 //!
-//! A request that crashes its endpoint comes again under another identity, at any entry. So what is
-//! counted is its content, and the count is the fleet's.
+//! A request that crashes its endpoint is retried under another id, at any entry. Crashes are
+//! therefore counted by the content of the request, for the whole fleet.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,8 +14,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Contents of which one process remembers by itself that they crashed endpoints.
-const KEPT: usize = 1_024;
+/// Maximum number of contents for which one process records crashes itself.
+const MAX_LOCAL_CONTENTS: usize = 1_024;
 
 /// A crash of an endpoint while it ran a request.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
@@ -26,7 +26,7 @@
     pub endpoint: String,
 }
 
-/// What the fleet knows of such contents, as the log holds it.
+/// The contents that crash endpoints, as replicated in the log.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct CrashState {
     suspects: BTreeMap<Fingerprint, BTreeSet<String>>,
@@ -34,7 +34,7 @@
 }
 
 impl CrashState {
-    /// Takes in a crash; tells whether it was not known. `at` is the fleet's clock.
+    /// Records a crash at `at` of the fleet clock. Returns whether it was new.
     pub fn record_crash(&mut self, crash: Crash, at: u64) -> bool {
         let (rule, now) = (Rule::default(), Unix(at));
         let Crash { content, endpoint } = crash;
@@ -67,24 +67,24 @@
         true
     }
 
-    /// Takes in that a content ran to its end; tells whether it was suspected.
+    /// Records that a request with a content completed. Returns whether the content was suspected.
     pub fn clear_suspect(&mut self, content: Fingerprint) -> bool {
         self.suspects.remove(&content).is_some()
     }
 
-    /// Gives the contents that are refused.
+    /// Returns the contents that are rejected.
     pub fn refused(&self) -> BTreeSet<Fingerprint> {
         self.convictions.keys().copied().collect()
     }
 
-    /// Tells whether a content is refused.
+    /// Returns whether a content is rejected.
     pub fn refuses(&self, content: Fingerprint) -> bool {
         self.convictions.contains_key(&content)
     }
 }
 
-/// What one process knows: what the fleet refuses, and what it saw by itself, so that it refuses a content
-/// also while no leader can be told.
+/// The contents that one process rejects: those rejected by the fleet, and those that it has seen
+/// crash endpoints itself, so that it rejects them also while no leader is reachable.
 #[derive(Clone, Debug, Default)]
 pub struct LocalCrashes {
     refused: BTreeSet<Fingerprint>,
@@ -92,30 +92,31 @@
 }
 
 impl LocalCrashes {
-    /// Takes in what the fleet refuses.
+    /// Sets the contents rejected by the fleet.
     pub fn set_refused(&mut self, refused: BTreeSet<Fingerprint>) {
         self.refused = refused;
     }
 
-    /// Takes in a crash that this process saw.
+    /// Records a crash that this process observed.
     pub fn record_crash(&mut self, crash: &Crash) {
-        if self.seen.len() >= KEPT && !self.seen.contains_key(&crash.content) {
+        if self.seen.len() >= MAX_LOCAL_CONTENTS && !self.seen.contains_key(&crash.content) {
             self.seen.pop_first();
         }
         self.seen.entry(crash.content).or_default().insert(crash.endpoint.clone());
     }
 
-    /// Takes in that a content ran to its end; tells whether this process saw it crash an endpoint.
+    /// Records that a request with a content completed. Returns whether this process had seen the
+    /// content crash an endpoint.
     pub fn clear_suspect(&mut self, content: Fingerprint) -> bool {
         self.seen.remove(&content).is_some()
     }
 
-    /// Tells whether any content may be refused.
+    /// Returns whether no content can be rejected.
     pub fn is_empty(&self) -> bool {
         self.refused.is_empty() && self.seen.is_empty()
     }
 
-    /// Tells whether a content is to be refused.
+    /// Returns whether a content is to be rejected.
     pub fn refuses(&self, content: Fingerprint) -> bool {
         let crashes = self.seen.get(&content).map_or(0, BTreeSet::len);
         self.refused.contains(&content) || crashes >= Rule::default().apart as usize
--- a/components/fleet/src/endpoint.rs
+++ b/components/fleet/src/endpoint.rs
@@ -1,7 +1,7 @@
-//! Endpoints as they announce themselves.
+//! Registry of endpoints, built from their announcements.
 //!
-//! Nobody else keeps a list of them. Announcements come late, out of order, and even after their
-//! sender has ended and another endpoint has taken over its address.
+//! There is no other list of endpoints. Announcements may be late, out of order, or arrive after
+//! their sender has stopped and another endpoint uses its address.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,32 +13,33 @@
 use crate::config::Config;
 use crate::heartbeats::Heartbeat;
 
-/// What an endpoint says of itself.
+/// What an endpoint announces about itself.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Announcement {
-    /// The incarnation. Most starts have a new one; `born` tells those apart that share one.
+    /// The id of the incarnation. Most restarts get a new one; `started_ms` distinguishes those
+    /// that share an id.
     pub id: String,
-    /// The Unix millisecond of its start, by its own clock; zero if it does not say. An endpoint may
-    /// start again under its old identity, with nothing of before, and counts anew from then on.
+    /// The start time as Unix milliseconds by its own clock, or zero if unknown. An endpoint may
+    /// restart under its previous id; it has lost its state then and its `sequence` starts again.
     pub started_ms: u64,
     /// The service that it belongs to.
     pub service: String,
-    /// Where it answers.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: String,
-    /// Requests that it works on at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether it is about to stop.
     pub draining: bool,
     /// The version of each model that it holds.
     pub models: BTreeMap<String, u64>,
-    /// Counts its announcements since its start.
+    /// The number of the announcement, counted since its start.
     pub sequence: u64,
 }
 
 impl Announcement {
-    /// Tells whether this says just what another one said, but for its number.
+    /// Returns whether this announcement equals another one except for its sequence number.
     pub fn is_repeat_of(&self, other: &Self) -> bool {
         Self { sequence: other.sequence, ..self.clone() } == *other
     }
@@ -49,50 +50,51 @@
 pub enum EndpointStatus {
     /// It may.
     Ready,
-    /// It leaves: no new work, but what it has may finish.
+    /// It is about to stop: it gets no new work but may finish its current work.
     Draining,
-    /// It has said that it is gone, though it may still finish what it has.
+    /// It has announced that it is gone, though it may still finish its current work.
     Gone,
-    /// Nothing was heard of it for so long that it has probably crashed.
+    /// No announcement has arrived for so long that it has probably crashed.
     Silent,
 }
 
-/// What is known of an endpoint.
+/// An endpoint and its status.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Endpoint {
-    /// What it last said.
+    /// Its last announcement.
     pub announcement: Announcement,
     /// Whether it may be given work.
     pub status: EndpointStatus,
 }
 
-/// What an announcement changed.
+/// The effect of an announcement.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Something that others must be told.
+    /// It changed something that other processes must be informed of.
     Changed,
-    /// Nothing but the time at which it was heard.
+    /// It changed only the time of the last announcement.
     Refreshed,
-    /// Nothing: it was older than what is known, or its endpoint is gone.
+    /// It was ignored, because it is older than the last one or its endpoint is gone.
     Stale,
 }
 
-struct Held {
+struct Entry {
     endpoint: Endpoint,
-    heard: Millis,
+    last_heard: Millis,
 }
 
-/// Times after which the registry changes its mind.
+/// Timeouts of the registry.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Milliseconds of silence after which an endpoint gets no more work. Announcements come
-    /// about every 1.2 s and may come seconds late.
+    /// Milliseconds without announcements after which an endpoint gets no more work. Announcements
+    /// are sent about every 1.2 s and may be late by seconds.
     pub silent_ms: u64,
-    /// Milliseconds after which a silent or gone endpoint is forgotten. Until then its late
+    /// Milliseconds after which a silent or gone endpoint is removed. Until then, late
     /// announcements are recognised as such.
     pub forget_ms: u64,
-    /// Milliseconds for which an endpoint that nobody knew when it said that it is gone is not believed
-    /// to be there: its announcements come late by seconds, not by tens of them.
+    /// Milliseconds for which announcements of an endpoint are ignored that was unknown when it
+    /// announced that it is gone. Its announcements may be late by seconds, but not by tens of
+    /// seconds.
     pub left_ms: u64,
 }
 
@@ -102,154 +104,171 @@
     }
 }
 
-/// All endpoints that are known, kept by the leader.
+/// All known endpoints, kept by the leader.
 #[derive(Default)]
 pub struct Registry {
     settings: Settings,
-    entries: BTreeMap<String, Held>,
-    /// Endpoints that were not known when they said that they are gone, and when they said so.
+    entries: BTreeMap<String, Entry>,
+    /// Endpoints that were unknown when they announced that they are gone, with the time of that
+    /// announcement.
     left: BTreeMap<String, Millis>,
 }
 
 impl Registry {
-    /// Starts from what another process knew; all count as heard now, since nothing tells when
-    /// they were.
+    /// Creates a registry from the endpoints known to another process. All of them count as
+    /// announced at `now`, as the actual times are unknown.
     pub fn from_known(
         settings: Settings,
         known: impl Iterator<Item = Endpoint>,
         now: Millis,
     ) -> Self {
-        let held =
-            known.map(|endpoint| (endpoint.announcement.id.clone(), Held { endpoint, heard: now }));
-        Self { settings, entries: held.collect(), left: BTreeMap::new() }
+        let entries = known.map(|endpoint| {
+            (endpoint.announcement.id.clone(), Entry { endpoint, last_heard: now })
+        });
+        Self { settings, entries: entries.collect(), left: BTreeMap::new() }
     }
 
-    /// Tells whether an announcement names a service that the configuration does not. Somebody else
-    /// may have written it, even under the identity of an endpoint that is known; it must then
-    /// change nothing. Without a configuration nothing can be told yet.
-    pub fn is_foreign(&self, said: &Announcement, config: Option<&Config>) -> bool {
+    /// Returns whether an announcement names a service that is not in the configuration. It may
+    /// come from another sender, even if it has the id of a known endpoint, and must then be
+    /// ignored. Without a configuration, this cannot be determined, so the result is false.
+    pub fn is_foreign(&self, announcement: &Announcement, config: Option<&Config>) -> bool {
         let Some(config) = config else { return false };
-        let known =
-            self.get(&said.id).is_some_and(|known| known.announcement.service == said.service);
-        !known && config.services.iter().all(|service| service.name != said.service)
+        let known = self
+            .get(&announcement.id)
+            .is_some_and(|known| known.announcement.service == announcement.service);
+        !known && config.services.iter().all(|service| service.name != announcement.service)
     }
 
-    /// Takes in an announcement.
-    pub fn announce(&mut self, said: Announcement, now: Millis) -> Effect {
-        let standing = if said.draining { EndpointStatus::Draining } else { EndpointStatus::Ready };
-        let Some(held) = self.entries.get_mut(&said.id) else {
-            if self.left.contains_key(&said.id) {
+    /// Records an announcement and returns its effect.
+    pub fn announce(&mut self, announcement: Announcement, now: Millis) -> Effect {
+        let status =
+            if announcement.draining { EndpointStatus::Draining } else { EndpointStatus::Ready };
+        let Some(entry) = self.entries.get_mut(&announcement.id) else {
+            if self.left.contains_key(&announcement.id) {
                 return Effect::Stale;
             }
-            let id = said.id.clone();
-            let endpoint = Endpoint { announcement: said, status: standing };
-            self.entries.insert(id, Held { endpoint, heard: now });
+            let id = announcement.id.clone();
+            let endpoint = Endpoint { announcement, status };
+            self.entries.insert(id, Entry { endpoint, last_heard: now });
             return Effect::Changed;
         };
-        let before = &held.endpoint;
-        // Its numbers begin anew with each start. Went the numbers alone, an endpoint that started
-        // again under its identity would be taken for its own past, and get no work until it had
-        // announced itself as often as before.
-        let started_again = said.started_ms > before.announcement.started_ms;
-        let gone = before.status == EndpointStatus::Gone;
-        let late = said.started_ms < before.announcement.started_ms
-            || said.sequence <= before.announcement.sequence;
-        if !started_again && (gone || late) {
+        let previous = &entry.endpoint;
+        // Sequence numbers start again with every restart. Without the comparison of start times,
+        // announcements of an endpoint restarted under its previous id would be considered stale,
+        // and it would get no work until it had sent as many of them as before.
+        let restarted = announcement.started_ms > previous.announcement.started_ms;
+        let is_gone = previous.status == EndpointStatus::Gone;
+        let is_late = announcement.started_ms < previous.announcement.started_ms
+            || announcement.sequence <= previous.announcement.sequence;
+        if !restarted && (is_gone || is_late) {
             return Effect::Stale;
         }
-        held.heard = now;
-        // An endpoint that leaves does not come back without a new start; a word that it is ready
-        // is one that was overtaken.
-        let leaves = before.status == EndpointStatus::Draining;
-        if !started_again && leaves && standing == EndpointStatus::Ready {
+        entry.last_heard = now;
+        // A draining endpoint becomes ready only by a restart; an announcement that it is ready was
+        // sent before it started draining.
+        let was_draining = previous.status == EndpointStatus::Draining;
+        if !restarted && was_draining && status == EndpointStatus::Ready {
             return Effect::Stale;
         }
-        let changed = !said.is_repeat_of(&before.announcement) || before.status != standing;
-        held.endpoint = Endpoint { announcement: said, status: standing };
+        let changed =
+            !announcement.is_repeat_of(&previous.announcement) || previous.status != status;
+        entry.endpoint = Endpoint { announcement, status };
         if changed { Effect::Changed } else { Effect::Refreshed }
     }
 
-    /// Takes in that a control process has heard an endpoint say again what is known; tells whether
-    /// that is news of it. A sign changes nothing but the time at which it was heard: one of an endpoint
-    /// that leaves, that was taken for silent or that started again meanwhile is older than that.
-    pub fn record_heartbeat(&mut self, sign: &Heartbeat, now: Millis) -> bool {
-        let Some(held) = self.entries.get_mut(&sign.id) else { return false };
-        let said = &mut held.endpoint.announcement;
-        let ready = held.endpoint.status == EndpointStatus::Ready;
-        if !ready || sign.started_ms != said.started_ms || sign.sequence <= said.sequence {
+    /// Records a heartbeat that a control process received and returns whether it is newer than the
+    /// last announcement. A heartbeat only updates the time of the last announcement. It is
+    /// outdated if the endpoint has since started draining, become silent or restarted.
+    pub fn record_heartbeat(&mut self, heartbeat: &Heartbeat, now: Millis) -> bool {
+        let Some(entry) = self.entries.get_mut(&heartbeat.id) else { return false };
+        let announcement = &mut entry.endpoint.announcement;
+        let ready = entry.endpoint.status == EndpointStatus::Ready;
+        if !ready
+            || heartbeat.started_ms != announcement.started_ms
+            || heartbeat.sequence <= announcement.sequence
+        {
             return false;
         }
-        said.sequence = sign.sequence;
-        held.heard = held.heard.max(Millis(now.0.saturating_sub(sign.age_ms)));
+        announcement.sequence = heartbeat.sequence;
+        entry.last_heard = entry.last_heard.max(Millis(now.0.saturating_sub(heartbeat.age_ms)));
         true
     }
 
-    /// Notes that an endpoint says it is gone. One that is not known is noted too, so that an
-    /// announcement of it that comes later is not believed.
+    /// Records that an endpoint announced that it is gone. This is also recorded for an unknown
+    /// endpoint, so that its late announcements are ignored.
     pub fn leave(&mut self, id: &str, now: Millis) -> Effect {
-        let Some(held) = self.entries.get_mut(id) else {
+        let Some(entry) = self.entries.get_mut(id) else {
             self.left.insert(id.to_owned(), now);
             return Effect::Stale;
         };
-        held.heard = now;
-        if held.endpoint.status == EndpointStatus::Gone {
+        entry.last_heard = now;
+        if entry.endpoint.status == EndpointStatus::Gone {
             return Effect::Stale;
         }
-        held.endpoint.status = EndpointStatus::Gone;
+        entry.endpoint.status = EndpointStatus::Gone;
         Effect::Changed
     }
 
-    /// Notes what was learned of an endpoint's weights other than by its announcements.
+    /// Records the version of an endpoint's model, learned by other means than an announcement.
     pub fn set_version(&mut self, id: &str, model: &str, version: u64) -> Effect {
-        let Some(held) = self.entries.get_mut(id) else { return Effect::Stale };
-        let known = held.endpoint.announcement.models.insert(model.to_owned(), version);
+        let Some(entry) = self.entries.get_mut(id) else { return Effect::Stale };
+        let known = entry.endpoint.announcement.models.insert(model.to_owned(), version);
         if known == Some(version) { Effect::Refreshed } else { Effect::Changed }
     }
 
-    /// Lets time pass. Gives the endpoints that changed, and those that are forgotten.
+    /// Applies the timeouts and returns the endpoints that changed and the ids of those that were
+    /// removed.
     pub fn tick(&mut self, now: Millis) -> (Vec<Endpoint>, Vec<String>) {
         let mut changed = Vec::new();
-        for held in self.entries.values_mut() {
-            let silent = now.since(held.heard) >= self.settings.silent_ms;
-            let live =
-                matches!(held.endpoint.status, EndpointStatus::Ready | EndpointStatus::Draining);
-            if silent && live {
-                held.endpoint.status = EndpointStatus::Silent;
-                changed.push(held.endpoint.clone());
+        for entry in self.entries.values_mut() {
+            let is_silent = now.since(entry.last_heard) >= self.settings.silent_ms;
+            let is_active =
+                matches!(entry.endpoint.status, EndpointStatus::Ready | EndpointStatus::Draining);
+            if is_silent && is_active {
+                entry.endpoint.status = EndpointStatus::Silent;
+                changed.push(entry.endpoint.clone());
             }
         }
         let left_ms = self.settings.left_ms;
         self.left.retain(|_, left| now.since(*left) < left_ms);
-        let old = |held: &Held| now.since(held.heard) >= self.settings.forget_ms;
-        let forgotten: Vec<String> =
-            self.entries.iter().filter(|(_, held)| old(held)).map(|(id, _)| id.clone()).collect();
-        for id in &forgotten {
+        let is_expired = |entry: &Entry| now.since(entry.last_heard) >= self.settings.forget_ms;
+        let removed: Vec<String> = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| is_expired(entry))
+            .map(|(id, _)| id.clone())
+            .collect();
+        for id in &removed {
             self.entries.remove(id);
         }
-        (changed, forgotten)
+        (changed, removed)
     }
 
-    /// Compares with the endpoints that are noted: gives those that may be given work and are new or
-    /// otherwise than noted, and those noted that may not any more.
-    pub fn diff(&self, noted: &BTreeMap<String, Endpoint>) -> (Vec<Endpoint>, Vec<String>) {
-        let ready = |id: &str| self.get(id).filter(|known| known.status == EndpointStatus::Ready);
-        let same = |known: &Endpoint| {
-            noted
+    /// Compares the registry with the endpoints recorded in the log. Returns ready endpoints that
+    /// are new or differ from their record, and the ids of recorded endpoints that are no longer
+    /// ready.
+    pub fn diff(&self, recorded: &BTreeMap<String, Endpoint>) -> (Vec<Endpoint>, Vec<String>) {
+        let ready_endpoint =
+            |id: &str| self.get(id).filter(|known| known.status == EndpointStatus::Ready);
+        let is_unchanged = |known: &Endpoint| {
+            recorded
                 .get(&known.announcement.id)
-                .is_some_and(|noted| known.announcement.is_repeat_of(&noted.announcement))
+                .is_some_and(|recorded| known.announcement.is_repeat_of(&recorded.announcement))
         };
-        let live = self.all().filter(|known| known.status == EndpointStatus::Ready && !same(known));
-        let gone = noted.keys().filter(|id| ready(id).is_none());
+        let live = self
+            .all()
+            .filter(|known| known.status == EndpointStatus::Ready && !is_unchanged(known));
+        let gone = recorded.keys().filter(|id| ready_endpoint(id).is_none());
         (live.cloned().collect(), gone.cloned().collect())
     }
 
-    /// Gives an endpoint.
+    /// Returns an endpoint.
     pub fn get(&self, id: &str) -> Option<&Endpoint> {
-        self.entries.get(id).map(|held| &held.endpoint)
+        self.entries.get(id).map(|entry| &entry.endpoint)
     }
 
-    /// Gives all endpoints.
+    /// Returns all endpoints.
     pub fn all(&self) -> impl Iterator<Item = &Endpoint> {
-        self.entries.values().map(|held| &held.endpoint)
+        self.entries.values().map(|entry| &entry.endpoint)
     }
 }
--- a/components/fleet/src/heartbeats.rs
+++ b/components/fleet/src/heartbeats.rs
@@ -1,9 +1,10 @@
-//! Announcements that change nothing, heard by any control process.
+//! Collects announcements that change nothing, which any control process may receive.
 //!
-//! Each endpoint announces itself about every second, and nearly all of it is what everybody knows.
-//! Were each passed on to the leader, that one process would take 2,500 of them a second from 3,000
-//! endpoints, and have no time left to lead. So a control process answers those itself and tells the
-//! leader once a second whom it heard ([`HeartbeatBuffer::signs`]); docs/SCALE.md has the figures.
+//! Every endpoint announces itself about every second, and nearly all announcements repeat what is
+//! known. If each were forwarded to the leader, it would receive 2,500 of them a second from 3,000
+//! endpoints and have no time left for its other work. A control process therefore answers them
+//! itself and sends the leader one list of heartbeats a second ([`HeartbeatBuffer::pending`]);
+//! docs/SCALE.md has the figures.
 
 use std::collections::BTreeMap;
 
@@ -15,65 +16,75 @@
 use crate::endpoint::Endpoint;
 use crate::endpoint::EndpointStatus;
 
-/// That an endpoint was heard, as a control process tells the leader.
+/// A heartbeat of an endpoint, as sent by a control process to the leader.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Heartbeat {
-    /// The endpoint's incarnation.
+    /// The endpoint id.
     pub id: String,
-    /// Its start.
+    /// The start time of the endpoint, as in its announcement.
     pub started_ms: u64,
-    /// The number of its newest announcement.
+    /// The sequence number of its newest announcement.
     pub sequence: u64,
-    /// Milliseconds since that was heard, by the hearer's own clock. No clocks of two VMs are
-    /// compared, and a sign that waited for a leader does not look fresh.
+    /// Milliseconds since that announcement arrived, by the clock of the receiver. This avoids
+    /// comparing clocks of two VMs, and a heartbeat that was delayed until a leader was found does
+    /// not seem recent.
     pub age_ms: u64,
 }
 
-struct Noted {
-    born: u64,
+struct Received {
+    started_ms: u64,
     sequence: u64,
     at: Millis,
 }
 
-/// What a control process has heard and not told the leader yet: one entry an endpoint at most.
+/// The heartbeats that a control process has not sent to the leader yet, at most one per endpoint.
 #[derive(Default)]
 pub struct HeartbeatBuffer {
-    noted: BTreeMap<String, Noted>,
+    received: BTreeMap<String, Received>,
 }
 
 impl HeartbeatBuffer {
-    /// Takes in an announcement if it changes nothing of what is `known`; tells whether it did. All
-    /// others are the leader's: new endpoints, those that leave or have left, and those that it
-    /// took for silent.
-    pub fn record(&mut self, known: Option<&Endpoint>, said: &Announcement, now: Millis) -> bool {
+    /// Records an announcement that repeats what is `known` about a ready endpoint. Returns whether
+    /// it was recorded. All others must go to the leader: those of new, draining, gone or silent
+    /// endpoints, and changes.
+    pub fn record(
+        &mut self,
+        known: Option<&Endpoint>,
+        announcement: &Announcement,
+        now: Millis,
+    ) -> bool {
         let Some(known) = known.filter(|known| known.status == EndpointStatus::Ready) else {
             return false;
         };
-        if !said.is_repeat_of(&known.announcement) {
+        if !announcement.is_repeat_of(&known.announcement) {
             return false;
         }
-        let (born, sequence) = (said.started_ms, said.sequence);
-        // One that was overtaken on its way is no sign of life of now.
-        let noted = self.noted.get(&said.id);
-        if noted.is_none_or(|noted| (noted.born, noted.sequence) < (born, sequence)) {
-            self.noted.insert(said.id.clone(), Noted { born, sequence, at: now });
+        let (started_ms, sequence) = (announcement.started_ms, announcement.sequence);
+        // An announcement that arrives after a newer one does not show that the endpoint is alive
+        // now.
+        let received = self.received.get(&announcement.id);
+        if received.is_none_or(|received| {
+            (received.started_ms, received.sequence) < (started_ms, sequence)
+        }) {
+            self.received
+                .insert(announcement.id.clone(), Received { started_ms, sequence, at: now });
         }
         true
     }
 
-    /// Gives what the leader is to be told.
+    /// Returns the recorded heartbeats.
     pub fn pending(&self, now: Millis) -> Vec<Heartbeat> {
-        let sign = |(id, noted): (&String, &Noted)| Heartbeat {
+        let heartbeat = |(id, received): (&String, &Received)| Heartbeat {
             id: id.clone(),
-            started_ms: noted.born,
-            sequence: noted.sequence,
-            age_ms: now.since(noted.at),
+            started_ms: received.started_ms,
+            sequence: received.sequence,
+            age_ms: now.since(received.at),
         };
-        self.noted.iter().map(sign).collect()
+        self.received.iter().map(heartbeat).collect()
     }
 
-    /// Forgets what the leader was told.
+    /// Removes all recorded heartbeats after they were sent.
     pub fn clear(&mut self) {
-        self.noted.clear();
+        self.received.clear();
     }
 }
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -1,7 +1,8 @@
-//! What a fleet agrees on and decides: routes, endpoints, steps, weights.
+//! Replicated state and scheduling decisions of a fleet: routes, endpoints, steps and weights.
 //!
-//! Everything here is pure: events and readings of a clock go in, decisions come out. The
-//! processes around it are in the node crate; docs/PLATFORM.md shows how they fit together.
+//! This crate does no I/O and reads no clocks: events and clock readings are passed in, and
+//! decisions are returned. The processes that use it are in the node crate; docs/PLATFORM.md
+//! describes how they work together.
 
 pub mod config;
 pub mod copies;
--- a/components/fleet/src/result_cache.rs
+++ b/components/fleet/src/result_cache.rs
@@ -1,8 +1,8 @@
-//! Results that an entry has read lately, so that it need not ask for them again.
+//! Cache of results that an entry has read.
 //!
-//! A result never changes its place or its content once it was listed, so what was read once may be
-//! given again by anyone, at any time, without asking the leader. Trainers read twice a second and
-//! at times from an earlier place, and other callers read whole steps.
+//! The position and content of a listed result never change, so a result that was read once can be
+//! returned to any caller at any time without asking the leader. Trainers read twice a second and
+//! sometimes from an earlier position, and other callers read whole steps.
 
 use std::collections::BTreeMap;
 
@@ -10,103 +10,103 @@
 use crate::step::SampleResult;
 use crate::step::reply_bytes;
 
-/// The result of a sample, at some place of its step.
-type Placed = (String, SampleResult);
+/// The sample id and result at a position in the list of a step.
+type SampleEntry = (String, SampleResult);
 
-struct Known {
+struct CachedStep {
     total: u64,
-    results: BTreeMap<u64, Placed>,
+    results: BTreeMap<u64, SampleEntry>,
     bytes: usize,
-    /// The number of the last use.
-    used: u64,
+    /// The value of the use counter at the last use.
+    last_use: u64,
 }
 
-/// What was read lately, within a bound.
+/// A cache of results, limited by size. The least recently used steps are evicted.
 pub struct ResultCache {
-    bound: usize,
+    max_bytes: usize,
     bytes: usize,
     uses: u64,
-    steps: BTreeMap<String, Known>,
+    steps: BTreeMap<String, CachedStep>,
 }
 
-/// Results from a place on.
+/// Consecutive results of a step from a position on.
 #[derive(Debug, Eq, PartialEq)]
 pub struct CachedResults<'a> {
-    /// The samples of the step.
+    /// The number of samples of the step.
     pub total: u64,
-    /// Sample and verdict, in the order of their places; one at least.
+    /// Sample ids and results in the order of their positions; at least one.
     pub results: Vec<(&'a str, &'a SampleResult)>,
-    /// Whether there can be no more in one reply: the step has none, or they would not fit. Others
-    /// may have been listed since; a reader who begins at the same place each time would never
-    /// see them if nobody asked.
+    /// Whether no further result can be added to the reply, because the step has none or the reply
+    /// is full. Otherwise more results may have been listed since; a caller that always reads from
+    /// the same position would never get them unless the leader is asked.
     pub full: bool,
 }
 
 impl ResultCache {
-    /// Starts with nothing; keeps about this many bytes.
-    pub fn new(bound: usize) -> Self {
-        Self { bound, bytes: 0, uses: 0, steps: BTreeMap::new() }
+    /// Creates an empty cache for about `max_bytes` bytes.
+    pub fn new(max_bytes: usize) -> Self {
+        Self { max_bytes, bytes: 0, uses: 0, steps: BTreeMap::new() }
     }
 
-    /// Takes in results that were read from a place on.
-    pub fn put(&mut self, step: &str, total: u64, after: u64, results: Vec<Placed>) {
+    /// Adds results that were read from position `after` on.
+    pub fn put(&mut self, step: &str, total: u64, after: u64, results: Vec<SampleEntry>) {
         if results.is_empty() {
             return;
         }
         self.uses += 1;
-        let known = self.steps.entry(step.to_owned()).or_insert_with(|| Known {
+        let cached = self.steps.entry(step.to_owned()).or_insert_with(|| CachedStep {
             total,
             results: BTreeMap::new(),
             bytes: 0,
-            used: 0,
+            last_use: 0,
         });
-        known.used = self.uses;
-        for (place, placed) in (after..).zip(results) {
-            let bytes = size(&placed);
-            if known.results.insert(place, placed).is_none() {
-                known.bytes += bytes;
+        cached.last_use = self.uses;
+        for (position, entry) in (after..).zip(results) {
+            let bytes = size(&entry);
+            if cached.results.insert(position, entry).is_none() {
+                cached.bytes += bytes;
                 self.bytes += bytes;
             }
         }
         self.evict();
     }
 
-    /// Gives the results from a place on, as many as are known in a row and fit into one reply;
-    /// none if the first is not known.
+    /// Returns cached results from position `after` on, up to the first one that is not cached or
+    /// does not fit into a reply. Returns `None` if the first one is not cached.
     pub fn get(&mut self, step: &str, after: u64) -> Option<CachedResults<'_>> {
-        let known = self.steps.get_mut(step)?;
+        let cached = self.steps.get_mut(step)?;
         let mut results = Vec::new();
         let mut bytes = 0;
-        for (place, (found, placed)) in (after..).zip(known.results.range(after..)) {
-            bytes += size(placed);
-            if *found != place || (bytes > MAX_REPLY_BYTES && !results.is_empty()) {
+        for (position, (found, entry)) in (after..).zip(cached.results.range(after..)) {
+            bytes += size(entry);
+            if *found != position || (bytes > MAX_REPLY_BYTES && !results.is_empty()) {
                 break;
             }
-            results.push((placed.0.as_str(), &placed.1));
+            results.push((entry.0.as_str(), &entry.1));
         }
-        let whole = bytes > MAX_REPLY_BYTES || after + results.len() as u64 >= known.total;
+        let full = bytes > MAX_REPLY_BYTES || after + results.len() as u64 >= cached.total;
         if results.is_empty() {
             return None;
         }
         self.uses += 1;
-        known.used = self.uses;
-        Some(CachedResults { total: known.total, results, full: whole })
+        cached.last_use = self.uses;
+        Some(CachedResults { total: cached.total, results, full })
     }
 
-    /// Forgets the steps that were used least lately until the rest fits.
+    /// Evicts the least recently used steps until the size is within the bound.
     fn evict(&mut self) {
-        while self.bytes > self.bound {
-            let oldest = self.steps.iter().min_by_key(|(_, known)| known.used);
+        while self.bytes > self.max_bytes {
+            let oldest = self.steps.iter().min_by_key(|(_, cached)| cached.last_use);
             let Some(id) = oldest.map(|(id, _)| id.clone()) else { return };
-            if let Some(known) = self.steps.remove(&id) {
-                self.bytes -= known.bytes;
+            if let Some(cached) = self.steps.remove(&id) {
+                self.bytes -= cached.bytes;
             }
         }
     }
 }
 
-fn size((sample, verdict): &Placed) -> usize {
-    let text = match verdict {
+fn size((sample, result): &SampleEntry) -> usize {
+    let text = match result {
         SampleResult::Completed { text, .. } => text.len(),
         SampleResult::GivenUp => 0,
     };
--- a/components/fleet/src/run.rs
+++ b/components/fleet/src/run.rs
@@ -1,8 +1,9 @@
-//! Runs of samples on the VMs that host them: what the leader asks for, and what it is told.
+//! Runs of samples on the VMs that host them: the messages between leader and hosts.
 //!
-//! The leader plans; a host carries a run out and calls the scorer. A run outlives the leader: its
-//! host goes on, and tells the next leader. The leader keeps what was made so far, so a run
-//! outlives its host as well, and goes on elsewhere after the last event that was told.
+//! The leader schedules runs; a host executes them and calls the scorer. A run survives the loss of
+//! the leader: its host continues it and reports to the next leader. The leader keeps the output so
+//! far, so a run also survives the loss of its host and resumes on another one after the last
+//! reported event.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,152 +15,154 @@
 use crate::plan::SampleOutput;
 use crate::step::Sample;
 
-/// What a request has cost so far, over all passes in which it was carried: each goes from endpoint to
-/// endpoint until one answers or its time is up.
+/// The failures of a call so far, over all of its rounds. In each round, the call is tried at one
+/// endpoint after another until one answers or the time is up.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct CallCost {
-    /// Answers that it failed.
+    /// Responses that the call failed.
     pub failures: u32,
-    /// The endpoints that may have run it.
+    /// The endpoints that may have executed the call.
     pub endpoints: BTreeSet<String>,
 }
 
 impl CallCost {
-    /// Adds what another process knows.
+    /// Adds the counts of another process.
     pub fn merge(&mut self, other: &Self) {
         self.failures = self.failures.max(other.failures);
         self.endpoints.extend(other.endpoints.iter().cloned());
     }
 }
 
-/// What a sample has cost so far. It goes with the sample from host to host, and hosts tell the next
-/// leader, so that no process begins to count anew.
+/// The failures of a sample so far. They are sent along with the sample from host to host and
+/// reported to the next leader, so that no process starts counting again.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Cost {
     /// Runs that failed.
     pub failures: u32,
-    /// Whether an engine answered that it can never be made.
+    /// Whether an engine responded that the sample can never be generated.
     pub unfit: bool,
-    /// Engines that crashed since the last event of it was made.
+    /// Engines that crashed since its last event.
     pub crashes: u32,
     /// The calls of its scorer.
     pub scorer: CallCost,
 }
 
 impl Cost {
-    /// Adds what another process knows; but for crashes, which events have cleared since.
+    /// Adds the counts of another process, except for crashes, which later events may have reset.
     pub fn merge(&mut self, other: &Self) {
         self.failures = self.failures.max(other.failures);
         self.unfit |= other.unfit;
         self.scorer.merge(&other.scorer);
     }
 
-    /// Tells whether anything has failed.
+    /// Returns whether anything has failed.
     pub fn has_failed(&self) -> bool {
         self.unfit || self.failures + self.crashes + self.scorer.failures > 0
     }
 
-    /// Tells whether the sample is not to run again on a route that allows so many failures.
+    /// Returns whether the sample must not run again on a route that allows this many failures.
     pub fn is_exhausted(&self, attempts: u32) -> bool {
         self.unfit || self.failures >= attempts.max(1)
     }
 }
 
-/// A run that a host is to carry out.
+/// A run that a host is to execute.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Job {
-    /// Tells this run from others of the same sample. A report that crosses a word to stop would
-    /// otherwise be taken for one of the next run, and the next run be stopped for it.
+    /// The id of the run, which distinguishes it from other runs of the same sample. Otherwise, a
+    /// report that crosses a stop command would be attributed to the next run, which would then be
+    /// stopped.
     pub run: u64,
     /// The step.
     pub step: String,
-    /// The place of the sample in the step.
+    /// The index of the sample in the step.
     pub index: u32,
     /// The host of the step's route.
     pub host: String,
     /// The sample.
     pub sample: Sample,
-    /// The workspace of the step, if it has one.
+    /// The workspace of the step, if any.
     pub workspace: Option<String>,
-    /// The incarnation of the engine.
+    /// The id of the engine.
     pub endpoint: String,
     /// The engine's address.
     pub address: SocketAddr,
-    /// The version of the model there.
+    /// The version of the model on the engine.
     pub version: u64,
-    /// The oldest version that may generate.
+    /// The oldest version that may generate events.
     pub min_version: u64,
-    /// Whether one version must generate all of it.
+    /// Whether a single version must generate all events.
     pub single_version: bool,
-    /// Milliseconds until the sample is too old, and no endpoint is to work for it any more.
+    /// Milliseconds until the sample is too old and no endpoint may work on it any more.
     pub remaining_ms: u64,
-    /// What was made so far.
+    /// The output so far.
     pub output: SampleOutput,
-    /// What it has cost so far.
+    /// The failures so far.
     pub cost: Cost,
 }
 
-/// What a host is to do.
+/// A command to a host.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum HostCommand {
-    /// Carry out a run, in place of one of the same sample.
+    /// Execute a run, replacing another run of the same sample.
     Run(Box<Job>),
-    /// Tell of all runs again: the leader may not have known of their steps.
+    /// Report all runs completely again, because the leader may not have known their steps.
     Tell,
-    /// Stop a run, or forget one that has ended.
+    /// Stop a run, or drop one that has ended.
     Stop {
         /// The step.
         step: String,
-        /// The place of the sample.
+        /// The index of the sample in the step.
         index: u32,
-        /// The run; another one of the same sample goes on.
+        /// The id of the run; another run of the same sample continues.
         run: u64,
     },
 }
 
-/// How a run stands.
+/// The status of a run.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum RunStatus {
-    /// Events are coming.
+    /// Events are being generated.
     Running,
-    /// All events came; the scorer is being called.
+    /// All events have arrived and the scorer is being called.
     Scoring,
-    /// The run came to nothing, or to a part of the sample.
+    /// The run ended without completing the sample.
     Ended(RunEnd),
-    /// The sample is whole, with its score if it has a scorer.
+    /// The sample is complete, with its score if it has a scorer.
     Finished(Option<String>),
     /// The scorer failed too often.
     Unscored,
 }
 
-/// What a host tells of a run.
+/// A report of a host about a run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct RunReport {
-    /// The run.
+    /// The id of the run.
     pub run: u64,
     /// The step.
     pub step: String,
-    /// The place of the sample in the step.
+    /// The index of the sample in the step.
     pub index: u32,
-    /// The incarnation of the engine.
+    /// The id of the engine.
     pub endpoint: String,
-    /// How the run stands.
+    /// The status of the run.
     pub status: RunStatus,
-    /// The place of the first event that is told here.
+    /// The index of the first event in this report.
     pub from: u32,
-    /// The events from there on, the number of the last, and all versions so far.
+    /// The events from there on, the id of the last one, and all versions so far.
     pub output: SampleOutput,
-    /// Mean milliseconds between the events told here; zero if there are too few.
+    /// Mean milliseconds between the events in this report; zero if there are too few.
     pub gap_ms: u32,
-    /// What the sample had cost before this run ended.
+    /// The failures of the sample before this run ended.
     pub cost: Cost,
-    /// Milliseconds until the sample is too old, as the host was told; the next leader may know less of how
-    /// long ago it was submitted.
+    /// Milliseconds until the sample is too old, as communicated to the host. The next leader may
+    /// have less information on when it was submitted.
     pub remaining_ms: u64,
 }
 
 impl RunReport {
-    /// Adds what is told to what was known; tells whether they fit together.
+    /// Appends the reported events to the known output, replacing overlapping events. Returns false
+    /// if there is a gap between them.
     pub fn append_to(&self, known: &mut SampleOutput) -> bool {
         let from = self.from as usize;
         if from > known.events.len() {
--- a/components/fleet/src/state.rs
+++ b/components/fleet/src/state.rs
@@ -1,4 +1,4 @@
-//! What the fleet agrees on: the state that every replica of the log computes alike.
+//! The replicated state of the fleet, which every replica computes from the log.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,184 +24,187 @@
 /// A change of the state.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum Command {
-    /// Submits a configuration; the highest version is in force.
+    /// Submits a configuration. The one with the highest version is in force.
     Configure(Arc<Config>),
-    /// Names a version of a model's weights; the highest counts.
+    /// Publishes a version of the weights of a model. The highest version counts.
     Publish {
         /// The model.
         model: String,
         /// The version.
         version: u64,
     },
-    /// Submits a step, whose samples lie in a part.
+    /// Submits a step whose samples are stored in a part.
     Submit {
         /// The step.
         step: Arc<StepSummary>,
-        /// Where the part lies.
-        place: Placement,
+        /// Where the part is stored.
+        placement: Placement,
     },
-    /// Lists results of a step. A sample that is listed already stays as it is.
+    /// Lists results of a step. A sample that is already listed keeps its result.
     List {
         /// The step.
         step: String,
-        /// The part that holds their texts, and where it lies; none if there are no texts.
+        /// The part that holds their texts and where it is stored, or `None` without texts.
         part: Option<(PartId, Placement)>,
-        /// The results, in the order of their places.
+        /// The results, in the order of their positions.
         results: Vec<Arc<ListedResult>>,
     },
-    /// Notes that a part holds what was made so far of some samples of a step.
+    /// Records a part that holds checkpoints of samples of a step.
     Note {
         /// The step.
         step: String,
         /// The part.
         part: PartId,
-        /// Where it lies.
-        place: Placement,
+        /// Where the part is stored.
+        placement: Placement,
     },
-    /// Notes what has changed of the endpoints that are known, for a leader that finds nobody who knows
-    /// them. Were all noted each time, one of 3,000 endpoints that leaves would wait for half a
-    /// megabyte to be on the disks of a majority before its word is acknowledged.
+    /// Records changes of the known endpoints, for a leader that finds no other process that knows
+    /// them. If all endpoints were recorded each time, the acknowledgement of one of 3,000
+    /// endpoints that stops would wait until half a megabyte is on the disks of a majority.
     Know {
-        /// Endpoints that are new or otherwise than noted.
+        /// Endpoints that are new or differ from their record.
         live: Vec<Endpoint>,
-        /// Endpoints to which no work may go any more.
+        /// Endpoints that must not get work any more.
         gone: Vec<String>,
     },
-    /// Notes that copies of a part lie elsewhere now.
+    /// Records that copies of a part are stored elsewhere now.
     Move {
         /// The part.
         part: PartId,
         /// The stores that hold it.
         stores: BTreeSet<StoreId>,
     },
-    /// Ends a step: nothing of it runs any more.
+    /// Ends a step. None of its samples run any more.
     End {
         /// The step.
         step: String,
     },
-    /// Forgets steps that nobody may ask for any more.
+    /// Removes steps that can no longer be requested.
     Forget {
         /// The steps.
         steps: Vec<String>,
     },
-    /// Takes the duty to call the platform, or holds it for longer.
+    /// Acquires or renews the duty to call the platform.
     Hold(Holding),
-    /// Notes what entries have counted of workspaces' usage.
+    /// Records the usage of workspaces as counted by entries.
     Use(Vec<Totals>),
-    /// Closes a window of usage and those before it: what entries tell of them from now on comes too
-    /// late.
+    /// Closes a window of usage and all windows before it. Usage that entries report for them later
+    /// is dropped.
     CloseWindow {
         /// The window.
         window: u64,
-        /// The newest window that the platform is known to have accepted, with all before it.
+        /// The newest window that the platform is known to have accepted together with all windows
+        /// before it.
         accepted: Option<u64>,
     },
-    /// Notes that an endpoint crashed while it ran a content.
+    /// Records that an endpoint crashed while it ran a request with this content.
     Crash(Crash),
-    /// Notes that a content which was suspected ran to its end.
+    /// Records that a request with a suspected content completed.
     Clear(Fingerprint),
-    /// Notes that a store VM is to be emptied.
+    /// Records that the parts on a store VM are to be moved elsewhere.
     Retire {
         /// The VM.
         node: String,
     },
 }
 
-/// A command with the fleet's clock at which the leader proposed it.
+/// A command stamped with the fleet clock when the leader proposed it.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Stamped {
-    /// Milliseconds of the fleet's clock, which counts while a leader leads. Clocks of VMs cannot
-    /// be compared, so each leader goes on from the last stamp in the log.
+    /// Milliseconds of the fleet clock, which advances while there is a leader. Clocks of different
+    /// VMs cannot be compared, so each leader continues from the last stamp in the log.
     pub at: u64,
     /// The command.
     pub command: Command,
 }
 
-/// What a command did.
+/// The effect of a command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ApplyOutcome {
     /// It changed the state.
     Changed,
-    /// The state held it already, or something newer.
+    /// The state already contained it or something newer.
     Held,
-    /// It is about a step that is not known.
+    /// It refers to an unknown step.
     Unknown,
 }
 
-/// A step and what became of it.
+/// A step and its results.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct StepState {
     /// The step.
     pub step: Arc<StepSummary>,
-    /// When it was submitted, by the fleet's clock.
-    pub at: u64,
-    /// The results at their places.
+    /// When it was submitted, on the fleet clock.
+    pub submitted_at: u64,
+    /// The results, in the order in which they were listed.
     pub results: Vec<Arc<ListedResult>>,
-    /// The samples that have a result.
+    /// The indices of the samples with results.
     pub listed: BTreeSet<u32>,
-    /// Parts with what was made so far of samples without results, oldest first.
-    pub notes: Vec<PartId>,
-    /// When it was ended.
-    pub ended: Option<u64>,
+    /// Parts with checkpoints of samples without results, oldest first.
+    pub checkpoints: Vec<PartId>,
+    /// When it was ended, on the fleet clock.
+    pub ended_at: Option<u64>,
 }
 
 impl StepState {
-    /// Tells whether samples of it are still to be made.
+    /// Returns whether samples of the step are still to be generated.
     pub fn is_open(&self) -> bool {
-        self.ended.is_none() && self.results.len() < self.step.samples as usize
+        self.ended_at.is_none() && self.results.len() < self.step.samples as usize
     }
 
-    /// Tells whether a sample has its result.
+    /// Returns whether a sample has a result.
     pub fn is_listed(&self, index: u32) -> bool {
         self.listed.contains(&index)
     }
 }
 
-/// A part of a step.
+/// A stored part of a step.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Part {
     /// The step.
     pub step: String,
-    /// Where it lies.
-    pub place: Placement,
+    /// Where the part is stored.
+    pub placement: Placement,
 }
 
-/// The state.
+/// The replicated state.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct State {
-    /// The highest stamp that was applied.
+    /// The highest stamp of an applied command.
     pub clock: u64,
     /// The configuration in force.
     pub config: Option<Arc<Config>>,
-    /// The newest version that was named of each model.
+    /// The newest published version of each model.
     pub versions: BTreeMap<String, u64>,
     /// The steps.
     pub steps: BTreeMap<String, StepState>,
-    /// Where the parts of steps lie.
+    /// The parts of steps and where they are stored.
     pub parts: BTreeMap<PartId, Part>,
-    /// Store VMs that are to be emptied.
+    /// Store VMs whose parts are to be moved elsewhere.
     pub retired: BTreeSet<String>,
-    /// Endpoints that were known lately.
+    /// The recently known endpoints.
     pub endpoints: BTreeMap<String, Endpoint>,
-    /// Who may call the platform; nobody before the first.
+    /// The holder of the duty to call the platform; `None` before the first one.
     pub holding: Option<Holding>,
-    /// What workspaces have used.
+    /// The usage of workspaces.
     pub usage: UsageState,
-    /// Contents that crash endpoints.
+    /// Contents of requests that crash endpoints.
     pub crashes: crashes::CrashState,
 }
 
 impl State {
-    /// Applies a command.
+    /// Applies a command and returns its effect.
     pub fn apply(&mut self, stamped: Stamped) -> ApplyOutcome {
         let Stamped { at, command } = stamped;
         self.clock = self.clock.max(at);
         match command {
             Command::Configure(config) => self.configure(config),
             Command::Publish { model, version } => self.publish(model, version),
-            Command::Submit { step, place } => self.submit(step, place),
+            Command::Submit { step, placement } => self.submit(step, placement),
             Command::List { step, part, results } => self.list(&step, part, results),
-            Command::Note { step, part, place } => self.note(&step, part, place),
+            Command::Note { step, part, placement } => {
+                self.record_checkpoint(&step, part, placement)
+            }
             Command::Know { live, gone } => self.update_endpoints(live, &gone),
             Command::Move { part, stores } => self.move_part(part, stores),
             Command::End { step } => self.end(&step),
@@ -218,11 +221,11 @@
     }
 
     fn hold(&mut self, next: Holding) -> ApplyOutcome {
-        let yields = self.holding.as_ref().is_none_or(|held| held.can_pass_to(&next, self.clock));
-        if yields {
+        let accepted = self.holding.as_ref().is_none_or(|held| held.can_pass_to(&next, self.clock));
+        if accepted {
             self.holding = Some(next);
         }
-        changed(yields)
+        changed(accepted)
     }
 
     fn merge_usage(&mut self, totals: Vec<Totals>) -> ApplyOutcome {
@@ -257,19 +260,19 @@
         changed(newer)
     }
 
-    fn submit(&mut self, step: Arc<StepSummary>, place: Placement) -> ApplyOutcome {
+    fn submit(&mut self, step: Arc<StepSummary>, placement: Placement) -> ApplyOutcome {
         if self.steps.contains_key(&step.id) {
             return ApplyOutcome::Held;
         }
         let id = step.id.clone();
-        self.parts.insert(step.part, Part { step: id.clone(), place });
+        self.parts.insert(step.part, Part { step: id.clone(), placement });
         let state = StepState {
             step,
-            at: self.clock,
+            submitted_at: self.clock,
             results: Vec::new(),
             listed: BTreeSet::new(),
-            notes: Vec::new(),
-            ended: None,
+            checkpoints: Vec::new(),
+            ended_at: None,
         };
         self.steps.insert(id, state);
         ApplyOutcome::Changed
@@ -282,43 +285,49 @@
         results: Vec<Arc<ListedResult>>,
     ) -> ApplyOutcome {
         let Some(state) = self.steps.get_mut(step) else { return ApplyOutcome::Unknown };
-        let before = state.results.len();
+        let count_before = state.results.len();
         for listed in results {
             if listed.index < state.step.samples && state.listed.insert(listed.index) {
                 state.results.push(listed);
             }
         }
-        let more = state.results.len() > before;
-        let needless = if state.is_open() { Vec::new() } else { std::mem::take(&mut state.notes) };
-        self.parts.retain(|id, _| !needless.contains(id));
-        if let Some((part, place)) = part.filter(|_| more) {
-            self.parts.insert(part, Part { step: step.to_owned(), place });
+        let has_new = state.results.len() > count_before;
+        let obsolete =
+            if state.is_open() { Vec::new() } else { std::mem::take(&mut state.checkpoints) };
+        self.parts.retain(|id, _| !obsolete.contains(id));
+        if let Some((part, placement)) = part.filter(|_| has_new) {
+            self.parts.insert(part, Part { step: step.to_owned(), placement });
         }
-        changed(more)
+        changed(has_new)
     }
 
-    fn note(&mut self, step: &str, part: PartId, place: Placement) -> ApplyOutcome {
+    fn record_checkpoint(
+        &mut self,
+        step: &str,
+        part: PartId,
+        placement: Placement,
+    ) -> ApplyOutcome {
         let Some(state) = self.steps.get_mut(step).filter(|state| state.is_open()) else {
             return ApplyOutcome::Held;
         };
-        state.notes.push(part);
-        self.parts.insert(part, Part { step: step.to_owned(), place });
+        state.checkpoints.push(part);
+        self.parts.insert(part, Part { step: step.to_owned(), placement });
         ApplyOutcome::Changed
     }
 
     fn move_part(&mut self, part: PartId, stores: BTreeSet<StoreId>) -> ApplyOutcome {
         let Some(known) = self.parts.get_mut(&part) else { return ApplyOutcome::Held };
-        known.place = Placement::Stores(stores);
+        known.placement = Placement::Stores(stores);
         ApplyOutcome::Changed
     }
 
     fn end(&mut self, step: &str) -> ApplyOutcome {
         let clock = self.clock;
         let Some(state) = self.steps.get_mut(step) else { return ApplyOutcome::Unknown };
-        let first = state.ended.is_none();
-        state.ended.get_or_insert(clock);
-        let needless = std::mem::take(&mut state.notes);
-        self.parts.retain(|id, _| !needless.contains(id));
+        let first = state.ended_at.is_none();
+        state.ended_at.get_or_insert(clock);
+        let obsolete = std::mem::take(&mut state.checkpoints);
+        self.parts.retain(|id, _| !obsolete.contains(id));
         changed(first)
     }
 
@@ -329,21 +338,22 @@
         changed(self.steps.len() < before)
     }
 
-    /// Gives the VMs on which parts lie.
+    /// Returns the VMs on which parts are stored.
     pub fn store_nodes(&self) -> BTreeSet<String> {
-        let places = self.parts.values().map(|part| &part.place);
-        let stores = places.filter_map(|place| match place {
+        let placements = self.parts.values().map(|part| &part.placement);
+        let stores = placements.filter_map(|placement| match placement {
             Placement::Stores(stores) => Some(stores),
             Placement::Inline(_) => None,
         });
         stores.flatten().map(|store| store.node.clone()).collect()
     }
 
-    /// Gives the steps that nobody may ask for any more: `keep_ms` have passed since they were
-    /// submitted, and nothing of them runs.
+    /// Returns the steps that can no longer be requested: `keep_ms` have passed since their
+    /// submission and none of their samples run.
     pub fn expired(&self, now: u64, keep_ms: u64) -> Vec<String> {
         let old = self.steps.iter().filter(|(_, state)| {
-            !state.is_open() && now.saturating_sub(state.at) >= keep_ms.max(state.step.age_ms)
+            !state.is_open()
+                && now.saturating_sub(state.submitted_at) >= keep_ms.max(state.step.age_ms)
         });
         old.map(|(id, _)| id.clone()).collect()
     }
--- a/components/fleet/src/usage/meter.rs
+++ b/components/fleet/src/usage/meter.rs
@@ -1,4 +1,4 @@
-//! Counts at an entry.
+//! Counts requests at an entry.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -8,53 +8,54 @@
 use super::Totals;
 use super::UsageReport;
 
-/// Windows that are kept, to be told again to the next leader.
-const KEPT: usize = 12;
+/// Number of windows that are kept so that they can be reported again to the next leader.
+const MAX_WINDOWS: usize = 12;
 
-/// Counts the requests that began to run, by window and workspace.
+/// Counts requests that started to run, by window and workspace.
 #[derive(Debug, Default)]
 pub struct Meter {
     process: EntryProcess,
     counts: BTreeMap<u64, Counts>,
-    /// Counts that were not told since they grew.
+    /// Counts that have grown since they were last reported.
     unreported: BTreeSet<(u64, String)>,
-    /// Requests that are under way, by the window in which they came.
+    /// Requests in flight, by the window in which they arrived.
     running: BTreeMap<u64, u32>,
-    /// The window before which all was told.
+    /// All windows before this one were reported completely.
     complete_before: u64,
 }
 
 impl Meter {
-    /// Starts to count in a life that is told from all others.
-    pub fn new(life: EntryProcess) -> Self {
-        Self { process: life, ..Self::default() }
+    /// Creates the meter of a process, whose identity differs from that of any other process.
+    pub fn new(process: EntryProcess) -> Self {
+        Self { process, ..Self::default() }
     }
 
-    /// Notes that a request came in a window. Until it has ended, the window is not told as complete:
-    /// it is known only then whether it began to run, and when.
+    /// Records that a request arrived in a window. The window is not reported as complete until the
+    /// request has ended, because only then is it known whether and when the request started to
+    /// run.
     pub fn begin_request(&mut self, window: u64) {
         *self.running.entry(window).or_default() += 1;
     }
 
-    /// Notes that a request has ended that came in a window, and in which window it began to run, if
-    /// it did.
-    pub fn end_request(&mut self, came: u64, workspace: &str, began: Option<u64>) {
-        if let Some(running) = self.running.get_mut(&came) {
+    /// Records the end of a request that arrived in window `arrived`. `started` is the window in
+    /// which it started to run, if it did.
+    pub fn end_request(&mut self, arrived: u64, workspace: &str, started: Option<u64>) {
+        if let Some(running) = self.running.get_mut(&arrived) {
             *running -= 1;
             if *running == 0 {
-                self.running.remove(&came);
+                self.running.remove(&arrived);
             }
         }
-        let Some(window) = began else { return };
+        let Some(window) = started else { return };
         let count = self.counts.entry(window).or_default();
         *count.entry(workspace.to_owned()).or_default() += 1;
         self.unreported.insert((window, workspace.to_owned()));
-        while self.counts.len() > KEPT {
+        while self.counts.len() > MAX_WINDOWS {
             self.counts.pop_first();
         }
     }
 
-    /// Begins to tell a leader that knows nothing.
+    /// Marks all counts as unreported, for a new leader.
     pub fn resend_all(&mut self) {
         self.complete_before = 0;
         let all = self.counts.iter().flat_map(|(window, counts)| {
@@ -63,14 +64,14 @@
         self.unreported = all.collect();
     }
 
-    /// Gives what is to be told in the window that lasts now; none if there is no news.
+    /// Returns the report to send during the current window, or `None` if there is nothing new.
     pub fn next_report(&mut self, window: u64) -> Option<UsageReport> {
-        let first = self.running.first_key_value().map(|(first, _)| *first);
-        let before = first.unwrap_or(window).min(window);
-        if self.unreported.is_empty() && before <= self.complete_before {
+        let first_running = self.running.first_key_value().map(|(first_running, _)| *first_running);
+        let complete_before = first_running.unwrap_or(window).min(window);
+        if self.unreported.is_empty() && complete_before <= self.complete_before {
             return None;
         }
-        self.complete_before = self.complete_before.max(before);
+        self.complete_before = self.complete_before.max(complete_before);
         let mut totals: BTreeMap<u64, Counts> = BTreeMap::new();
         for (window, workspace) in std::mem::take(&mut self.unreported) {
             let count = self.counts.get(&window).and_then(|counts| counts.get(&workspace));
@@ -78,11 +79,14 @@
                 totals.entry(window).or_default().insert(workspace, *count);
             }
         }
-        let life = || self.process.clone();
-        let totals =
-            totals.into_iter().map(|(window, counts)| Totals { process: life(), window, counts });
+        let process = || self.process.clone();
+        let totals = totals.into_iter().map(|(window, counts)| Totals {
+            process: process(),
+            window,
+            counts,
+        });
         Some(UsageReport {
-            process: life(),
+            process: process(),
             complete_before: self.complete_before,
             totals: totals.collect(),
         })
--- a/components/fleet/src/usage/mod.rs
+++ b/components/fleet/src/usage/mod.rs
@@ -1,8 +1,10 @@
-//! What each workspace used: the requests that began to run in each window of time.
+//! Usage accounting: the number of requests of each workspace that started to run in each time
+//! window.
 //!
-//! Entries count ([`Meter`]) and tell the leader running totals, which it writes into the log
-//! ([`UsageState`]). A window is closed once all entries have told of it, or have been waited for long
-//! enough ([`ReportTracker`]); from then on its counts never change, so whoever leads reports the same.
+//! Entries count ([`Meter`]) and report running totals to the leader, which writes them to the log
+//! ([`UsageState`]). A window is closed once all entries have reported it completely or the wait
+//! for them has timed out ([`ReportTracker`]). After that its counts never change, so every leader
+//! reports the same numbers.
 
 mod meter;
 mod state;
@@ -21,53 +23,54 @@
 /// Requests by workspace.
 pub type Counts = BTreeMap<String, u64>;
 
-/// One life of an entry's process. What it counted is gone with it, but for what it has told; the
-/// process that is started in its place counts anew, beside it.
+/// The process of an entry. Counts that it has not reported are lost with it; the process that
+/// replaces it counts separately.
 #[derive(Clone, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct EntryProcess {
     /// The VM.
     pub node: String,
-    /// A number drawn at its start, not read from a clock that may be set back.
+    /// A random number chosen at its start. A clock reading could repeat, because clocks may be set
+    /// back.
     pub number: u64,
 }
 
-/// What one life of an entry has counted of a window. Totals only grow, so it does not matter how
-/// often and in which order they are told.
+/// The counts of a process in a window. Totals only grow, so it does not matter how often and in
+/// which order they are reported.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Totals {
-    /// The life.
+    /// The process.
     pub process: EntryProcess,
     /// The window.
     pub window: u64,
-    /// Its totals of the workspaces that have more than was told before.
+    /// The totals of the workspaces that have grown since the last report.
     pub counts: Counts,
 }
 
-/// What an entry tells.
+/// A usage report of an entry.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct UsageReport {
-    /// Its life.
+    /// The process of the entry.
     pub process: EntryProcess,
-    /// It has told all of the windows before this one.
+    /// All windows before this one have been reported completely.
     pub complete_before: u64,
-    /// What it has counted since it told last.
+    /// The totals that have grown since the last report.
     pub totals: Vec<Totals>,
 }
 
-/// Windows of time, numbered since the start of 1970.
+/// Time windows, numbered from the start of 1970.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Windows {
-    /// Milliseconds of one.
+    /// The length of a window in milliseconds.
     pub length_ms: u64,
 }
 
 impl Windows {
-    /// Gives the window in which a time lies.
+    /// Returns the window that contains a time.
     pub fn at(&self, time: Unix) -> u64 {
         time.0 / self.length_ms
     }
 
-    /// Gives the milliseconds since the end of a window; none while it lasts.
+    /// Returns the milliseconds since the end of a window, or `None` before its end.
     pub fn since_end(&self, window: u64, time: Unix) -> Option<u64> {
         time.0.checked_sub((window + 1) * self.length_ms)
     }
--- a/components/fleet/src/usage/state.rs
+++ b/components/fleet/src/usage/state.rs
@@ -1,4 +1,4 @@
-//! What the log holds of usage.
+//! Usage as replicated in the log.
 
 use std::collections::BTreeMap;
 
@@ -9,28 +9,28 @@
 use super::EntryProcess;
 use super::Totals;
 
-/// Windows as the replicas agree on them.
+/// Open and closed windows of usage.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct UsageState {
-    /// The window that is closed next; none before the first.
+    /// The window that is closed next; `None` before the first one.
     next: Option<u64>,
     open: BTreeMap<u64, BTreeMap<EntryProcess, Counts>>,
-    /// Windows that are closed and not known to be accepted.
+    /// Closed windows that are not known to be accepted by the platform.
     closed: BTreeMap<u64, Counts>,
 }
 
 impl UsageState {
-    /// Takes in what entries have counted. What comes after its window was closed is left out: the
-    /// window may have been reported, and a second report must say the same. Tells how many
-    /// requests were left out so.
+    /// Merges reported totals. Totals of closed windows are dropped, because the window may have
+    /// been reported to the platform and a second report must contain the same counts. Returns the
+    /// number of dropped requests.
     pub fn merge(&mut self, totals: Vec<Totals>) -> u64 {
         let mut late = 0;
-        for Totals { process: life, window, counts } in totals {
+        for Totals { process, window, counts } in totals {
             if self.next.is_some_and(|next| window < next) {
                 late += counts.values().sum::<u64>();
                 continue;
             }
-            let known = self.open.entry(window).or_default().entry(life).or_default();
+            let known = self.open.entry(window).or_default().entry(process).or_default();
             for (workspace, count) in counts {
                 let total = known.entry(workspace).or_default();
                 *total = count.max(*total);
@@ -39,12 +39,12 @@
         late
     }
 
-    /// Closes a window, and those before it; forgets those that the platform has accepted. Tells
-    /// whether that changed anything.
+    /// Closes a window and all windows before it, and removes those that the platform has accepted.
+    /// Returns whether the next window to close changed.
     pub fn close(&mut self, window: u64, accepted: Option<u64>) -> bool {
         self.closed.retain(|closed, _| accepted.is_none_or(|accepted| *closed > accepted));
         let Some(next) = self.next else {
-            // Nothing was counted for anybody to pay before the first window.
+            // There is nothing to report for the time before the first window.
             self.next = Some(window + 1);
             self.open.retain(|open, _| *open > window);
             return true;
@@ -62,17 +62,17 @@
         window >= next
     }
 
-    /// Gives the window that is closed next; none before the first.
+    /// Returns the window that is closed next, or `None` before the first one.
     pub fn next(&self) -> Option<u64> {
         self.next
     }
 
-    /// Gives the lives that have counted anything in windows that are open.
+    /// Returns the processes with counts in open windows.
     pub fn processes(&self) -> impl Iterator<Item = &EntryProcess> {
-        self.open.values().flat_map(|lives| lives.keys())
+        self.open.values().flat_map(|processes| processes.keys())
     }
 
-    /// Gives the first window after another one that is closed and was not accepted.
+    /// Returns the first closed window after `after` that was not accepted.
     pub fn unreported(&self, after: Option<u64>) -> Option<(u64, &Counts)> {
         let mut closed = self.closed.iter();
         let found = closed.find(|(window, _)| after.is_none_or(|after| **window > after));
--- a/components/fleet/src/usage/tracker.rs
+++ b/components/fleet/src/usage/tracker.rs
@@ -1,4 +1,4 @@
-//! Which entries are still to tell of a window before it is closed.
+//! Tracks which entries have yet to report a window before it is closed.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,18 @@
 use super::EntryProcess;
 use super::UsageReport;
 
-/// Milliseconds after its end before which no window is closed: entries tell each quarter of a second.
-const LEAST_MS: u64 = 600;
-/// Milliseconds after its end at which a window is closed though entries have not told of it: they are
-/// gone, or cut off for longer than can be waited for. Four seconds are left to report it in time.
-const LATEST_MS: u64 = 6_000;
-/// Milliseconds after which a new leader has heard of all entries that are in touch: they notice the
-/// loss of the leader before within 0.9 s, and look for the next one 16 times a second.
-const GATHER_MS: u64 = 2_000;
-
-/// The lives of entries that a leader has heard of.
+/// Minimum milliseconds between the end of a window and its closing; entries report every quarter
+/// of a second.
+const MIN_CLOSE_DELAY_MS: u64 = 600;
+/// Milliseconds after its end at which a window is closed even if entries have not reported it.
+/// They are lost, or have been disconnected for too long. This leaves four seconds to report the
+/// window to the platform in time.
+const REPORT_TIMEOUT_MS: u64 = 6_000;
+/// Milliseconds after which a new leader has received reports of all reachable entries. They detect
+/// the loss of the previous leader within 0.9 s and search for the next one 16 times a second.
+const NEW_LEADER_WAIT_MS: u64 = 2_000;
+
+/// The entry processes known to a leader and how far they have reported.
 #[derive(Debug)]
 pub struct ReportTracker {
     leader_since: Millis,
@@ -24,36 +26,38 @@
 }
 
 impl ReportTracker {
-    /// Starts when the leadership begins, with the lives that the log knows.
-    pub fn new(began: Millis, known: impl Iterator<Item = EntryProcess>) -> Self {
-        Self { leader_since: began, complete_before: known.map(|life| (life, 0)).collect() }
+    /// Creates the tracker of a new leader with the processes in the log.
+    pub fn new(leader_since: Millis, known: impl Iterator<Item = EntryProcess>) -> Self {
+        Self { leader_since, complete_before: known.map(|process| (process, 0)).collect() }
     }
 
-    /// Takes in how far an entry has told. Its process before, if there was one on its VM, tells
-    /// nothing more.
-    pub fn record(&mut self, told: &UsageReport) {
-        let EntryProcess { node, number } = &told.process;
-        self.complete_before.retain(|life, _| life.node != *node || life.number == *number);
-        let before = self.complete_before.entry(told.process.clone()).or_default();
-        *before = told.complete_before.max(*before);
+    /// Records how far an entry has reported. An earlier process on the same VM will not report any
+    /// more and is removed.
+    pub fn record(&mut self, report: &UsageReport) {
+        let EntryProcess { node, number } = &report.process;
+        self.complete_before
+            .retain(|process, _| process.node != *node || process.number == *number);
+        let complete_before = self.complete_before.entry(report.process.clone()).or_default();
+        *complete_before = report.complete_before.max(*complete_before);
     }
 
-    /// Tells whether a window may be closed that ended `ended_ms` ago. Entries that are waited for in
-    /// vain are not waited for in the next window.
+    /// Returns whether a window that ended `ended_ms` ago may be closed. Entries that did not
+    /// report within the timeout are not waited for in the next window.
     pub fn may_close(&mut self, window: u64, ended_ms: u64, now: Millis) -> bool {
-        if ended_ms < LEAST_MS {
+        if ended_ms < MIN_CLOSE_DELAY_MS {
             return false;
         }
-        if ended_ms < LATEST_MS {
-            let whole = self.complete_before.values().all(|before| *before > window);
-            return whole && now.since(self.leader_since) >= GATHER_MS;
+        if ended_ms < REPORT_TIMEOUT_MS {
+            let all_reported =
+                self.complete_before.values().all(|complete_before| *complete_before > window);
+            return all_reported && now.since(self.leader_since) >= NEW_LEADER_WAIT_MS;
         }
-        if now.since(self.leader_since) < GATHER_MS {
-            // All processes may just have been lost, so that no window could be closed in time; what
-            // entries that live have counted is still on its way.
+        if now.since(self.leader_since) < NEW_LEADER_WAIT_MS {
+            // All processes may just have been lost, so that no window could be closed in time.
+            // Reports of running entries are still arriving.
             return false;
         }
-        self.complete_before.retain(|_, before| *before > window);
+        self.complete_before.retain(|_, complete_before| *complete_before > window);
         true
     }
 }
--- a/components/fleet/src/walltime.rs
+++ b/components/fleet/src/walltime.rs
@@ -1,57 +1,60 @@
-//! The time of day of the whole fleet, which a minority of wrong clocks does not move.
+//! The time of day of the fleet, which a minority of wrong clocks does not affect.
 //!
-//! A VM's time of day may jump by seconds and jump back, while its steady clock keeps running. So
-//! nothing here is told by one VM's time of day: the leader takes the median of what its members'
-//! clocks read, as a distance from its own steady clock, and tells its members. Each of them keeps
-//! the distance from its own steady clock, so it knows the time also while it hears no leader.
+//! The time of day of a VM may jump by seconds and back, while its monotonic clock is not affected.
+//! The fleet therefore does not rely on the time of day of a single VM. The leader computes the
+//! median of its members' clocks as an offset from its own monotonic clock and sends it to them.
+//! Each member stores the offset from its own monotonic clock, so the time is available also while
+//! no leader is reachable.
 
 use std::collections::VecDeque;
 
 use chicoryford_types::Millis;
 use chicoryford_types::Unix;
 
-/// Words of the leader that count for what a member believes. A leader that was just elected knows few
-/// clocks, one of which may be wrong; with so many words, three seconds of them, its first ones
-/// decide nothing.
-const WORDS: usize = 15;
+/// Number of recent times from the leader that a member uses. A newly elected leader knows few
+/// clocks, one of which may be wrong. With this many, which arrive within three seconds, its first
+/// ones have no effect.
+const LEADER_TIMES: usize = 15;
 
-/// How far the time of day is ahead of a steady clock, in milliseconds.
+/// The offset of the time of day from a monotonic clock, in milliseconds.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Offset(i64);
 
 impl Offset {
-    /// Gives the offset of a time of day that was read when the steady clock read `now`.
+    /// Returns the offset of the time of day `wall`, read when the monotonic clock read `now`.
     pub fn of(wall: Unix, now: Millis) -> Self {
         Self(wall.0 as i64 - now.0 as i64)
     }
 
-    /// Gives the time of day when the steady clock reads `now`.
+    /// Returns the time of day when the monotonic clock reads `now`.
     pub fn at(self, now: Millis) -> Unix {
         Unix((now.0 as i64 + self.0).max(0) as u64)
     }
 
-    /// Gives the milliseconds between two offsets.
+    /// Returns the milliseconds between two offsets.
     pub fn distance_ms(self, other: Self) -> u64 {
         self.0.abs_diff(other.0)
     }
 }
 
-/// Gives the offset in the middle; less than half of the clocks can be wrong without moving it out of
-/// what the others read.
+/// Returns the median offset. Fewer than half of the clocks cannot move it outside the range of the
+/// others.
 pub fn median(offsets: impl IntoIterator<Item = Offset>) -> Option<Offset> {
     let mut sorted: Vec<Offset> = offsets.into_iter().collect();
     sorted.sort_unstable();
     sorted.get(sorted.len() / 2).copied()
 }
 
-/// Gives within how many milliseconds of the median half of the clocks lie: how exact it can be.
+/// Returns the distance in milliseconds from the median within which half of the clocks are: the
+/// error to expect.
 pub fn error_ms(offsets: impl IntoIterator<Item = Offset>, median: Offset) -> u64 {
-    let mut apart: Vec<u64> = offsets.into_iter().map(|one| one.distance_ms(median)).collect();
-    apart.sort_unstable();
-    apart.get(apart.len() / 2).copied().unwrap_or_default()
+    let mut distances: Vec<u64> =
+        offsets.into_iter().map(|offset| offset.distance_ms(median)).collect();
+    distances.sort_unstable();
+    distances.get(distances.len() / 2).copied().unwrap_or_default()
 }
 
-/// What a member believes of the time of day.
+/// The time of day as computed by a member.
 #[derive(Debug)]
 pub struct WallTime {
     own: Offset,
@@ -59,20 +62,21 @@
 }
 
 impl WallTime {
-    /// Starts with the VM's own time of day, until a leader has told another.
+    /// Creates the clock with the VM's own time of day, which is used until a leader has sent
+    /// another.
     pub fn new(own: Unix, now: Millis) -> Self {
-        Self { own: Offset::of(own, now), leader_offsets: VecDeque::with_capacity(WORDS) }
+        Self { own: Offset::of(own, now), leader_offsets: VecDeque::with_capacity(LEADER_TIMES) }
     }
 
-    /// Takes in what the leader told.
+    /// Records a time of day sent by the leader.
     pub fn record(&mut self, wall: Unix, now: Millis) {
-        if self.leader_offsets.len() == WORDS {
+        if self.leader_offsets.len() == LEADER_TIMES {
             self.leader_offsets.pop_front();
         }
         self.leader_offsets.push_back(Offset::of(wall, now));
     }
 
-    /// Gives the time of day when the steady clock reads `now`.
+    /// Returns the time of day when the monotonic clock reads `now`.
     pub fn at(&self, now: Millis) -> Unix {
         median(self.leader_offsets.iter().copied()).unwrap_or(self.own).at(now)
     }
--- a/components/fleet/src/workspace.rs
+++ b/components/fleet/src/workspace.rs
@@ -1,9 +1,9 @@
-//! Workspaces, the keys that callers present for them, and what a key opens.
+//! Workspaces, the keys of their callers, and the access that a key grants.
 //!
-//! A configuration without workspaces is open to all callers. With workspaces, each request needs a
-//! key of one of them, but for routes that are open. Keys come and go with configurations, so a key
-//! that was taken away is refused by each process from the moment at which the configuration is in
-//! force there. docs/SECURITY.md tells which process holds what of a key.
+//! A configuration without workspaces serves all callers. With workspaces, each request needs a key
+//! of one of them, except on open routes. Keys are added and removed by configurations, so each
+//! process rejects a removed key from the moment at which the configuration is in force there.
+//! docs/SECURITY.md describes which process holds which part of a key.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,11 +20,11 @@
 /// A workspace.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Workspace {
-    /// Its name, which endpoints are told.
+    /// Its name, which endpoints are informed of.
     pub name: String,
     /// Digests of its keys.
     pub keys: Vec<Digest>,
-    /// The rank of its requests and steps, zero first; it goes before that of their route.
+    /// The priority of its requests and steps, zero first; it overrides that of their route.
     pub urgency: Option<u32>,
 }
 
@@ -33,46 +33,47 @@
 #[serde(from = "Vec<Workspace>", into = "Vec<Workspace>")]
 pub struct Workspaces {
     all: Vec<Workspace>,
-    /// The place of the workspace that holds a key.
-    ring: Keyring<u32>,
+    /// The index of the workspace that holds a key.
+    keyring: Keyring<u32>,
 }
 
-/// What a key opens on a route.
+/// The access that a key grants.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Access<'a> {
-    /// The request is let in without a workspace.
+    /// The request is allowed without a workspace.
     Open,
-    /// The request is one of this workspace's.
+    /// The request belongs to this workspace.
     Workspace(&'a Workspace),
-    /// No workspace holds the key, or none was presented.
+    /// The key is missing or belongs to no workspace.
     Unknown,
 }
 
-/// How long keys that were in force are believed by a process that hears no leader.
+/// Whether a process that has no contact with a leader continues to accept known keys.
 ///
-/// A key may have been taken away meanwhile, and the process cannot know. To go on serves the callers
-/// whose keys still hold; to stop keeps out the one whose key does not. The operator chooses.
+/// A key may have been removed in the meantime without the process being informed. Accepting keys
+/// continues to serve callers whose keys are still valid; rejecting them keeps out a caller whose
+/// key was removed. The operator chooses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StaleKeyPolicy {
-    /// Whether callers with keys are refused after the limit.
+    /// Whether callers with keys are rejected after the limit.
     pub strict: bool,
-    /// Milliseconds of the leader's silence.
+    /// Milliseconds without contact to a leader after which keys are stale.
     pub limit_ms: u64,
 }
 
 impl StaleKeyPolicy {
-    /// Tells whether keys are believed after so long a silence.
+    /// Returns whether keys are accepted after this many milliseconds without contact to a leader.
     pub fn allows(&self, silent_ms: u64) -> bool {
         !self.strict || silent_ms <= self.limit_ms
     }
 }
 
-/// Gives the identity of a workspace's step, by the identity that its trainer gave it.
+/// Returns the id of a step within the fleet from the id that its trainer chose.
 ///
-/// Two workspaces may give the same one, and a caller who asks with another workspace's key must see
-/// no more than of a step that never was. So the workspace is a part of the identity, and no place
-/// that looks a step up can forget to compare it. A trainer's identity has no slash, so no two pairs
-/// come to the same.
+/// Two workspaces may choose the same id, and a caller with the key of another workspace must not
+/// be able to tell that a step exists. The workspace is therefore part of the id, so that no lookup
+/// of a step can omit the comparison. Ids chosen by trainers contain no slash, so different pairs
+/// never result in the same id.
 pub fn step_id(workspace: Option<&str>, id: &str) -> String {
     match workspace {
         Some(workspace) => format!("{workspace}/{id}"),
@@ -82,10 +83,10 @@
 
 impl From<Vec<Workspace>> for Workspaces {
     fn from(all: Vec<Workspace>) -> Self {
-        let keys = all.iter().zip(0..).flat_map(|(workspace, place)| {
-            workspace.keys.iter().map(move |digest| (*digest, place))
+        let keys = all.iter().zip(0..).flat_map(|(workspace, index)| {
+            workspace.keys.iter().map(move |digest| (*digest, index))
         });
-        Self { ring: Keyring::new(keys), all }
+        Self { keyring: Keyring::new(keys), all }
     }
 }
 
@@ -102,17 +103,17 @@
 }
 
 impl Workspaces {
-    /// Tells whether requests need no key because there are no workspaces.
+    /// Returns whether there are no workspaces, so that requests need no key.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// Gives the workspaces.
+    /// Returns all workspaces.
     pub fn iter(&self) -> impl Iterator<Item = &Workspace> {
         self.all.iter()
     }
 
-    /// Decides what a key opens on a route.
+    /// Returns the access that a key grants on a route.
     pub fn access(&self, route: &Route, key: Option<&str>) -> Access<'_> {
         if self.is_empty() || route.open {
             return Access::Open;
@@ -120,28 +121,25 @@
         self.holder(key).map_or(Access::Unknown, Access::Workspace)
     }
 
-    /// Decides for whom steps are read and ended: the workspace that holds the key. Without a known
-    /// key these are the steps of routes that are open, if there are any.
+    /// Returns the access to steps for reading and ending them: that of the workspace that holds
+    /// the key. Without a known key, this is access to the steps of open routes, if there are any.
     pub fn step_access<'a>(&'a self, routes: &[Route], key: Option<&str>) -> Access<'a> {
-        let open = || routes.iter().any(|route| route.open && route.kind == RouteKind::Step);
+        let has_open_route =
+            || routes.iter().any(|route| route.open && route.kind == RouteKind::Step);
         match self.holder(key) {
             Some(workspace) => Access::Workspace(workspace),
-            None if self.is_empty() || open() => Access::Open,
+            None if self.is_empty() || has_open_route() => Access::Open,
             None => Access::Unknown,
         }
     }
 
-    /// Gives the workspace that holds a key.
+    /// Returns the workspace that holds a key.
     pub fn holder(&self, key: Option<&str>) -> Option<&Workspace> {
-        let place = self.ring.holder(key?)?;
-        self.all.get(*place as usize)
+        let index = self.keyring.holder(key?)?;
+        self.all.get(*index as usize)
     }
 
-    /// Tells whether the workspaces can be told apart by their names and keys.
-    ///
-    /// # Errors
-    ///
-    /// The [`ConfigError`] names the workspaces, never a key.
+    /// Checks that workspaces have different names and no common keys.
     pub fn check(&self) -> Result<(), ConfigError> {
         let mut names: BTreeSet<&str> = BTreeSet::new();
         let mut holders: BTreeMap<Digest, &str> = BTreeMap::new();
--- a/components/fleet/tests/config.rs
+++ b/components/fleet/tests/config.rs
@@ -1,4 +1,4 @@
-//! Which configurations are accepted, and which route a request takes.
+//! Tests of the check of configurations and of the choice of routes.
 
 use chicoryford_fleet::Config;
 use chicoryford_fleet::ConfigError;
@@ -34,24 +34,24 @@
 }
 
 #[test]
-fn a_proper_configuration_is_accepted() {
+fn a_valid_configuration_is_accepted() {
     let routes =
         vec![route("one", "/x/", &[("a", 1)]), route("two", "/x/y/", &[("a", 0), ("b", 3)])];
     assert_eq!(config(routes).check(), Ok(()));
 }
 
 #[test]
-fn each_fault_is_named() {
+fn each_error_is_reported() {
     let unknown = config(vec![route("one", "/x/", &[("c", 1)])]);
-    let fault = ConfigError::UnknownService { route: "one".to_owned(), service: "c".to_owned() };
-    assert_eq!(unknown.check(), Err(fault));
+    let error = ConfigError::UnknownService { route: "one".to_owned(), service: "c".to_owned() };
+    assert_eq!(unknown.check(), Err(error));
     let twice = config(vec![route("one", "/x/", &[("a", 1)]), route("two", "/x/", &[("b", 1)])]);
     assert!(matches!(twice.check(), Err(ConfigError::DuplicateRoute { .. })));
-    let weightless = config(vec![route("one", "/x/", &[("a", 0), ("b", 0)])]);
-    assert!(matches!(weightless.check(), Err(ConfigError::ZeroWeight { .. })));
-    let mut timeless = config(vec![route("one", "/x/", &[("a", 1)])]);
-    timeless.routes[0].timeout_ms = Some(0);
-    assert!(matches!(timeless.check(), Err(ConfigError::ZeroTimeout { .. })));
+    let zero_weight = config(vec![route("one", "/x/", &[("a", 0), ("b", 0)])]);
+    assert!(matches!(zero_weight.check(), Err(ConfigError::ZeroWeight { .. })));
+    let mut zero_timeout = config(vec![route("one", "/x/", &[("a", 1)])]);
+    zero_timeout.routes[0].timeout_ms = Some(0);
+    assert!(matches!(zero_timeout.check(), Err(ConfigError::ZeroTimeout { .. })));
     for prefix in ["x/", "/x", ""] {
         let bad = config(vec![route("one", prefix, &[("a", 1)])]);
         assert!(matches!(bad.check(), Err(ConfigError::BadPrefix { .. })), "{prefix}");
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_longest_prefix_of_the_host_is_found() {
     let mut other = route("other", "/x/y/z/", &[("a", 1)]);
     other.host = "else.example".to_owned();
     let routes = vec![route("one", "/x/", &[("a", 1)]), route("two", "/x/y/", &[("b", 1)]), other];
@@ -78,6 +78,6 @@
     let draws = (0..1_000).map(|n| route.service(f64::from(n) / 1_000.0).unwrap());
     let to_a = draws.filter(|service| *service == "a").count();
     assert_eq!(to_a, 250);
-    assert_eq!(route.service(1.0), Some("b"), "rounding must not lead to a share without weight");
+    assert_eq!(route.service(1.0), Some("b"), "rounding must not select a share without weight");
     assert!(route.leads_to("b") && !route.leads_to("c"));
 }
--- a/components/fleet/tests/crashes.rs
+++ b/components/fleet/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Contents that crash endpoints: who is refused, and who is not.
+//! Tests of which contents are rejected because they crash endpoints.
 
 use std::collections::BTreeSet;
 
@@ -15,57 +15,57 @@
     Crash { content, endpoint: endpoint.to_owned() }
 }
 
-/// Guards against a content that crashes endpoint after endpoint, each time it comes again.
+/// Guards against a content that crashes one endpoint after another because it is retried.
 #[test]
-fn a_content_is_refused_after_it_has_crashed_three_endpoints() {
-    let mut book = CrashState::default();
+fn a_content_is_rejected_after_it_crashed_three_endpoints() {
+    let mut state = CrashState::default();
     for endpoint in ["a", "b"] {
-        assert!(book.record_crash(crash(BAD, endpoint), 1));
-        assert!(!book.refuses(BAD));
+        assert!(state.record_crash(crash(BAD, endpoint), 1));
+        assert!(!state.refuses(BAD));
     }
-    book.record_crash(crash(BAD, "c"), 1);
-    assert_eq!(book.refused(), BTreeSet::from([BAD]));
+    state.record_crash(crash(BAD, "c"), 1);
+    assert_eq!(state.refused(), BTreeSet::from([BAD]));
 }
 
-/// Guards against one crash that counts as often as it is told.
+/// Guards against counting one crash as often as it is reported.
 #[test]
-fn a_crash_that_is_told_again_counts_once() {
-    let mut book = CrashState::default();
-    assert!(book.record_crash(crash(BAD, "a"), 1));
-    assert!((0..5).all(|_| !book.record_crash(crash(BAD, "a"), 1)));
-    assert!(book.refused().is_empty());
+fn a_repeated_crash_report_counts_once() {
+    let mut state = CrashState::default();
+    assert!(state.record_crash(crash(BAD, "a"), 1));
+    assert!((0..5).all(|_| !state.record_crash(crash(BAD, "a"), 1)));
+    assert!(state.refused().is_empty());
 }
 
 #[test]
-fn a_content_that_runs_to_its_end_is_not_suspected_any_more() {
-    let mut book = CrashState::default();
+fn a_content_that_completes_is_no_longer_suspected() {
+    let mut state = CrashState::default();
     for endpoint in ["a", "b", "c", "d"] {
-        book.record_crash(crash(GOOD, endpoint), 1);
-        assert!(book.clear_suspect(GOOD));
+        state.record_crash(crash(GOOD, endpoint), 1);
+        assert!(state.clear_suspect(GOOD));
     }
-    assert!(!book.refuses(GOOD));
+    assert!(!state.refuses(GOOD));
 }
 
 #[test]
-fn a_refusal_ends_after_a_day() {
-    let mut book = CrashState::default();
+fn a_rejection_ends_after_a_day() {
+    let mut state = CrashState::default();
     for endpoint in ["a", "b", "c"] {
-        book.record_crash(crash(BAD, endpoint), 1);
+        state.record_crash(crash(BAD, endpoint), 1);
     }
-    book.record_crash(crash(GOOD, "d"), DAY_MS + 2);
-    assert!(!book.refuses(BAD));
+    state.record_crash(crash(GOOD, "d"), DAY_MS + 2);
+    assert!(!state.refuses(BAD));
 }
 
-/// Guards against a process without a leader that has a content crash one endpoint after the other.
+/// Guards against a process without a leader that lets a content crash one endpoint after another.
 #[test]
-fn a_process_refuses_by_itself_what_it_saw_crash_three_endpoints() {
-    let mut watch = LocalCrashes::default();
+fn a_process_rejects_a_content_that_it_saw_crash_three_endpoints() {
+    let mut local = LocalCrashes::default();
     for endpoint in ["a", "a", "b"] {
-        watch.record_crash(&crash(BAD, endpoint));
-        assert!(!watch.refuses(BAD));
+        local.record_crash(&crash(BAD, endpoint));
+        assert!(!local.refuses(BAD));
     }
-    watch.record_crash(&crash(BAD, "c"));
-    assert!(watch.refuses(BAD) && !watch.refuses(GOOD));
-    assert!(watch.clear_suspect(BAD));
-    assert!(!watch.refuses(BAD));
+    local.record_crash(&crash(BAD, "c"));
+    assert!(local.refuses(BAD) && !local.refuses(GOOD));
+    assert!(local.clear_suspect(BAD));
+    assert!(!local.refuses(BAD));
 }
--- a/components/fleet/tests/duty.rs
+++ b/components/fleet/tests/duty.rs
@@ -95,14 +95,7 @@
                 last.notices_at = now + delay;
             }
             let began = (now, clock);
-            leaders.push(Leader {
-                vm,
-                epoch,
-                began,
-                notices_at: u64::MAX,
-                paused_until: 0,
-                known,
-            });
+            leaders.push(Leader { vm, epoch, began, notices_at: u64::MAX, paused_until: 0, known });
         }
         let newest = leaders.len() - 1;
         for (number, leader) in leaders.iter_mut().enumerate() {
--- a/components/fleet/tests/endpoint.rs
+++ b/components/fleet/tests/endpoint.rs
@@ -1,4 +1,4 @@
-//! What is believed of endpoints whose announcements come late, doubled and out of order.
+//! Tests of the registry with late, duplicate and reordered announcements.
 
 mod support;
 
@@ -18,12 +18,12 @@
     Announcement { draining: true, ..announcement(id, sequence) }
 }
 
-fn standing(registry: &Registry, id: &str) -> Option<EndpointStatus> {
+fn status(registry: &Registry, id: &str) -> Option<EndpointStatus> {
     registry.get(id).map(|endpoint| endpoint.status)
 }
 
 #[test]
-fn an_announcement_is_spread_once() {
+fn a_repeated_announcement_is_no_change() {
     let mut registry = Registry::default();
     assert_eq!(registry.announce(announcement("i", 1), Millis(0)), Effect::Changed);
     assert_eq!(registry.announce(announcement("i", 2), Millis(1)), Effect::Refreshed);
@@ -32,27 +32,26 @@
     assert_eq!(registry.announce(newer, Millis(2)), Effect::Changed);
 }
 
-/// Symptom: an endpoint that leaves gets new work.
-/// Sequence: it says that it drains; an announcement that it sent before arrives after that one.
-/// Cause: the last word that came was taken for the last that was said.
+/// Guards against assigning work to a draining endpoint: an announcement from before it started
+/// draining arrived after the draining one, and the last to arrive was considered the newest.
 #[test]
-fn a_late_word_does_not_undo_a_newer_one() {
+fn a_late_announcement_does_not_override_a_newer_one() {
     let mut registry = Registry::default();
     registry.announce(announcement("i", 1), Millis(0));
     assert_eq!(registry.announce(draining("i", 3), Millis(1)), Effect::Changed);
     assert_eq!(registry.announce(announcement("i", 2), Millis(2)), Effect::Stale);
     assert_eq!(registry.announce(announcement("i", 3), Millis(2)), Effect::Stale);
-    assert_eq!(standing(&registry, "i"), Some(EndpointStatus::Draining));
+    assert_eq!(status(&registry, "i"), Some(EndpointStatus::Draining));
     assert_eq!(registry.leave("i", Millis(3)), Effect::Changed);
     assert_eq!(registry.announce(announcement("i", 9), Millis(4)), Effect::Stale);
-    assert_eq!(standing(&registry, "i"), Some(EndpointStatus::Gone));
+    assert_eq!(status(&registry, "i"), Some(EndpointStatus::Gone));
 }
 
-/// Symptom: work goes to an endpoint of another service.
-/// Sequence: an endpoint crashes, another takes over its address; a word of the first arrives.
-/// Cause: endpoints were told apart by address; each start is an endpoint of its own.
+/// Guards against sending work to an endpoint of another service. An endpoint crashed and another
+/// one got its address; then a late announcement of the first one arrived. Endpoints were
+/// identified by address.
 #[test]
-fn an_address_may_belong_to_another_endpoint() {
+fn an_address_may_be_reused_by_another_endpoint() {
     let mut registry = Registry::default();
     registry.announce(announcement("old", 7), Millis(0));
     let other = Announcement { service: "b".to_owned(), ..announcement("new", 1) };
@@ -63,71 +62,74 @@
 }
 
 #[test]
-fn a_silent_endpoint_gets_no_work_until_it_is_heard_again() {
+fn a_silent_endpoint_gets_no_work_until_its_next_announcement() {
     let mut registry = Registry::default();
     registry.announce(announcement("i", 1), Millis(0));
     assert!(registry.tick(Millis(5_000)).0.is_empty());
     let (changed, _) = registry.tick(Millis(6_000));
     assert_eq!(changed[0].status, EndpointStatus::Silent);
     assert_eq!(registry.announce(announcement("i", 2), Millis(7_000)), Effect::Changed);
-    assert_eq!(standing(&registry, "i"), Some(EndpointStatus::Ready));
+    assert_eq!(status(&registry, "i"), Some(EndpointStatus::Ready));
     let (_, forgotten) = registry.tick(Millis(70_000));
     assert_eq!(forgotten, ["i"]);
 }
 
 #[test]
-fn a_new_leader_counts_what_it_adopts_as_heard_now() {
+fn endpoints_taken_over_by_a_new_leader_count_as_announced_now() {
     let mut registry = Registry::default();
     registry.announce(announcement("i", 5), Millis(0));
     let known: Vec<_> = registry.all().cloned().collect();
     let settings = chicoryford_fleet::endpoint::Settings::default();
-    let mut adopted = Registry::from_known(settings, known.into_iter(), Millis(100_000));
-    assert!(adopted.tick(Millis(103_000)).0.is_empty());
-    assert_eq!(adopted.announce(announcement("i", 5), Millis(103_000)), Effect::Stale);
-    assert_eq!(adopted.set_version("i", "m", 4), Effect::Changed);
-    assert_eq!(adopted.set_version("i", "m", 4), Effect::Refreshed);
+    let mut taken_over = Registry::from_known(settings, known.into_iter(), Millis(100_000));
+    assert!(taken_over.tick(Millis(103_000)).0.is_empty());
+    assert_eq!(taken_over.announce(announcement("i", 5), Millis(103_000)), Effect::Stale);
+    assert_eq!(taken_over.set_version("i", "m", 4), Effect::Changed);
+    assert_eq!(taken_over.set_version("i", "m", 4), Effect::Refreshed);
 }
 
-fn reborn(id: &str, born: u64, sequence: u64) -> Announcement {
-    Announcement { started_ms: born, ..announcement(id, sequence) }
+fn restarted(id: &str, started_ms: u64, sequence: u64) -> Announcement {
+    Announcement { started_ms, ..announcement(id, sequence) }
 }
 
-/// Symptom: an endpoint that is well gets no work for minutes.
-/// Sequence: it crashes and starts again under its identity, and counts its words from one.
-/// Cause: its words were taken for late ones of before, since their numbers were lower.
+/// Guards against a healthy endpoint without work for minutes. It crashed and restarted under its
+/// id with sequence numbers from one, so its announcements were considered stale.
 #[test]
-fn an_endpoint_that_started_again_is_believed_from_its_first_word() {
+fn announcements_of_a_restarted_endpoint_are_accepted_at_once() {
     let mut registry = Registry::default();
-    registry.announce(reborn("i", 100, 50), Millis(0));
+    registry.announce(restarted("i", 100, 50), Millis(0));
     let again =
-        Announcement { models: BTreeMap::from([("m".to_owned(), 2)]), ..reborn("i", 200, 1) };
+        Announcement { models: BTreeMap::from([("m".to_owned(), 2)]), ..restarted("i", 200, 1) };
     assert_eq!(registry.announce(again, Millis(1)), Effect::Changed);
     assert_eq!(registry.get("i").unwrap().announcement.models["m"], 2);
-    assert_eq!(registry.announce(reborn("i", 200, 2), Millis(2)), Effect::Changed);
-    assert_eq!(registry.announce(reborn("i", 100, 51), Millis(3)), Effect::Stale, "of before");
+    assert_eq!(registry.announce(restarted("i", 200, 2), Millis(2)), Effect::Changed);
+    assert_eq!(
+        registry.announce(restarted("i", 100, 51), Millis(3)),
+        Effect::Stale,
+        "from before the restart"
+    );
     assert_eq!(registry.get("i").unwrap().announcement.started_ms, 200);
 }
 
-/// A start ends what the endpoint said before: that it leaves, and that it is gone.
+/// A restart supersedes earlier announcements that the endpoint is draining or gone.
 #[test]
-fn an_endpoint_that_left_may_start_again_under_its_identity() {
+fn an_endpoint_that_left_may_restart_under_its_id() {
     for leave in [true, false] {
         let mut registry = Registry::default();
-        registry.announce(Announcement { draining: true, ..reborn("i", 100, 5) }, Millis(0));
+        registry.announce(Announcement { draining: true, ..restarted("i", 100, 5) }, Millis(0));
         if leave {
             registry.leave("i", Millis(1));
         }
-        assert_eq!(registry.announce(reborn("i", 100, 6), Millis(2)), Effect::Stale);
-        assert_eq!(registry.announce(reborn("i", 200, 1), Millis(3)), Effect::Changed);
-        assert_eq!(standing(&registry, "i"), Some(EndpointStatus::Ready));
+        assert_eq!(registry.announce(restarted("i", 100, 6), Millis(2)), Effect::Stale);
+        assert_eq!(registry.announce(restarted("i", 200, 1), Millis(3)), Effect::Changed);
+        assert_eq!(status(&registry, "i"), Some(EndpointStatus::Ready));
     }
 }
 
-/// Symptom: an endpoint of a service is lost to it although it announces itself.
-/// Sequence: somebody else announces the same identity for a service that nobody has configured.
-/// Cause: the word was taken in before it was asked whether it names anything.
+/// Guards against a service that loses an endpoint although it announces itself: another sender
+/// announced the same id for a service that is not configured, and the announcement was recorded
+/// before its service was checked.
 #[test]
-fn a_word_for_an_unknown_service_changes_nothing() {
+fn an_announcement_for_an_unknown_service_is_foreign() {
     let service = |name: &str| Service { name: name.to_owned(), ..Service::default() };
     let config = Config { services: vec![service("a")], ..Config::default() };
     let mut registry = Registry::default();
@@ -138,47 +140,50 @@
     assert!(!registry.is_foreign(&foreign, None), "nothing is configured yet");
     assert!(!registry.is_foreign(&announcement("j", 1), Some(&config)));
     let without = Config::default();
-    assert!(!registry.is_foreign(&draining("i", 2), Some(&without)), "its service was taken away");
+    assert!(!registry.is_foreign(&draining("i", 2), Some(&without)), "its service was removed");
     assert!(registry.is_foreign(&announcement("j", 1), Some(&without)));
 }
 
-/// The load: one of 3,000 endpoints leaves, and its word is acknowledged when the log has forgotten it.
-/// What is written for it must not grow with the others.
+/// One of 3,000 endpoints stops, and its announcement is acknowledged once the log no longer
+/// contains it. What is written for it must not grow with the number of endpoints.
 #[test]
-fn only_what_changed_of_the_endpoints_is_noted() {
+fn only_changed_endpoints_are_recorded() {
     let mut registry = Registry::default();
     for number in 0..3_000 {
         registry.announce(announcement(&format!("i{number}"), 1), Millis(0));
     }
     let (live, gone) = registry.diff(&BTreeMap::new());
     assert_eq!((live.len(), gone.len()), (3_000, 0));
-    let noted: BTreeMap<_, _> =
+    let recorded: BTreeMap<_, _> =
         live.into_iter().map(|endpoint| (endpoint.announcement.id.clone(), endpoint)).collect();
     registry.announce(announcement("i7", 2), Millis(1));
-    assert_eq!(registry.diff(&noted), (Vec::new(), Vec::new()), "a number is no change");
+    assert_eq!(
+        registry.diff(&recorded),
+        (Vec::new(), Vec::new()),
+        "a new sequence number is no change"
+    );
     let newer =
         Announcement { models: BTreeMap::from([("m".to_owned(), 2)]), ..announcement("i7", 3) };
     registry.announce(newer, Millis(2));
     registry.announce(draining("i8", 2), Millis(2));
-    let (live, gone) = registry.diff(&noted);
+    let (live, gone) = registry.diff(&recorded);
     assert_eq!(live.iter().map(|endpoint| &*endpoint.announcement.id).collect::<Vec<_>>(), ["i7"]);
     assert_eq!(gone, ["i8"]);
 }
 
-/// Symptom: an endpoint that has said that it is gone gets new work.
-/// Sequence: it had just come when the leader changed, and the next one does not know it when it says
-/// that it is gone; an announcement that it sent before arrives after that.
-/// Cause: of an endpoint that was not known nothing was kept.
+/// Guards against assigning work to an endpoint that is gone. It had started just before a change
+/// of leader, and the next leader did not know it when it announced that it is gone. A late
+/// announcement arrived afterwards, and nothing had been recorded for the unknown endpoint.
 #[test]
-fn an_endpoint_that_left_before_it_was_known_is_not_believed_to_be_there() {
+fn late_announcements_of_an_unknown_endpoint_that_left_are_ignored() {
     let mut registry = Registry::default();
     assert_eq!(registry.leave("i", Millis(0)), Effect::Stale);
     assert_eq!(registry.announce(announcement("i", 4), Millis(3_000)), Effect::Stale);
-    assert_eq!(standing(&registry, "i"), None);
+    assert_eq!(status(&registry, "i"), None);
     registry.tick(Millis(20_000));
     assert_eq!(
         registry.announce(announcement("i", 1), Millis(20_000)),
         Effect::Changed,
-        "a new start"
+        "it may have restarted"
     );
 }
--- a/components/fleet/tests/state.rs
+++ b/components/fleet/tests/state.rs
@@ -33,14 +33,14 @@
         age_ms: 1_000,
         part: PartId(part),
     };
-    Command::Submit { step: Arc::new(step), place: Placement::Stores(BTreeSet::new()) }
+    Command::Submit { step: Arc::new(step), placement: Placement::Stores(BTreeSet::new()) }
 }
 
 fn list(id: &str, indices: &[u32], part: u64) -> Command {
     let listed = |index: &u32| {
         let result = StoredResult::Completed {
             part: PartId(part),
-            place: 0,
+            text_index: 0,
             bytes: 1,
             versions: vec![1],
             score: None,
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_highest_version_is_in_force_and_other_content_under_it_never_shows() {
+fn the_highest_version_is_in_force_and_its_content_never_changes() {
     let mut state = State::default();
     assert_eq!(state.apply(at(1, configure(5, "five"))), ApplyOutcome::Changed);
     assert_eq!(state.apply(at(2, configure(4, "four"))), ApplyOutcome::Held);
@@ -75,12 +75,11 @@
     assert_eq!(state.versions["m"], 3);
 }
 
-/// Symptom: a trainer's step runs twice, or a result moves.
-/// Sequence: the acknowledgement of a submission or of a listing is lost, and it is sent again,
-/// through another process and by another leader.
-/// Cause: what was accepted before was not recognised.
+/// Guards against a step that runs twice and against results that change their position. A
+/// submission or listing whose acknowledgement was lost is sent again by another process or leader
+/// and must be recognised.
 #[test]
-fn what_is_submitted_or_listed_again_changes_nothing() {
+fn repeated_submissions_and_listings_have_no_effect() {
     let mut state = State::default();
     assert_eq!(state.apply(at(1, submit("a", 3, 10))), ApplyOutcome::Changed);
     assert_eq!(state.apply(at(2, submit("a", 3, 11))), ApplyOutcome::Held);
@@ -88,34 +87,34 @@
     state.apply(at(3, list("a", &[2, 0], 20)));
     assert_eq!(state.apply(at(4, list("a", &[0], 21))), ApplyOutcome::Held);
     assert_eq!(state.apply(at(5, list("a", &[0, 1, 7], 22))), ApplyOutcome::Changed);
-    let places: Vec<u32> = state.steps["a"].results.iter().map(|listed| listed.index).collect();
-    assert_eq!(places, [2, 0, 1]);
+    let positions: Vec<u32> = state.steps["a"].results.iter().map(|listed| listed.index).collect();
+    assert_eq!(positions, [2, 0, 1]);
     assert!(!state.steps["a"].is_open());
     assert_eq!(state.apply(at(6, list("b", &[0], 23))), ApplyOutcome::Unknown);
 }
 
 #[test]
-fn an_ended_step_keeps_its_results_until_nobody_may_ask() {
+fn an_ended_step_keeps_its_results_until_it_expires() {
     let mut state = State::default();
     state.apply(at(100, submit("a", 2, 10)));
     state.apply(at(200, list("a", &[0], 20)));
-    let note = Command::Note {
+    let checkpoint = Command::Note {
         step: "a".to_owned(),
         part: PartId(30),
-        place: Placement::Stores(BTreeSet::new()),
+        placement: Placement::Stores(BTreeSet::new()),
     };
-    assert_eq!(state.apply(at(210, note.clone())), ApplyOutcome::Changed);
+    assert_eq!(state.apply(at(210, checkpoint.clone())), ApplyOutcome::Changed);
     assert!(state.parts.contains_key(&PartId(30)));
-    assert!(state.expired(10_000_000, 5_000).is_empty(), "it is open");
+    assert!(state.expired(10_000_000, 5_000).is_empty(), "the step is open");
     assert_eq!(state.apply(at(300, Command::End { step: "a".to_owned() })), ApplyOutcome::Changed);
     assert_eq!(state.apply(at(400, Command::End { step: "a".to_owned() })), ApplyOutcome::Held);
-    assert!(!state.parts.contains_key(&PartId(30)), "nothing goes on from a note any more");
-    assert_eq!(state.apply(at(410, note)), ApplyOutcome::Held);
+    assert!(!state.parts.contains_key(&PartId(30)), "checkpoints of an ended step are dropped");
+    assert_eq!(state.apply(at(410, checkpoint)), ApplyOutcome::Held);
     assert_eq!(state.steps["a"].results.len(), 1);
     assert!(state.expired(5_099, 5_000).is_empty());
-    let old = state.expired(5_100, 5_000);
-    assert_eq!(old, ["a"]);
-    state.apply(at(5_200, Command::Forget { steps: old }));
+    let expired = state.expired(5_100, 5_000);
+    assert_eq!(expired, ["a"]);
+    state.apply(at(5_200, Command::Forget { steps: expired }));
     assert!(state.steps.is_empty() && state.parts.is_empty());
 }
 
@@ -140,7 +139,7 @@
 }
 
 quickcheck! {
-    fn results_keep_their_places_and_versions_never_go_back(commands: Commands) -> bool {
+    fn results_keep_their_positions_and_versions_never_decrease(commands: Commands) -> bool {
         let mut state = State::default();
         let mut clock = 0;
         commands.0.into_iter().all(|command| {
@@ -156,7 +155,7 @@
         })
     }
 
-    fn a_state_that_went_over_the_wire_goes_on_alike(commands: Commands, cut: usize) -> bool {
+    fn a_deserialized_state_evolves_like_the_original(commands: Commands, cut: usize) -> bool {
         let cut = cut % (commands.0.len() + 1);
         let mut one = State::default();
         let mut other = State::default();
@@ -173,7 +172,7 @@
 }
 
 #[test]
-fn endpoints_are_noted_and_forgotten_one_by_one() {
+fn endpoints_are_recorded_and_removed_individually() {
     let endpoint = |id: &str, version| Endpoint {
         announcement: Announcement {
             id: id.to_owned(),
@@ -189,13 +188,13 @@
         status: EndpointStatus::Ready,
     };
     let mut state = State::default();
-    let mut know = |live: &[Endpoint], gone: &[&str]| {
+    let mut apply = |live: &[Endpoint], gone: &[&str]| {
         let gone = gone.iter().map(|id| (*id).to_owned()).collect();
         let command = Command::Know { live: live.to_vec(), gone };
         state.apply(Stamped { at: 1, command });
         let versions = state.endpoints.values().map(|known| known.announcement.models["m"]);
         versions.collect::<Vec<u64>>()
     };
-    assert_eq!(know(&[endpoint("a", 1), endpoint("b", 1)], &[]), [1, 1]);
-    assert_eq!(know(&[endpoint("b", 2), endpoint("c", 3)], &["a", "d"]), [2, 3]);
+    assert_eq!(apply(&[endpoint("a", 1), endpoint("b", 1)], &[]), [1, 1]);
+    assert_eq!(apply(&[endpoint("b", 2), endpoint("c", 3)], &["a", "d"]), [2, 3]);
 }
--- a/components/fleet/tests/usage.rs
+++ b/components/fleet/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Usage is counted once, and a window that is closed says the same for ever.
+//! Tests that usage is counted once and that a closed window never changes.
 
 use std::collections::BTreeMap;
 
@@ -16,22 +16,22 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-fn life(node: &str, number: u64) -> EntryProcess {
+fn process(node: &str, number: u64) -> EntryProcess {
     EntryProcess { node: node.to_owned(), number }
 }
 
-/// A book whose first window is the tenth.
-fn book() -> UsageState {
-    let mut book = UsageState::default();
-    assert!(book.close(9, None));
-    book
+/// Returns a state whose first window is the tenth.
+fn usage_state() -> UsageState {
+    let mut usage_state = UsageState::default();
+    assert!(usage_state.close(9, None));
+    usage_state
 }
 
 fn counts(pairs: &[(&str, u64)]) -> Counts {
     pairs.iter().map(|(workspace, count)| ((*workspace).to_owned(), *count)).collect()
 }
 
-/// Counts a request that came and began in a window.
+/// Counts a request that arrived and started in a window.
 fn request(meter: &mut Meter, window: u64, workspace: &str) {
     meter.begin_request(window);
     meter.end_request(window, workspace, Some(window));
@@ -45,134 +45,132 @@
     assert_eq!(windows.since_end(0, Unix(5_600)), Some(600));
 }
 
-/// Symptom: a workspace is reported with twice its requests.
-/// Sequence: an entry tells the leader what it counted; the connection breaks, and it tells the next
-/// leader all of it again, while words of before are still on their way.
-/// Cause: what was told were numbers to be added.
-/// Proof: totals that are told twice, late or in another order count once.
+/// Guards against reporting a workspace with twice its requests. An entry reported its counts, lost
+/// its connection, and reported all of them again to the next leader while earlier reports were
+/// still in transit. Totals that are reported twice, late or out of order must count once;
+/// increments were added up.
 #[test]
-fn totals_that_are_told_again_count_once() {
-    let (mut meter, mut book) = (Meter::new(life("f", 1)), book());
+fn repeated_reports_count_once() {
+    let (mut meter, mut usage_state) = (Meter::new(process("f", 1)), usage_state());
     request(&mut meter, 10, "w");
     let first = meter.next_report(10).unwrap();
     request(&mut meter, 10, "w");
     let second = meter.next_report(10).unwrap();
     meter.resend_all();
     let again = meter.next_report(11).unwrap();
-    for told in [&second, &first, &again, &first] {
-        assert_eq!(book.merge(told.totals.clone()), 0);
+    for report in [&second, &first, &again, &first] {
+        assert_eq!(usage_state.merge(report.totals.clone()), 0);
     }
-    assert!(book.close(10, None));
-    assert_eq!(book.unreported(None), Some((10, &counts(&[("w", 2)]))));
+    assert!(usage_state.close(10, None));
+    assert_eq!(usage_state.unreported(None), Some((10, &counts(&[("w", 2)]))));
 }
 
 #[test]
-fn a_process_that_starts_again_counts_beside_its_life_before() {
-    let mut book = book();
+fn a_restarted_process_counts_in_addition_to_the_previous_one() {
+    let mut usage_state = usage_state();
     for number in [1, 2] {
-        let mut meter = Meter::new(life("f", number));
+        let mut meter = Meter::new(process("f", number));
         request(&mut meter, 10, "w");
-        book.merge(meter.next_report(10).unwrap().totals);
+        usage_state.merge(meter.next_report(10).unwrap().totals);
     }
-    book.close(10, None);
-    assert_eq!(book.unreported(None), Some((10, &counts(&[("w", 2)]))));
+    usage_state.close(10, None);
+    assert_eq!(usage_state.unreported(None), Some((10, &counts(&[("w", 2)]))));
 }
 
-/// Symptom: the platform gets two reports of one window that differ.
-/// Sequence: a window is closed and reported, the answer is lost; an entry that was cut off tells what
-/// it counted then; the next leader reports the window again.
-/// Cause: what was told late changed a window that had been reported.
+/// Guards against two different reports of a window to the platform. A window was closed and
+/// reported, but the answer was lost; an entry that had been disconnected then reported its counts
+/// for the window, and the next leader reported the window again with them.
 #[test]
-fn what_is_told_after_the_end_changes_nothing() {
-    let mut book = book();
-    book.close(10, None);
-    let late = Totals { process: life("f", 1), window: 10, counts: counts(&[("w", 3)]) };
-    assert_eq!(book.merge(vec![late]), 3, "it is said how much was left out");
-    book.close(11, None);
-    assert_eq!(book.unreported(None), Some((10, &Counts::new())));
+fn reports_for_a_closed_window_are_dropped() {
+    let mut usage_state = usage_state();
+    usage_state.close(10, None);
+    let late = Totals { process: process("f", 1), window: 10, counts: counts(&[("w", 3)]) };
+    assert_eq!(usage_state.merge(vec![late]), 3, "the number of dropped requests is returned");
+    usage_state.close(11, None);
+    assert_eq!(usage_state.unreported(None), Some((10, &Counts::new())));
 }
 
 #[test]
-fn windows_without_requests_are_reported_too_and_forgotten_once_accepted() {
-    let mut book = book();
-    assert!(book.close(12, None), "it closes those before as well");
-    assert!(!book.close(11, None));
-    assert_eq!(book.unreported(None).unwrap().0, 10);
-    assert_eq!(book.unreported(Some(10)).unwrap().0, 11);
-    book.close(13, Some(12));
-    assert_eq!(book.unreported(None).unwrap().0, 13);
-    assert_eq!(book.next(), Some(14));
+fn windows_without_requests_are_reported_and_removed_once_accepted() {
+    let mut usage_state = usage_state();
+    assert!(usage_state.close(12, None), "windows before it are closed as well");
+    assert!(!usage_state.close(11, None));
+    assert_eq!(usage_state.unreported(None).unwrap().0, 10);
+    assert_eq!(usage_state.unreported(Some(10)).unwrap().0, 11);
+    usage_state.close(13, Some(12));
+    assert_eq!(usage_state.unreported(None).unwrap().0, 13);
+    assert_eq!(usage_state.next(), Some(14));
 }
 
-/// Symptom: a request that came at the end of a window is in no report.
-/// Sequence: it began to run before the end; the entry said that it had told all; the window was closed
-/// while the request still ran.
-/// Cause: whether and when a request began to run is known only when it has ended.
+/// Guards against a request missing from all reports. It started to run before the end of a window,
+/// the entry declared the window complete, and the window was closed while the request was still
+/// running. Whether and when a request started to run is known only when it has ended.
 #[test]
-fn a_window_is_not_complete_while_requests_that_came_in_it_run() {
-    let mut meter = Meter::new(life("f", 1));
+fn a_window_is_not_complete_while_requests_that_arrived_in_it_run() {
+    let mut meter = Meter::new(process("f", 1));
     meter.begin_request(10);
-    assert_eq!(meter.next_report(11).map(|told| told.complete_before), Some(10));
-    assert_eq!(meter.next_report(11), None, "nothing new is to be told");
+    assert_eq!(meter.next_report(11).map(|report| report.complete_before), Some(10));
+    assert_eq!(meter.next_report(11), None, "there is nothing new to report");
     meter.end_request(10, "w", Some(10));
-    let told = meter.next_report(11).unwrap();
-    assert_eq!((told.complete_before, told.totals[0].window), (11, 10));
-    // One that did not begin to run is counted for nobody.
+    let report = meter.next_report(11).unwrap();
+    assert_eq!((report.complete_before, report.totals[0].window), (11, 10));
+    // A request that did not start to run is not counted.
     meter.begin_request(11);
     meter.end_request(11, "w", None);
     assert!(meter.next_report(12).unwrap().totals.is_empty());
 }
 
-fn told(node: &str, number: u64, before: u64) -> UsageReport {
-    UsageReport { process: life(node, number), complete_before: before, totals: Vec::new() }
+fn report(node: &str, number: u64, complete_before: u64) -> UsageReport {
+    UsageReport { process: process(node, number), complete_before, totals: Vec::new() }
 }
 
 #[test]
-fn a_window_is_closed_once_all_entries_have_told_of_it() {
-    let mut lives = ReportTracker::new(Millis(0), [life("g", 1)].into_iter());
+fn a_window_is_closed_once_all_entries_have_reported_it() {
+    let mut tracker = ReportTracker::new(Millis(0), [process("g", 1)].into_iter());
     let now = Millis(60_000);
-    lives.record(&told("f", 1, 11));
-    assert!(!lives.may_close(10, 2_000, now), "one that the log knows has not told");
-    lives.record(&told("g", 1, 11));
-    assert!(!lives.may_close(10, 300, now), "words may be on their way");
-    assert!(lives.may_close(10, 600, now));
-    lives.record(&told("f", 2, 11));
-    lives.record(&told("g", 1, 12));
-    assert!(!lives.may_close(11, 2_000, now), "the new life of one has not told");
+    tracker.record(&report("f", 1, 11));
+    assert!(!tracker.may_close(10, 2_000, now), "a process in the log has not reported");
+    tracker.record(&report("g", 1, 11));
+    assert!(!tracker.may_close(10, 300, now), "reports may be in transit");
+    assert!(tracker.may_close(10, 600, now));
+    tracker.record(&report("f", 2, 11));
+    tracker.record(&report("g", 1, 12));
+    assert!(!tracker.may_close(11, 2_000, now), "a new process has not reported");
 }
 
-/// Symptom: reports of all windows come seconds later once an entry is lost for good.
-/// Cause: each window waited for it.
+/// Guards against reports of all windows being seconds late after an entry is lost permanently,
+/// because every window waited for it.
 #[test]
-fn an_entry_that_is_lost_is_waited_for_once() {
-    let mut lives = ReportTracker::new(Millis(0), [life("gone", 1)].into_iter());
+fn a_lost_entry_delays_only_one_window() {
+    let mut tracker = ReportTracker::new(Millis(0), [process("gone", 1)].into_iter());
     let now = Millis(60_000);
-    lives.record(&told("f", 1, 11));
-    assert!(!lives.may_close(10, 5_999, now));
-    assert!(lives.may_close(10, 6_000, now));
-    lives.record(&told("f", 1, 12));
-    assert!(lives.may_close(11, 600, now));
+    tracker.record(&report("f", 1, 11));
+    assert!(!tracker.may_close(10, 5_999, now));
+    assert!(tracker.may_close(10, 6_000, now));
+    tracker.record(&report("f", 1, 12));
+    assert!(tracker.may_close(11, 600, now));
 }
 
 #[test]
-fn a_new_leader_waits_until_entries_have_found_it() {
-    let mut lives = ReportTracker::new(Millis(60_000), std::iter::empty());
-    assert!(!lives.may_close(10, 600, Millis(61_999)));
-    assert!(!lives.may_close(10, 9_000, Millis(61_999)));
-    assert!(lives.may_close(10, 600, Millis(62_000)));
+fn a_new_leader_waits_until_entries_have_connected() {
+    let mut tracker = ReportTracker::new(Millis(60_000), std::iter::empty());
+    assert!(!tracker.may_close(10, 600, Millis(61_999)));
+    assert!(!tracker.may_close(10, 9_000, Millis(61_999)));
+    assert!(tracker.may_close(10, 600, Millis(62_000)));
 }
 
-/// The load: 88 workspaces at 27 entries, which are killed, lose their leader and tell again in any
-/// order. Each window that is closed holds what entries had told of it before, each request once, and
-/// the closing never changes.
+/// 88 workspaces send requests to 27 entries, which are killed, lose their leader and report again
+/// in any order. Each closed window contains everything that entries had reported for it, each
+/// request once, and never changes.
 #[test]
-fn whatever_is_lost_and_repeated_no_request_counts_twice() {
+fn no_request_counts_twice_despite_losses_and_repeats() {
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut book = book();
-        let mut meters: Vec<Meter> = (0..27).map(|n| Meter::new(life(&n.to_string(), 0))).collect();
+        let mut usage_state = usage_state();
+        let mut meters: Vec<Meter> =
+            (0..27).map(|n| Meter::new(process(&n.to_string(), 0))).collect();
         let mut counted: BTreeMap<u64, Counts> = BTreeMap::new();
-        let mut under_way: Vec<UsageReport> = Vec::new();
+        let mut in_transit: Vec<UsageReport> = Vec::new();
         for window in 10..16 {
             for _ in 0..200 {
                 let entry = rng.random_range(0..meters.len());
@@ -180,23 +178,23 @@
                 request(&mut meters[entry], window, &workspace);
                 *counted.entry(window).or_default().entry(workspace).or_default() += 1;
                 match rng.random_range(0..40) {
-                    0 => under_way.extend(meters[entry].next_report(window)),
+                    0 => in_transit.extend(meters[entry].next_report(window)),
                     1 => meters.iter_mut().for_each(Meter::resend_all),
-                    2 if !under_way.is_empty() => {
-                        let late = under_way.swap_remove(rng.random_range(0..under_way.len()));
-                        book.merge(late.totals);
+                    2 if !in_transit.is_empty() => {
+                        let late = in_transit.swap_remove(rng.random_range(0..in_transit.len()));
+                        usage_state.merge(late.totals);
                     }
                     _ => {}
                 }
             }
             for meter in &mut meters {
-                under_way.extend(meter.next_report(window + 1));
+                in_transit.extend(meter.next_report(window + 1));
             }
-            for told in under_way.iter().rev() {
-                book.merge(told.totals.clone());
+            for report in in_transit.iter().rev() {
+                usage_state.merge(report.totals.clone());
             }
-            book.close(window, None);
-            let closed = book.unreported(Some(window - 1)).map(|(_, counts)| counts.clone());
+            usage_state.close(window, None);
+            let closed = usage_state.unreported(Some(window - 1)).map(|(_, counts)| counts.clone());
             assert_eq!(closed.as_ref(), counted.get(&window), "seed {seed}, window {window}");
         }
     }
--- a/components/fleet/tests/walltime.rs
+++ b/components/fleet/tests/walltime.rs
@@ -1,4 +1,4 @@
-//! The fleet's time of day beside clocks that are wrong.
+//! Tests of the time of day of the fleet with wrong clocks.
 
 use chicoryford_fleet::walltime::Offset;
 use chicoryford_fleet::walltime::WallTime;
@@ -8,18 +8,17 @@
 use chicoryford_types::Unix;
 
 const NOW: Millis = Millis(50_000);
-/// The true time of day when the steady clock reads [`NOW`].
+/// The true time of day when the monotonic clock reads [`NOW`].
 const TRUE: u64 = 1_700_000_000_000;
 
 fn read(ahead_ms: i64) -> Offset {
     Offset::of(Unix(TRUE.saturating_add_signed(ahead_ms)), NOW)
 }
 
-/// Symptom: the usage of a window is off by all requests of some seconds.
-/// Sequence: the time of day of the leader's VM, and of a third of all VMs, is set back by four
-/// seconds, or forward, and back again later.
-/// Cause: windows were told by the leader's own time of day.
-/// Proof: the median stays within what the right clocks read.
+/// Guards against usage of a window that is wrong by all requests of several seconds. The time of
+/// day of the VM of the leader and of a third of all VMs is set four seconds back or forward and
+/// later corrected; windows must not follow the time of day of the leader. The median stays within
+/// the range of the correct clocks.
 #[test]
 fn a_minority_of_wrong_clocks_does_not_move_the_time() {
     for wrong in [-4_000, 4_000] {
@@ -32,27 +31,26 @@
 }
 
 #[test]
-fn half_of_the_clocks_apart_show_as_error() {
+fn the_error_is_large_when_half_of_the_clocks_differ() {
     let clocks = [read(0), read(0), read(4_000), read(4_000)];
     assert!(error_ms(clocks, median(clocks).unwrap()) >= 4_000);
 }
 
 #[test]
-fn a_member_goes_on_by_its_steady_clock_when_no_leader_is_heard() {
+fn a_member_continues_with_its_monotonic_clock_without_a_leader() {
     let mut time = WallTime::new(Unix(TRUE + 4_000), NOW);
-    assert_eq!(time.at(NOW), Unix(TRUE + 4_000), "its own clock is all that it has");
+    assert_eq!(time.at(NOW), Unix(TRUE + 4_000), "only its own clock is available");
     time.record(Unix(TRUE), NOW);
     assert_eq!(time.at(NOW + 60_000), Unix(TRUE + 60_000));
 }
 
-/// Symptom: the entries of a fleet take part of a window's requests for the next one's.
-/// Sequence: a leader is elected and the first member that it hears has a wrong clock.
-/// Cause: members believed the newest word alone.
+/// Guards against attributing requests to the next window. A new leader got its first reading from
+/// a member with a wrong clock, and members used only the newest time that they received.
 #[test]
-fn the_first_words_of_a_new_leader_do_not_move_the_time() {
+fn the_first_times_of_a_new_leader_have_no_effect() {
     let mut time = WallTime::new(Unix(TRUE), NOW);
-    for word in 0..15 {
-        time.record(Unix(TRUE + word * 200), NOW + word * 200);
+    for count in 0..15 {
+        time.record(Unix(TRUE + count * 200), NOW + count * 200);
     }
     let at = NOW + 3_000;
     for _ in 0..3 {
--- a/components/fleet/tests/workspace.rs
+++ b/components/fleet/tests/workspace.rs
@@ -1,4 +1,4 @@
-//! Who may ask for what, and how long keys are believed.
+//! Tests of access with keys and of the acceptance of stale keys.
 
 use chicoryford_fleet::Access;
 use chicoryford_fleet::Route;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn steps_are_read_with_a_key_unless_their_routes_are_open() {
+fn steps_need_a_key_unless_their_routes_are_open() {
     let closed = support::steps_config().routes;
     let open: Vec<Route> =
         closed.iter().map(|route| Route { open: true, ..route.clone() }).collect();
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn keys_are_believed_without_a_leader_as_the_operator_chose() {
+fn stale_keys_are_accepted_according_to_the_policy() {
     let lenient = StaleKeyPolicy { strict: false, limit_ms: 5_000 };
     let strict = StaleKeyPolicy { strict: true, ..lenient };
     assert!(lenient.allows(1_000_000));
@@ -45,15 +45,15 @@
 }
 
 quickcheck! {
-    fn steps_of_two_workspaces_never_have_the_same_identity(
+    fn steps_of_two_workspaces_never_have_the_same_id(
         first: (Option<String>, String),
         second: (Option<String>, String)
     ) -> bool {
-        // Trainers' identities have no slash; others are refused.
-        let whole = |(workspace, id): &(Option<String>, String)| {
+        // Ids chosen by trainers contain no slash; others are rejected.
+        let without_slash = |(workspace, id): &(Option<String>, String)| {
             (workspace.clone(), id.replace('/', ""))
         };
-        let (first, second) = (whole(&first), whole(&second));
+        let (first, second) = (without_slash(&first), without_slash(&second));
         let same = step_id(first.0.as_deref(), &first.1) == step_id(second.0.as_deref(), &second.1);
         same == (first == second)
     }
--- a/components/node/src/copies.rs
+++ b/components/node/src/copies.rs
@@ -235,12 +235,12 @@
         let now = clock::now();
         let available = stores.count(|node| !state.retired.contains(node));
         let lacks = state.parts.iter().filter_map(|(id, part)| {
-            let counted = stores.counted_copies(&part.place, &state.retired, now);
-            let inline = matches!(part.place, Placement::Inline(_));
+            let counted = stores.counted_copies(&part.placement, &state.retired, now);
+            let inline = matches!(part.placement, Placement::Inline(_));
             let lacks = counted.len() < self.wanted
                 && (!inline || available >= self.wanted)
                 && !stores.choose(&counted, &state.retired).is_empty();
-            lacks.then(|| (*id, part.place.clone(), counted))
+            lacks.then(|| (*id, part.placement.clone(), counted))
         });
         lacks.take(MAX_CONCURRENT_COPIES).collect()
     }
@@ -266,7 +266,7 @@
         let state = leader.context.replica.state();
         let mut wanted: BTreeMap<StoreId, BTreeSet<PartId>> = BTreeMap::new();
         for (id, part) in &state.parts {
-            let Placement::Stores(stores) = &part.place else { continue };
+            let Placement::Stores(stores) = &part.placement else { continue };
             for store in stores {
                 wanted.entry(store.clone()).or_default().insert(*id);
             }
--- a/components/node/src/leader/mod.rs
+++ b/components/node/src/leader/mod.rs
@@ -347,7 +347,7 @@
                     .broadcast(&Update::Config(Arc::new(config.without_source())));
                 self.publish_callable(config);
             }
-            Command::Submit { step, place } => self.on_submitted(step, place),
+            Command::Submit { step, placement: place } => self.on_submitted(step, place),
             Command::End { step } => {
                 self.close_step(step);
             }
--- a/components/node/src/leader/steps.rs
+++ b/components/node/src/leader/steps.rs
@@ -62,7 +62,8 @@
             part,
         };
         self.submitted.borrow_mut().insert(step.id.clone(), step.clone());
-        let answer = self.commit(Command::Submit { step: Arc::new(outline), place }).await;
+        let answer =
+            self.commit(Command::Submit { step: Arc::new(outline), placement: place }).await;
         self.submitted.borrow_mut().remove(&step.id);
         answer
     }
@@ -133,8 +134,9 @@
             let Some(found) = state.steps.get(step) else { return Answer::Unknown };
             let chosen = choose_results(&found.results, after);
             let parts: BTreeSet<PartId> = chosen.iter().filter_map(|one| one.part()).collect();
-            let places =
-                parts.iter().filter_map(|part| Some((*part, state.parts.get(part)?.place.clone())));
+            let places = parts
+                .iter()
+                .filter_map(|part| Some((*part, state.parts.get(part)?.placement.clone())));
             let places: Vec<(PartId, copies::Placement)> = places.collect();
             (u64::from(found.step.samples), chosen, places)
         };
@@ -164,7 +166,7 @@
             let state = self.context.replica.state();
             let Some(found) = state.steps.get(step) else { return Answer::Unknown };
             let part = found.step.part;
-            state.parts.get(&part).map(|known| (part, known.place.clone()))
+            state.parts.get(&part).map(|known| (part, known.placement.clone()))
         };
         let Some((part, place)) = found else { return Answer::NotNow };
         let Some(step) = self.read_step(part, &place).await else { return Answer::NotNow };
@@ -215,7 +217,7 @@
             let state = self.context.replica.state();
             let open = state.steps.get(id).filter(|step| step.is_open());
             open.and_then(|step| {
-                let place = state.parts.get(&step.step.part)?.place.clone();
+                let place = state.parts.get(&step.step.part)?.placement.clone();
                 Some((step.step.part, place))
             })
         };
@@ -224,7 +226,8 @@
         let checkpoints = self.read_checkpoints(id).await;
         let state = self.context.replica.state();
         if let Some(open) = state.steps.get(id).filter(|step| step.is_open()) {
-            let at = self.began.0.saturating_sub(self.start_clock.saturating_sub(open.at));
+            let at =
+                self.began.0.saturating_sub(self.start_clock.saturating_sub(open.submitted_at));
             let mut plan = self.plan.borrow_mut();
             let reports_until = clock::now() + HOST_REPORTS_WAIT_MS;
             plan.open_step(Arc::new(step), Millis(at), reports_until, |index| {
@@ -257,8 +260,9 @@
     pub(super) async fn read_checkpoints(&self, id: &str) -> Vec<Checkpoint> {
         let places: Vec<(PartId, copies::Placement)> = {
             let state = self.context.replica.state();
-            let parts = state.steps.get(id).map(|step| step.notes.clone()).unwrap_or_default();
-            let place = |part: PartId| Some((part, state.parts.get(&part)?.place.clone()));
+            let parts =
+                state.steps.get(id).map(|step| step.checkpoints.clone()).unwrap_or_default();
+            let place = |part: PartId| Some((part, state.parts.get(&part)?.placement.clone()));
             parts.into_iter().filter_map(place).collect()
         };
         let mut checkpoints = Vec::new();
@@ -287,7 +291,7 @@
                 // Without enough stores the checkpoint is skipped: the log is not meant for this
                 // volume of data.
                 if matches!(place, copies::Placement::Stores(_)) {
-                    self.commit(Command::Note { step, part, place }).await;
+                    self.commit(Command::Note { step, part, placement: place }).await;
                 }
             }
         });
--- a/components/node/src/leader/stores.rs
+++ b/components/node/src/leader/stores.rs
@@ -32,7 +32,7 @@
             copies::Placement::Inline(_) => false,
             copies::Placement::Stores(stores) => stores.iter().any(|store| store.node == node),
         };
-        let left = state.parts.values().filter(|part| holds(&part.place)).count();
+        let left = state.parts.values().filter(|part| holds(&part.placement)).count();
         Answer::Retired(left == 0)
     }
 }
--- a/components/node/src/listing.rs
+++ b/components/node/src/listing.rs
@@ -144,7 +144,7 @@
                 texts.push(text);
                 StoredResult::Completed {
                     part,
-                    place: texts.len() as u32 - 1,
+                    text_index: texts.len() as u32 - 1,
                     bytes: text.len() as u32,
                     versions: versions.clone(),
                     score: score.clone(),
--- a/components/node/tests/leader/fleet.rs
+++ b/components/node/tests/leader/fleet.rs
@@ -148,7 +148,7 @@
         assert!(matches!(answer, Answer::Done), "{answer:?}");
         let state = self.replica.state();
         let part = &state.parts[&state.steps[id].step.part];
-        assert!(matches!(part.place, Placement::Stores(_)), "{part:?}");
+        assert!(matches!(part.placement, Placement::Stores(_)), "{part:?}");
     }
 
     /// Commits six checkpoints of a step's samples, on a store that does not return them.
@@ -156,7 +156,8 @@
         let stores = BTreeSet::from([StoreId { node: "s".to_owned(), identity: STORE_IDENTITY }]);
         for number in 0..6 {
             let place = Placement::Stores(stores.clone());
-            let checkpoint = Command::Note { step: id.to_owned(), part: PartId(number), place };
+            let checkpoint =
+                Command::Note { step: id.to_owned(), part: PartId(number), placement: place };
             assert!(matches!(self.leader().commit(checkpoint).await, Answer::Done));
         }
     }
--- a/components/suspects/src/lib.rs
+++ b/components/suspects/src/lib.rs
@@ -1,7 +1,7 @@
-//! Finds the requests that crash endpoints (docs/SUSPECTS.md).
+//! Finds the contents of requests that crash endpoints (docs/SUSPECTS.md).
 //!
-//! [`Rule`] is pure: it reads the accepted configuration and one event, and answers with the
-//! changes of configuration that the replicated state makes. All replicas get the same answer.
+//! [`Rule`] is a pure function of the current configuration and one event. It returns the
+//! configuration changes that the replicated state applies, so all replicas get the same result.
 
 pub mod rule;
 
--- a/components/suspects/src/rule.rs
+++ b/components/suspects/src/rule.rs
@@ -1,4 +1,4 @@
-//! The rule by which contents are suspected, cleared and convicted.
+//! The rule that decides when contents are suspected, cleared and convicted.
 
 use std::collections::BTreeMap;
 
@@ -9,19 +9,21 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The rule's settings.
+/// The settings of the rule.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rule {
-    /// Crashes that convict a content, the last of them while it ran apart.
+    /// Crashes after which a content is convicted, if it was the only blamed content in the last
+    /// one.
     pub apart: u32,
-    /// Crashes that convict a content, even if other suspects were in progress each time.
+    /// Crashes after which a content is convicted even if other suspects were in progress at each
+    /// of them.
     pub crowd: u32,
-    /// Milliseconds for which a conviction holds.
+    /// Milliseconds until a conviction expires.
     pub lasts_ms: u64,
-    /// Suspects kept at most.
+    /// Maximum number of suspects.
     pub suspects: usize,
-    /// Convictions kept at most.
+    /// Maximum number of convictions.
     pub convictions: usize,
 }
 
@@ -38,14 +40,16 @@
 }
 
 impl Rule {
-    /// Weighs a crash; `blamed` are the suspects among the contents in progress, or else all.
+    /// Returns the changes caused by a crash. `blamed` are the suspects among the contents in
+    /// progress, or all contents in progress if there are no suspects among them.
     ///
-    /// A content that crashes engines comes back under new request ids for as long as its caller
-    /// wants the answer, and takes one endpoint down each time, with all that runs there. What
-    /// was in progress at a crash is therefore suspected, and from then on runs apart from other
-    /// suspects: the next crash blames it alone. One crash apart may still be chance, as
-    /// endpoints crash for other reasons too; docs/SUSPECTS.md has the measured rates of both
-    /// errors by which the numbers were chosen.
+    /// A content that crashes engines is sent again under new request ids for as long as its caller
+    /// wants the answer, and each time stops an endpoint with everything that runs there. The
+    /// contents in progress at a crash are therefore suspected and from then on run separately from
+    /// other suspects, so that the next crash blames only one of them. A single crash of a content
+    /// that ran separately may still be a coincidence, because endpoints also crash for other
+    /// reasons. docs/SUSPECTS.md has the measured rates of both kinds of errors, from which the
+    /// numbers follow.
     pub fn crashed(
         &self,
         suspects: &BTreeMap<Fingerprint, u32>,
@@ -66,9 +70,9 @@
             }
             let before = suspects.get(content).copied().unwrap_or(0);
             let crashes = before.saturating_add(1);
-            let proven = alone && before > 0 && crashes >= self.apart;
-            let room = convicted < self.convictions;
-            if room && (proven || crashes >= self.crowd) {
+            let is_proven = alone && before > 0 && crashes >= self.apart;
+            let has_room = convicted < self.convictions;
+            if has_room && (is_proven || crashes >= self.crowd) {
                 let until = Unix(stamp.0.saturating_add(self.lasts_ms));
                 changes.push(Change::Convicted(*content, Conviction { crashes, until }));
                 convicted += 1;
@@ -77,13 +81,13 @@
                 added += usize::from(before == 0);
             }
         }
-        let mut room = self.make_room(suspects, &blamed, added);
-        room.extend(self.make_room_convicted(convictions, convicted));
-        room.append(&mut changes);
-        room
+        let mut evicted = self.evict_suspects(suspects, &blamed, added);
+        evicted.extend(self.evict_convictions(convictions, convicted));
+        evicted.append(&mut changes);
+        evicted
     }
 
-    /// Takes in that a content ran to its end.
+    /// Returns the change caused by the completion of a request with this content, if any.
     pub fn cleared(
         &self,
         suspects: &BTreeMap<Fingerprint, u32>,
@@ -92,7 +96,7 @@
         suspects.contains_key(&content).then_some(Change::Cleared(content))
     }
 
-    /// Gives the convictions that have lapsed.
+    /// Returns the changes that remove expired convictions.
     pub fn lapsed(
         &self,
         convictions: &BTreeMap<Fingerprint, Conviction>,
@@ -105,8 +109,9 @@
             .collect()
     }
 
-    /// Clears the suspects with the fewest crashes, to keep within the bound.
-    fn make_room(
+    /// Returns the changes that clear the suspects with the fewest crashes, to stay within the
+    /// limit.
+    fn evict_suspects(
         &self,
         suspects: &BTreeMap<Fingerprint, u32>,
         blamed: &[Fingerprint],
@@ -125,7 +130,8 @@
         least.into_iter().take(excess).map(|(_, content)| Change::Cleared(content)).collect()
     }
 
-    fn make_room_convicted(
+    /// Returns the changes that remove the convictions that expire first, to stay within the limit.
+    fn evict_convictions(
         &self,
         convictions: &BTreeMap<Fingerprint, Conviction>,
         added: usize,
--- a/components/suspects/tests/random.rs
+++ b/components/suspects/tests/random.rs
@@ -1,4 +1,5 @@
-//! Long randomised runs of the rule: bounded, repeatable, and sparing the harmless.
+//! Randomised tests of the rule: it stays within its limits, is deterministic, and does not convict
+//! harmless contents.
 
 use std::collections::BTreeSet;
 
@@ -20,7 +21,7 @@
     }
 }
 
-/// Runs crashes, ends and lapses in a random order; checks the bounds after each.
+/// Applies crashes, completions and expirations in a random order and checks the limits after each.
 fn run(events: &[(u8, u8, u8)]) -> Config {
     let mut config = Config::default();
     for (n, (kind, first, count)) in events.iter().enumerate() {
@@ -48,13 +49,13 @@
         assert!(config.convictions.len() <= RULE.convictions);
         let both: BTreeSet<_> =
             config.suspects.keys().filter(|c| config.convictions.contains_key(c)).collect();
-        assert!(both.is_empty(), "suspected and convicted at once: {both:?}");
+        assert!(both.is_empty(), "both suspected and convicted: {both:?}");
     }
     config
 }
 
 #[test]
-fn can_stay_bounded_and_repeatable() {
+fn stays_within_limits_and_is_deterministic() {
     fn holds(events: Vec<(u8, u8, u8)>) -> bool {
         run(&events) == run(&events)
     }
@@ -62,10 +63,10 @@
 }
 
 #[test]
-fn can_clear_a_content_however_many_others_crash_beside_it() {
-    // Symptom: a harmless request is refused after a bad day.
-    // Sequence: endpoints crash by chance while it is in progress; each time it finishes at last.
-    // Cause: its crashes would add up over days.
+fn clears_a_content_that_completes_regardless_of_other_crashes() {
+    // Guards against rejecting a harmless request after many unrelated crashes: endpoints crash by
+    // coincidence while it is in progress, and it completes each time. Its crashes must not add up
+    // over days.
     let mut config = Config::default();
     for n in 0..50 {
         let blamed = [Fingerprint(1), Fingerprint(100 + n)];
--- a/components/suspects/tests/rule.rs
+++ b/components/suspects/tests/rule.rs
@@ -1,4 +1,4 @@
-//! The rule, case by case.
+//! Tests of the rule.
 
 use std::collections::BTreeMap;
 
@@ -25,11 +25,10 @@
 }
 
 #[test]
-fn can_convict_only_the_guilty_of_a_batch() {
-    // Symptom: callers whose requests are harmless are refused.
-    // Sequence: a request crashes the endpoint on which it runs among others; they are all sent
-    // again, and it crashes the next endpoints too.
-    // Cause: all of the batch were there at the first crash.
+fn convicts_only_the_crashing_content_of_a_batch() {
+    // Guards against rejecting harmless requests. A request crashes the endpoint on which it runs
+    // next to others. All of them are sent again, and it crashes the next endpoints too. All
+    // contents of the first crash were treated as equally suspicious.
     let mut config = Config::default();
     crash(&mut config, &[1, 2, 3]);
     assert_eq!(config.suspects.len(), 3);
@@ -45,7 +44,7 @@
 }
 
 #[test]
-fn can_stay_within_its_bound() {
+fn keeps_the_number_of_suspects_within_the_limit() {
     let rule = Rule { suspects: 2, ..Rule::default() };
     let suspects = BTreeMap::from([(Fingerprint(1), 2), (Fingerprint(2), 1)]);
     let changes = rule.crashed(&suspects, &BTreeMap::new(), Unix(0), &[Fingerprint(3)]);
