--- a/components/experiment/src/suspicion.rs
+++ b/components/experiment/src/suspicion.rs
@@ -40,11 +40,12 @@
         "rule", "chance", "innocents", "guilty", "of", "crashes each", "suspects"
     );
     for chance in [0.0001, 0.001, 0.01] {
-        let counted = |crowd| Rule { apart: u32::MAX, crowd, ..Rule::default() };
+        let counted =
+            |crowd| Rule { isolated_crashes: u32::MAX, shared_crashes: crowd, ..Rule::default() };
         line("counted, 2 crashes", counted(2), false, chance, seed);
         line("counted, 3 crashes", counted(3), false, chance, seed);
         for apart in [2, 3, 4] {
-            let rule = Rule { apart, ..Rule::default() };
+            let rule = Rule { isolated_crashes: apart, ..Rule::default() };
             line(&format!("apart, {apart} crashes"), rule, true, chance, seed);
         }
     }
@@ -99,7 +100,7 @@
         let by_chance = rng.random_bool(chance);
         if !guilty && !by_chance {
             for (content, _) in &batch {
-                let cleared = rule.cleared(&config.suspects, *content);
+                let cleared = rule.on_completion(&config.suspects, *content);
                 apply(&mut config, cleared);
             }
             continue;
@@ -111,7 +112,7 @@
         if apart && blamed.iter().any(known) {
             blamed.retain(known);
         }
-        let changes = rule.crashed(&config.suspects, &config.convictions, Unix(0), &blamed);
+        let changes = rule.on_crash(&config.suspects, &config.convictions, Unix(0), &blamed);
         for change in &changes {
             if let Change::Convicted(content, _) = change {
                 convicted.insert(*content);
--- a/components/fleet/src/crashes.rs
+++ b/components/fleet/src/crashes.rs
@@ -44,9 +44,9 @@
         }
         let counts = self.suspects.iter().map(|(content, by)| (*content, by.len() as u32));
         let counts: BTreeMap<Fingerprint, u32> = counts.collect();
-        let lapsed = rule.lapsed(&self.convictions, now);
-        let changes = rule.crashed(&counts, &self.convictions, now, &[content]);
-        for change in lapsed.into_iter().chain(changes) {
+        let expired = rule.expired(&self.convictions, now);
+        let changes = rule.on_crash(&counts, &self.convictions, now, &[content]);
+        for change in expired.into_iter().chain(changes) {
             match change {
                 Change::Suspected(content, _) => {
                     self.suspects.entry(content).or_default().insert(endpoint.clone());
@@ -119,6 +119,6 @@
     /// Returns whether a content is to be rejected.
     pub fn refuses(&self, content: Fingerprint) -> bool {
         let crashes = self.seen.get(&content).map_or(0, BTreeSet::len);
-        self.refused.contains(&content) || crashes >= Rule::default().apart as usize
+        self.refused.contains(&content) || crashes >= Rule::default().isolated_crashes as usize
     }
 }
--- a/components/state/src/suspects.rs
+++ b/components/state/src/suspects.rs
@@ -59,13 +59,13 @@
         let blamed = &blamed[..blamed.len().min(MAX_BLAMED)];
         let config = &self.config;
         let rule = Rule::default();
-        let changes = rule.crashed(&config.suspects, &config.convictions, self.now, blamed);
+        let changes = rule.on_crash(&config.suspects, &config.convictions, self.now, blamed);
         changes.into_iter().for_each(|change| self.accept_suspicion(change));
         Reply::Done
     }
 
     pub(crate) fn cleared(&mut self, fingerprint: Fingerprint) -> Reply {
-        let change = Rule::default().cleared(&self.config.suspects, fingerprint);
+        let change = Rule::default().on_completion(&self.config.suspects, fingerprint);
         change.into_iter().for_each(|change| self.accept_suspicion(change));
         Reply::Done
     }
@@ -85,7 +85,7 @@
             return;
         }
         self.suspects.last_check = now;
-        for change in Rule::default().lapsed(&self.config.convictions, now) {
+        for change in Rule::default().expired(&self.config.convictions, now) {
             self.accept_suspicion(change);
         }
         let expired = self.suspects.expiries.iter().filter(|(_, expiry)| **expiry <= now);
--- a/components/suspects/src/rule.rs
+++ b/components/suspects/src/rule.rs
@@ -15,26 +15,31 @@
 pub struct Rule {
     /// Crashes after which a content is convicted, if it was the only blamed content in the last
     /// one.
-    pub apart: u32,
+    #[serde(rename = "apart")]
+    pub isolated_crashes: u32,
     /// Crashes after which a content is convicted even if other suspects were in progress at each
     /// of them.
-    pub crowd: u32,
+    #[serde(rename = "crowd")]
+    pub shared_crashes: u32,
     /// Milliseconds until a conviction expires.
-    pub lasts_ms: u64,
+    #[serde(rename = "lasts_ms")]
+    pub conviction_ms: u64,
     /// Maximum number of suspects.
-    pub suspects: usize,
+    #[serde(rename = "suspects")]
+    pub max_suspects: usize,
     /// Maximum number of convictions.
-    pub convictions: usize,
+    #[serde(rename = "convictions")]
+    pub max_convictions: usize,
 }
 
 impl Default for Rule {
     fn default() -> Self {
         Self {
-            apart: 3,
-            crowd: 6,
-            lasts_ms: 24 * 60 * 60 * 1_000,
-            suspects: 4_096,
-            convictions: 4_096,
+            isolated_crashes: 3,
+            shared_crashes: 6,
+            conviction_ms: 24 * 60 * 60 * 1_000,
+            max_suspects: 4_096,
+            max_convictions: 4_096,
         }
     }
 }
@@ -50,7 +55,7 @@
     /// that ran separately may still be a coincidence, because endpoints also crash for other
     /// reasons. docs/SUSPECTS.md has the measured rates of both kinds of errors, from which the
     /// numbers follow.
-    pub fn crashed(
+    pub fn on_crash(
         &self,
         suspects: &BTreeMap<Fingerprint, u32>,
         convictions: &BTreeMap<Fingerprint, Conviction>,
@@ -70,13 +75,13 @@
             }
             let before = suspects.get(content).copied().unwrap_or(0);
             let crashes = before.saturating_add(1);
-            let is_proven = alone && before > 0 && crashes >= self.apart;
-            let has_room = convicted < self.convictions;
-            if has_room && (is_proven || crashes >= self.crowd) {
-                let until = Unix(stamp.0.saturating_add(self.lasts_ms));
+            let is_proven = alone && before > 0 && crashes >= self.isolated_crashes;
+            let has_room = convicted < self.max_convictions;
+            if has_room && (is_proven || crashes >= self.shared_crashes) {
+                let until = Unix(stamp.0.saturating_add(self.conviction_ms));
                 changes.push(Change::Convicted(*content, Conviction { crashes, until }));
                 convicted += 1;
-            } else if before > 0 || added < self.suspects {
+            } else if before > 0 || added < self.max_suspects {
                 changes.push(Change::Suspected(*content, crashes));
                 added += usize::from(before == 0);
             }
@@ -88,7 +93,7 @@
     }
 
     /// Returns the change caused by the completion of a request with this content, if any.
-    pub fn cleared(
+    pub fn on_completion(
         &self,
         suspects: &BTreeMap<Fingerprint, u32>,
         content: Fingerprint,
@@ -97,7 +102,7 @@
     }
 
     /// Returns the changes that remove expired convictions.
-    pub fn lapsed(
+    pub fn expired(
         &self,
         convictions: &BTreeMap<Fingerprint, Conviction>,
         stamp: Unix,
@@ -117,7 +122,7 @@
         blamed: &[Fingerprint],
         added: usize,
     ) -> Vec<Change> {
-        let excess = (suspects.len() + added).saturating_sub(self.suspects);
+        let excess = (suspects.len() + added).saturating_sub(self.max_suspects);
         if excess == 0 {
             return Vec::new();
         }
@@ -136,7 +141,7 @@
         convictions: &BTreeMap<Fingerprint, Conviction>,
         added: usize,
     ) -> Vec<Change> {
-        let excess = (convictions.len() + added).saturating_sub(self.convictions);
+        let excess = (convictions.len() + added).saturating_sub(self.max_convictions);
         if excess == 0 {
             return Vec::new();
         }
--- a/components/suspects/tests/random.rs
+++ b/components/suspects/tests/random.rs
@@ -12,7 +12,13 @@
 use chicoryford_types::Unix;
 use quickcheck::QuickCheck;
 
-const RULE: Rule = Rule { apart: 3, crowd: 6, lasts_ms: 10_000, suspects: 20, convictions: 5 };
+const RULE: Rule = Rule {
+    isolated_crashes: 3,
+    shared_crashes: 6,
+    conviction_ms: 10_000,
+    max_suspects: 20,
+    max_convictions: 5,
+};
 
 fn apply(config: &mut Config, changes: impl IntoIterator<Item = Change>) {
     for change in changes {
@@ -31,22 +37,22 @@
             0 | 1 => {
                 let blamed: Vec<Fingerprint> =
                     (0..=u64::from(count % 8)).map(|m| Fingerprint(content.0 + m)).collect();
-                let changes = RULE.crashed(&config.suspects, &config.convictions, stamp, &blamed);
+                let changes = RULE.on_crash(&config.suspects, &config.convictions, stamp, &blamed);
                 apply(&mut config, changes);
             }
             2 => {
-                let cleared = RULE.cleared(&config.suspects, content);
+                let cleared = RULE.on_completion(&config.suspects, content);
                 apply(&mut config, cleared);
                 assert!(!config.suspects.contains_key(&content));
             }
             _ => {
-                let lapsed = RULE.lapsed(&config.convictions, stamp);
+                let lapsed = RULE.expired(&config.convictions, stamp);
                 apply(&mut config, lapsed);
                 assert!(config.convictions.values().all(|c| c.until > stamp));
             }
         }
-        assert!(config.suspects.len() <= RULE.suspects);
-        assert!(config.convictions.len() <= RULE.convictions);
+        assert!(config.suspects.len() <= RULE.max_suspects);
+        assert!(config.convictions.len() <= RULE.max_convictions);
         let both: BTreeSet<_> =
             config.suspects.keys().filter(|c| config.convictions.contains_key(c)).collect();
         assert!(both.is_empty(), "both suspected and convicted: {both:?}");
@@ -70,9 +76,9 @@
     let mut config = Config::default();
     for n in 0..50 {
         let blamed = [Fingerprint(1), Fingerprint(100 + n)];
-        let changes = RULE.crashed(&config.suspects, &config.convictions, Unix(n), &blamed);
+        let changes = RULE.on_crash(&config.suspects, &config.convictions, Unix(n), &blamed);
         apply(&mut config, changes);
-        let cleared = RULE.cleared(&config.suspects, Fingerprint(1));
+        let cleared = RULE.on_completion(&config.suspects, Fingerprint(1));
         apply(&mut config, cleared);
     }
     assert!(!config.convictions.contains_key(&Fingerprint(1)));
--- a/components/suspects/tests/rule.rs
+++ b/components/suspects/tests/rule.rs
@@ -13,7 +13,7 @@
 fn crash(config: &mut Config, blamed: &[u64]) {
     let blamed: Vec<Fingerprint> = blamed.iter().map(|n| Fingerprint(*n)).collect();
     let rule = Rule::default();
-    let changes = rule.crashed(&config.suspects, &config.convictions, Unix(0), &blamed);
+    let changes = rule.on_crash(&config.suspects, &config.convictions, Unix(0), &blamed);
     apply(config, changes);
 }
 
@@ -34,7 +34,7 @@
     assert_eq!(config.suspects.len(), 3);
     let rule = Rule::default();
     for innocent in [1, 3] {
-        let cleared = rule.cleared(&config.suspects, Fingerprint(innocent));
+        let cleared = rule.on_completion(&config.suspects, Fingerprint(innocent));
         apply(&mut config, cleared.into_iter().collect());
     }
     crash(&mut config, &[2]);
@@ -45,8 +45,8 @@
 
 #[test]
 fn keeps_the_number_of_suspects_within_the_limit() {
-    let rule = Rule { suspects: 2, ..Rule::default() };
+    let rule = Rule { max_suspects: 2, ..Rule::default() };
     let suspects = BTreeMap::from([(Fingerprint(1), 2), (Fingerprint(2), 1)]);
-    let changes = rule.crashed(&suspects, &BTreeMap::new(), Unix(0), &[Fingerprint(3)]);
+    let changes = rule.on_crash(&suspects, &BTreeMap::new(), Unix(0), &[Fingerprint(3)]);
     assert_eq!(changes, [Change::Cleared(Fingerprint(2)), Change::Suspected(Fingerprint(3), 1)]);
 }
