--- a/components/fleet/benches/round.rs
+++ b/components/fleet/benches/round.rs
@@ -41,13 +41,13 @@
 const MODELS: [&str; 3] = ["one", "two", "three"];
 
 fn engine(number: usize) -> Endpoint {
-    let said = Announcement {
+    let announcement = Announcement {
         service: "engines".to_owned(),
         slots: 6,
         models: MODELS.iter().map(|model| ((*model).to_owned(), 4)).collect(),
         ..announcement(&format!("i-{number:010x}"), 1)
     };
-    Endpoint { announcement: said, status: EndpointStatus::Ready }
+    Endpoint { announcement, status: EndpointStatus::Ready }
 }
 
 fn step(id: &str) -> Arc<Step> {
@@ -89,33 +89,33 @@
         let engines: Vec<Endpoint> = (0..count).map(engine).collect();
         let known = engines.iter().cloned();
         let mut registry = Registry::from_known(endpoint::Settings::default(), known, NOW);
-        let mut plan = Planner::new(Epoch(1));
-        engines.iter().for_each(|engine| plan.update_engine(engine));
-        let claims = MODELS.map(|model| ModelDemand {
+        let mut planner = Planner::new(Epoch(1));
+        engines.iter().for_each(|engine| planner.update_engine(engine));
+        let demands = MODELS.map(|model| ModelDemand {
             model: model.to_owned(),
             version: 4,
             tokens: 1_000,
             peak_samples: 2 * SAMPLES,
             starved: 0,
         });
-        let (turn, policy) = (
+        let (order_lease, policy) = (
             OrderLease { last_orders: BTreeMap::new(), ..OrderLease::default() },
             Policy::default(),
         );
         let ticks = time(|| drop(registry.tick(NOW)));
-        let slow = time(|| drop(plan.slow_runs(NOW)));
+        let slow = time(|| drop(planner.slow_runs(NOW)));
         let weights = time(|| {
-            let seats: Vec<&EngineState> = plan.engines().collect();
-            drop(swap::select_loads(&seats, &claims, &turn, policy, NOW));
+            let engines: Vec<&EngineState> = planner.engines().collect();
+            drop(swap::select_loads(&engines, &demands, &order_lease, policy, NOW));
         });
         let config = steps_config();
         let mut number = 0;
         let assigned = time(|| {
             let id = format!("s{number}");
             number += 1;
-            plan.open_step(step(&id), NOW, Millis::default(), |_| false);
-            plan.assign(&config, NOW);
-            plan.close_step(&id, NOW);
+            planner.open_step(step(&id), NOW, Millis::default(), |_| false);
+            planner.assign(&config, NOW);
+            planner.close_step(&id, NOW);
         });
         println!("{count:7}  {ticks:11.1}  {slow:12.1}  {weights:10.1}  {assigned:14.1}");
     }
--- a/components/fleet/src/config.rs
+++ b/components/fleet/src/config.rs
@@ -43,7 +43,7 @@
     pub prefix: String,
     /// How requests may be repeated.
     pub kind: RouteKind,
-    /// Maximum milliseconds that a request may take.
+    /// Maximum milliseconds that a caller waits for a reply.
     pub timeout_ms: Option<u64>,
     /// Target latency in milliseconds, beyond which a reply is worth less.
     pub target_ms: u64,
@@ -170,6 +170,10 @@
 
 impl Config {
     /// Checks whether the configuration can be accepted.
+    ///
+    /// # Errors
+    ///
+    /// The first [`ConfigError`] found.
     pub fn check(&self) -> Result<(), ConfigError> {
         self.workspaces.check()?;
         let known: BTreeSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
--- a/components/fleet/src/crashes.rs
+++ b/components/fleet/src/crashes.rs
@@ -38,11 +38,13 @@
     pub fn record_crash(&mut self, crash: Crash, at: u64) -> bool {
         let (rule, now) = (Rule::default(), Unix(at));
         let Crash { content, endpoint } = crash;
-        let known = self.suspects.get(&content).is_some_and(|by| by.contains(&endpoint));
+        let known =
+            self.suspects.get(&content).is_some_and(|endpoints| endpoints.contains(&endpoint));
         if known || self.convictions.contains_key(&content) {
             return false;
         }
-        let counts = self.suspects.iter().map(|(content, by)| (*content, by.len() as u32));
+        let counts =
+            self.suspects.iter().map(|(content, endpoints)| (*content, endpoints.len() as u32));
         let counts: BTreeMap<Fingerprint, u32> = counts.collect();
         let expired = rule.expired(&self.convictions, now);
         let changes = rule.on_crash(&counts, &self.convictions, now, &[content]);
--- a/components/fleet/src/plan/assign.rs
+++ b/components/fleet/src/plan/assign.rs
@@ -55,6 +55,7 @@
         assignments
     }
 
+    /// Assigns the waiting samples of a step and appends the assignments.
     fn assign_step(
         &mut self,
         id: &str,
@@ -79,8 +80,8 @@
                 group_engines.entry(&sample.group).or_insert_with(|| engine.clone());
             }
         }
-        // Nearly all samples of a step share one route, so they are processed by runs of equal
-        // routes.
+        // Nearly all samples of a step share one route, so consecutive samples with the same route
+        // are handled together.
         for same_route in waiting.chunk_by(|(_, a), (_, b)| std::ptr::eq(*a, *b)) {
             let route = same_route[0].1;
             let eligible =
--- a/components/fleet/src/plan/engine.rs
+++ b/components/fleet/src/plan/engine.rs
@@ -7,8 +7,7 @@
 use crate::endpoint::Endpoint;
 use crate::endpoint::EndpointStatus;
 
-/// Half-life in milliseconds of a measured pace: without new measurements its weight halves in this
-/// time.
+/// Half-life in milliseconds of a measured pace, which decays while there are no new measurements.
 pub(super) const PACE_HALF_LIFE_MS: f64 = 2_000.0;
 
 /// What the planner knows about an engine.
@@ -22,6 +21,7 @@
     pub loading: Option<String>,
     /// Moving average of the milliseconds between events; zero before the first measurement.
     pub(super) pace_ms: f64,
+    /// When the pace was last measured.
     pub(super) paced_at: Millis,
     /// Consecutive failures.
     pub(super) failures: u32,
@@ -61,10 +61,12 @@
             && announced_since_move
     }
 
+    /// Returns the number of slots without a run.
     pub(super) fn free_slots(&self) -> u32 {
         self.endpoint.announcement.slots.saturating_sub(self.load())
     }
 
+    /// Returns the decayed pace in milliseconds between events.
     pub(super) fn pace(&self, now: Millis) -> f64 {
         self.pace_ms * 0.5_f64.powf(now.since(self.paced_at) as f64 / PACE_HALF_LIFE_MS)
     }
--- a/components/fleet/src/plan/mod.rs
+++ b/components/fleet/src/plan/mod.rs
@@ -55,6 +55,7 @@
 pub struct Planner {
     steps: BTreeMap<String, StepPlan>,
     engines: BTreeMap<String, EngineState>,
+    /// Median milliseconds between events of the engines; zero before the first measurement.
     median_pace_ms: f64,
     /// The longest recent samples, by model.
     longest_outputs: BTreeMap<String, listing::LongestOutput>,
@@ -267,6 +268,7 @@
         Some(&self.steps.get(step)?.progress.get(index as usize)?.output)
     }
 
+    /// Releases the slot of a run of `model` on an engine, if the engine is still known.
     pub(super) fn release_slot(&mut self, engine: Option<&str>, model: &str) {
         let Some(engine) = engine.and_then(|id| self.engines.get_mut(id)) else { return };
         if let Some(running) = engine.running.get_mut(model) {
--- a/components/fleet/src/plan/reassign.rs
+++ b/components/fleet/src/plan/reassign.rs
@@ -79,6 +79,7 @@
         slow
     }
 
+    /// Recomputes the median pace from the engines measured within the last ten seconds.
     pub(super) fn update_median_pace(&mut self, now: Millis) {
         let measured = self.engines.values().filter(|engine| now.since(engine.paced_at) < 10_000);
         let mut paces: Vec<f64> =
--- a/components/fleet/src/plan/reports.rs
+++ b/components/fleet/src/plan/reports.rs
@@ -98,6 +98,7 @@
         ReportAction::Continue
     }
 
+    /// Updates an engine's pace with the mean milliseconds between events of a run.
     pub(super) fn record_pace(&mut self, engine: &str, gap: f64, now: Millis) {
         let Some(engine) = self.engines.get_mut(engine) else { return };
         let pace = engine.pace_ms;
@@ -128,6 +129,7 @@
         self.orphan_runs_if(host, |progress| !progress.reported)
     }
 
+    /// Returns the active runs of a host for which `is_lost` is true to the queue.
     fn orphan_runs_if(&mut self, host: &str, is_lost: impl Fn(&Progress) -> bool) -> usize {
         let mut orphaned = Vec::new();
         for planned in self.steps.values_mut() {
@@ -188,6 +190,7 @@
         next
     }
 
+    /// Blocks an engine for some time if a run on it ended because of the engine.
     pub(super) fn penalize(&mut self, engine: Option<&str>, end: RunEnd, now: Millis) {
         let Some(engine) = engine.and_then(|id| self.engines.get_mut(id)) else { return };
         match end {
--- a/components/fleet/src/plan/samples.rs
+++ b/components/fleet/src/plan/samples.rs
@@ -104,11 +104,16 @@
     pub started: Millis,
 }
 
+/// What is being done for a sample.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Phase {
+    /// It waits for a run.
     Waiting,
+    /// An engine generates it.
     Running,
+    /// Its scorer is being called.
     Scoring,
+    /// It has a result.
     Settled,
 }
 
@@ -127,7 +132,9 @@
     pub(super) claimable: bool,
     /// Whether the host has reported the run since it last connected.
     pub(super) reported: bool,
+    /// When the current run was assigned.
     pub(super) started: Millis,
+    /// When the last new event was reported.
     pub(super) last_event: Millis,
     pub(super) output: SampleOutput,
     /// The number of events in checkpoints on the stores.
@@ -137,6 +144,7 @@
     pub(super) deadline: Millis,
     /// The sample is not run before this time, because it crashes engines.
     pub(super) blocked_until: Millis,
+    /// How often the sample was moved away from a slow engine.
     pub(super) moves: u32,
 }
 
--- a/components/fleet/src/step.rs
+++ b/components/fleet/src/step.rs
@@ -34,7 +34,7 @@
 /// A sample to be generated.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Sample {
-    /// The id of the sample, which endpoints also get.
+    /// The id of the sample, which is also sent to endpoints.
     pub id: String,
     /// The path of its request.
     pub path: String,
@@ -82,7 +82,7 @@
     pub single_version: bool,
     /// Its priority, zero first: that of its workspace or else of its route.
     pub priority: u32,
-    /// The workspace that submitted it, if a key was required. Endpoints are informed of it.
+    /// The workspace that submitted it, if a key was required. It is sent to endpoints.
     pub workspace: Option<String>,
 }
 
--- a/components/fleet/src/swap.rs
+++ b/components/fleet/src/swap.rs
@@ -23,8 +23,8 @@
 /// the steps of its own version and of the next one, so it needs at least every second version.
 const FIRST_SHARE: (usize, usize) = (1, 2);
 /// Share of the concurrent loads that the other engines may use. Loading every version on all
-/// engines takes about as long as the time between two versions. It leaves more engines for the
-/// start of the next step, but must not delay engines that cannot serve any step.
+/// engines takes about as long as the time between two versions. These loads provide more engines
+/// at the start of the next step, but must not delay engines that cannot serve any step.
 const SPARE_SHARE: (usize, usize) = (2, 3);
 
 /// A model's demand for engines.
--- a/components/fleet/src/workspace.rs
+++ b/components/fleet/src/workspace.rs
@@ -20,7 +20,7 @@
 /// A workspace.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Workspace {
-    /// Its name, which endpoints are informed of.
+    /// Its name, which is sent to endpoints.
     pub name: String,
     /// Digests of its keys.
     pub keys: Vec<Digest>,
@@ -140,6 +140,10 @@
     }
 
     /// Checks that workspaces have different names and no common keys.
+    ///
+    /// # Errors
+    ///
+    /// The [`ConfigError`] names the workspaces, never a key.
     pub fn check(&self) -> Result<(), ConfigError> {
         let mut names: BTreeSet<&str> = BTreeSet::new();
         let mut holders: BTreeMap<Digest, &str> = BTreeMap::new();
--- a/components/fleet/tests/plan.rs
+++ b/components/fleet/tests/plan.rs
@@ -353,9 +353,9 @@
         let events = vec!["x"; crash as usize / 2 + 1];
         // Every second run produces an event, and each run repeats its report without new events.
         for _ in 0..2 {
-            let told = report(&run, run::RunStatus::Running, &events);
-            let told = RunReport { cost: run.cost.clone(), ..told };
-            assert_eq!(planner.record_report("a", &told, now), ReportAction::Continue);
+            let sent_report = report(&run, run::RunStatus::Running, &events);
+            let sent_report = RunReport { cost: run.cost.clone(), ..sent_report };
+            assert_eq!(planner.record_report("a", &sent_report, now), ReportAction::Continue);
         }
         planner.record_run_end("a", 0, RunEnd::Crashed, now);
     }
@@ -398,8 +398,9 @@
     next.open_step(step("a", &[1]), NOW, NOW + 500, |_| false);
     let mut before = planner(&[engine("e1", 1, 1)], &[step("a", &[1])]);
     let run = assign(&mut before, NOW).remove(0);
-    let told = RunReport { remaining_ms: 39_000, ..report(&run, run::RunStatus::Running, &["x"]) };
-    assert_eq!(next.record_report("a", &told, NOW), ReportAction::Continue);
+    let sent_report =
+        RunReport { remaining_ms: 39_000, ..report(&run, run::RunStatus::Running, &["x"]) };
+    assert_eq!(next.record_report("a", &sent_report, NOW), ReportAction::Continue);
     next.record_run_end("a", 0, RunEnd::Broken, NOW);
     assert_eq!(assign(&mut next, NOW + 10_000)[0].remaining_ms, 29_000);
 }
@@ -416,8 +417,9 @@
     assert_eq!(run.cost.failures, 2);
     let mut next = Planner::new(Epoch(2));
     next.open_step(step("a", &[1]), NOW, NOW + 500, |_| false);
-    let told = RunReport { cost: run.cost.clone(), ..report(&run, run::RunStatus::Running, &[]) };
-    assert_eq!(next.record_report("a", &told, NOW), ReportAction::Continue);
+    let sent_report =
+        RunReport { cost: run.cost.clone(), ..report(&run, run::RunStatus::Running, &[]) };
+    assert_eq!(next.record_report("a", &sent_report, NOW), ReportAction::Continue);
     assert_eq!(next.record_run_end("a", 0, RunEnd::Failed, NOW), AfterRun::GiveUp);
 }
 
@@ -428,8 +430,9 @@
     let run = assign(&mut planner, NOW).remove(0);
     let scorer = run::CallCost { failures: 2, endpoints: BTreeSet::from(["d1".to_owned()]) };
     let cost = run::Cost { failures: 1, scorer, ..run::Cost::default() };
-    let told = RunReport { cost: cost.clone(), ..report(&run, run::RunStatus::Scoring, &["x"]) };
-    assert_eq!(planner.record_report("another", &told, NOW), ReportAction::Stop);
+    let sent_report =
+        RunReport { cost: cost.clone(), ..report(&run, run::RunStatus::Scoring, &["x"]) };
+    assert_eq!(planner.record_report("another", &sent_report, NOW), ReportAction::Stop);
     planner.record_run_end("a", 0, RunEnd::Broken, NOW);
     let run = assign(&mut planner, NOW + 10_000).remove(0);
     assert_eq!(run.cost, cost);
--- a/components/fleet/tests/policy.rs
+++ b/components/fleet/tests/policy.rs
@@ -43,8 +43,7 @@
     Endpoint { announcement, status: EndpointStatus::Ready }
 }
 
-/// Returns how often the failed one of two endpoints is picked right after its failure, as a list
-/// of its id.
+/// Returns those picks right after the failure of one of two endpoints that chose the failed one.
 fn after_a_failure(policy: Policy) -> Vec<String> {
     let mut picker = Picker::new(7).with_policy(policy);
     picker.observe(&endpoint("a", "desk"));
@@ -96,9 +95,9 @@
 fn without_near_copies_parts_are_spread_evenly() {
     let first = |policy: Policy| {
         let mut stores = Stores::new("y", Millis(0)).with_policy(policy);
-        for (node, place) in [("a", "x"), ("b", "y")] {
+        for (node, data_centre) in [("a", "x"), ("b", "y")] {
             let id = StoreId { node: node.to_owned(), identity: 1 };
-            stores.connected(id, place.to_owned(), address(), Millis(0));
+            stores.connected(id, data_centre.to_owned(), address(), Millis(0));
         }
         stores.choose(&Default::default(), &Default::default())[0].node.clone()
     };
--- a/components/fleet/tests/state.rs
+++ b/components/fleet/tests/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: what is accepted stays, and every replica computes the same.
+//! Tests of the replicated state: accepted data is kept, and every replica computes the same state.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -188,13 +188,13 @@
         status: EndpointStatus::Ready,
     };
     let mut state = State::default();
-    let mut apply = |live: &[Endpoint], gone: &[&str]| {
+    let mut update = |live: &[Endpoint], gone: &[&str]| {
         let gone = gone.iter().map(|id| (*id).to_owned()).collect();
         let command = Command::Know { live: live.to_vec(), gone };
         state.apply(Stamped { at: 1, command });
         let versions = state.endpoints.values().map(|known| known.announcement.models["m"]);
         versions.collect::<Vec<u64>>()
     };
-    assert_eq!(apply(&[endpoint("a", 1), endpoint("b", 1)], &[]), [1, 1]);
-    assert_eq!(apply(&[endpoint("b", 2), endpoint("c", 3)], &["a", "d"]), [2, 3]);
+    assert_eq!(update(&[endpoint("a", 1), endpoint("b", 1)], &[]), [1, 1]);
+    assert_eq!(update(&[endpoint("b", 2), endpoint("c", 3)], &["a", "d"]), [2, 3]);
 }
--- a/components/fleet/tests/usage.rs
+++ b/components/fleet/tests/usage.rs
@@ -47,8 +47,8 @@
 
 /// Guards against reporting a workspace with twice its requests. An entry reported its counts, lost
 /// its connection, and reported all of them again to the next leader while earlier reports were
-/// still in transit. Totals that are reported twice, late or out of order must count once;
-/// increments were added up.
+/// still in transit. The reports contained increments, which were added up. Totals count once even
+/// if they are reported twice, late or out of order.
 #[test]
 fn repeated_reports_count_once() {
     let (mut meter, mut usage_state) = (Meter::new(process("f", 1)), usage_state());
