--- a/components/fleet/src/endpoint.rs
+++ b/components/fleet/src/endpoint.rs
@@ -48,7 +48,7 @@
 /// Whether an endpoint may be given work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub enum EndpointStatus {
-    /// It may.
+    /// It may be given work.
     Ready,
     /// It is about to stop: it gets no new work but may finish its current work.
     Draining,
@@ -78,6 +78,7 @@
     Stale,
 }
 
+/// An endpoint and the time of its last announcement or heartbeat.
 struct Entry {
     endpoint: Endpoint,
     last_heard: Millis,
--- a/components/fleet/src/heartbeats.rs
+++ b/components/fleet/src/heartbeats.rs
@@ -31,6 +31,7 @@
     pub age_ms: u64,
 }
 
+/// The newest announcement received from an endpoint.
 struct Received {
     started_ms: u64,
     sequence: u64,
--- a/components/fleet/src/pick.rs
+++ b/components/fleet/src/pick.rs
@@ -58,6 +58,7 @@
     Moved,
 }
 
+/// An endpoint with the measurements of this process.
 #[derive(Clone, Debug)]
 struct EndpointState {
     endpoint: Endpoint,
@@ -65,9 +66,11 @@
     running: u32,
     /// Moving average of its durations as a multiple of the usual duration.
     slowness: f64,
+    /// When the slowness was last measured.
     measured_at: Millis,
     /// Consecutive failures.
     failures: u32,
+    /// The endpoint is avoided before this time, after a failure or a refusal.
     avoided_until: Millis,
     /// Whether another endpoint has its address; reset by its next announcement.
     moved: bool,
@@ -82,7 +85,7 @@
     pub address: SocketAddr,
     /// Expected duration of the attempt in milliseconds.
     pub expected_ms: u32,
-    /// Attempts of this process that it already has.
+    /// Attempts of this process that the endpoint already had.
     pub running: u32,
     /// Remaining penalty in milliseconds. It is not zero if the endpoint, like all others, was full
     /// or failed recently.
@@ -94,7 +97,7 @@
 pub enum PickError {
     /// The service has no ready endpoint.
     NoneReady,
-    /// No ready endpoint is allowed by the filter.
+    /// None of the ready endpoints passes the filter.
     AllTried,
 }
 
--- a/components/fleet/src/plan/checkpoints.rs
+++ b/components/fleet/src/plan/checkpoints.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Returns, by step, checkpoints of the runs that have produced at least [`CHECKPOINT_EVENTS`]
+    /// Returns, by step, checkpoints of the runs that have produced at least `CHECKPOINT_EVENTS`
     /// since their last one, and marks these events as checkpointed.
     pub fn take_checkpoints(&mut self) -> Vec<(String, Vec<Checkpoint>)> {
         let mut by_step = Vec::new();
--- a/components/fleet/src/result_cache.rs
+++ b/components/fleet/src/result_cache.rs
@@ -13,6 +13,7 @@
 /// The sample id and result at a position in the list of a step.
 type SampleEntry = (String, SampleResult);
 
+/// The cached results of a step.
 struct CachedStep {
     total: u64,
     results: BTreeMap<u64, SampleEntry>,
--- a/components/fleet/src/swap.rs
+++ b/components/fleet/src/swap.rs
@@ -60,7 +60,7 @@
 const SAMPLES_PER_ENGINE: usize = 2;
 
 /// Assigns engines to models and returns the model of each assigned engine. Each model gets
-/// [`MIN_ENGINES`] if there are enough; the rest is divided in proportion to the tokens of the
+/// `MIN_ENGINES` if there are enough; the rest is divided in proportion to the tokens of the
 /// models, up to the number needed for their samples. The order of the engines is kept, so that a
 /// change of demand reassigns few of them. Engines that no model needs are not assigned.
 pub fn assign_engines<'a>(
