--- a/components/fleet/benches/round.rs
+++ b/components/fleet/benches/round.rs
@@ -1,7 +1,8 @@
-//! What one round of the leader costs by the number of engines: the planner's looks, the choice of
-//! engines that take new weights, and the samples of a step that start.
+//! Measures the cost of one round of the leader by the number of engines: timeouts of the registry,
+//! the search for slow runs, the selection of weight loads, and the assignment of the samples of a
+//! step.
 //!
-//! `cargo bench -p chicoryford-fleet --bench round`; docs/SCALE.md notes the figures.
+//! `cargo bench -p chicoryford-fleet --bench round`; docs/SCALE.md has the figures.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -12,47 +13,48 @@
 
 use chicoryford_fleet::Announcement;
 use chicoryford_fleet::Endpoint;
+use chicoryford_fleet::EndpointStatus;
 use chicoryford_fleet::Policy;
 use chicoryford_fleet::Registry;
 use chicoryford_fleet::Sample;
-use chicoryford_fleet::Standing;
 use chicoryford_fleet::Step;
 use chicoryford_fleet::endpoint;
-use chicoryford_fleet::plan::Plan;
-use chicoryford_fleet::plan::Seat;
+use chicoryford_fleet::order_lease::OrderLease;
+use chicoryford_fleet::plan::EngineState;
+use chicoryford_fleet::plan::Planner;
 use chicoryford_fleet::swap;
-use chicoryford_fleet::swap::Claim;
-use chicoryford_fleet::turn::Turn;
+use chicoryford_fleet::swap::ModelDemand;
 use chicoryford_types::Epoch;
 use chicoryford_types::Millis;
 
-use support::said;
+use support::announcement;
 use support::steps_config;
 
-/// Engines: those of the largest deployment, and a tenth, a third and all of those beside 300 VMs.
+/// Numbers of engines: that of the largest deployment, and a tenth, a third and all of those of a
+/// fleet with 300 VMs.
 const ENGINES: [usize; 4] = [46, 300, 1_000, 3_000];
-/// Samples of a step, as the largest deployment's trainers submit them.
+/// Samples per step, as submitted by trainers of the largest deployment.
 const SAMPLES: usize = 144;
-/// Rounds that are timed.
+/// Timed rounds.
 const ROUNDS: u32 = 50;
 const NOW: Millis = Millis(1_000);
 const MODELS: [&str; 3] = ["one", "two", "three"];
 
 fn engine(number: usize) -> Endpoint {
-    let said = Announcement {
+    let announcement = Announcement {
         service: "engines".to_owned(),
         slots: 6,
         models: MODELS.iter().map(|model| ((*model).to_owned(), 4)).collect(),
-        ..said(&format!("i-{number:010x}"), 1)
+        ..announcement(&format!("i-{number:010x}"), 1)
     };
-    Endpoint { said, standing: Standing::Ready }
+    Endpoint { announcement, status: EndpointStatus::Ready }
 }
 
 fn step(id: &str) -> Arc<Step> {
     let sample = |index: usize| Sample {
         id: format!("{id}{index}"),
         path: "/s/1".to_owned(),
-        expected: index as u64,
+        expected_tokens: index as u64,
         group: format!("g{}", index / 8),
         ..Sample::default()
     };
@@ -68,7 +70,7 @@
     })
 }
 
-/// Gives the microseconds that one call takes.
+/// Returns the microseconds per call.
 fn time(mut work: impl FnMut()) -> f64 {
     let began = Instant::now();
     for _ in 0..ROUNDS {
@@ -78,7 +80,7 @@
 }
 
 fn main() {
-    // Test runners ask every target for its tests.
+    // Test runners call every target with these arguments to list its tests.
     if std::env::args().any(|argument| argument == "--list" || argument == "--test") {
         return;
     }
@@ -86,32 +88,34 @@
     for count in ENGINES {
         let engines: Vec<Endpoint> = (0..count).map(engine).collect();
         let known = engines.iter().cloned();
-        let mut registry = Registry::adopt(endpoint::Settings::default(), known, NOW);
-        let mut plan = Plan::new(Epoch(1));
-        engines.iter().for_each(|engine| plan.observe(engine));
-        let claims = MODELS.map(|model| Claim {
+        let mut registry = Registry::from_known(endpoint::Settings::default(), known, NOW);
+        let mut planner = Planner::new(Epoch(1));
+        engines.iter().for_each(|engine| planner.update_engine(engine));
+        let demands = MODELS.map(|model| ModelDemand {
             model: model.to_owned(),
             version: 4,
-            demand: 1_000,
-            samples: 2 * SAMPLES,
+            tokens: 1_000,
+            peak_samples: 2 * SAMPLES,
             starved: 0,
         });
-        let (turn, policy) =
-            (Turn { ordered: BTreeMap::new(), ..Turn::default() }, Policy::default());
+        let (order_lease, policy) = (
+            OrderLease { last_orders: BTreeMap::new(), ..OrderLease::default() },
+            Policy::default(),
+        );
         let ticks = time(|| drop(registry.tick(NOW)));
-        let slow = time(|| drop(plan.slow_runs(NOW)));
+        let slow = time(|| drop(planner.slow_runs(NOW)));
         let weights = time(|| {
-            let seats: Vec<&Seat> = plan.seats().collect();
-            drop(swap::wishes(&seats, &claims, &turn, policy, NOW));
+            let engines: Vec<&EngineState> = planner.engines().collect();
+            drop(swap::select_loads(&engines, &demands, &order_lease, policy, NOW));
         });
         let config = steps_config();
         let mut number = 0;
         let assigned = time(|| {
             let id = format!("s{number}");
             number += 1;
-            plan.open(step(&id), NOW, Millis::default(), |_| false);
-            plan.assign(&config, NOW);
-            plan.close(&id, NOW);
+            planner.open_step(step(&id), NOW, Millis::default(), |_| false);
+            planner.assign(&config, NOW);
+            planner.close_step(&id, NOW);
         });
         println!("{count:7}  {ticks:11.1}  {slow:12.1}  {weights:10.1}  {assigned:14.1}");
     }
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -1,52 +1,53 @@
-//! What a fleet agrees on and decides: routes, endpoints, steps, weights.
+//! Replicated state and scheduling decisions of a fleet: routes, endpoints, steps and weights.
 //!
-//! Everything here is pure: events and readings of a clock go in, decisions come out. The
-//! processes around it are in the node crate; docs/PLATFORM.md shows how they fit together.
+//! This crate does no I/O and reads no clocks: events and clock readings are passed in, and
+//! decisions are returned. The processes that use it are in the node crate; docs/PLATFORM.md
+//! describes how they work together.
 
 pub mod config;
 pub mod copies;
 pub mod crashes;
 pub mod duty;
 pub mod endpoint;
-pub mod events;
-pub mod hearing;
-pub mod line;
+pub mod heartbeats;
+pub mod order_lease;
 pub mod pick;
 pub mod plan;
 pub mod policy;
-pub mod recent;
+pub mod result_cache;
 pub mod run;
+pub mod sse;
 pub mod state;
 pub mod step;
 pub mod swap;
-pub mod turn;
 pub mod usage;
+pub mod wait_queue;
 pub mod walltime;
 pub mod workspace;
 
 pub use config::Config;
-pub use config::Fault;
-pub use config::Kind;
+pub use config::ConfigError;
 pub use config::Limits;
 pub use config::Route;
+pub use config::RouteKind;
 pub use config::Service;
 pub use config::Share;
 pub use endpoint::Announcement;
 pub use endpoint::Endpoint;
+pub use endpoint::EndpointStatus;
 pub use endpoint::Registry;
-pub use endpoint::Standing;
 pub use policy::Policy;
+pub use state::ApplyOutcome;
 pub use state::Command;
-pub use state::Done;
 pub use state::Stamped;
 pub use state::State;
-pub use step::Listed;
-pub use step::Outline;
+pub use step::ListedResult;
 pub use step::Sample;
+pub use step::SampleResult;
 pub use step::Scorer;
 pub use step::Step;
-pub use step::Verdict;
+pub use step::StepSummary;
 pub use workspace::Access;
-pub use workspace::Trust;
+pub use workspace::StaleKeyPolicy;
 pub use workspace::Workspace;
 pub use workspace::Workspaces;
--- /dev/null
+++ b/components/fleet/src/plan/engine.rs
@@ -0,0 +1,82 @@
+//! The planner's state of an engine.
+
+use std::collections::BTreeMap;
+
+use chicoryford_types::Millis;
+
+use crate::endpoint::Endpoint;
+use crate::endpoint::EndpointStatus;
+
+/// Half-life in milliseconds of a measured pace, which decays while there are no new measurements.
+pub(super) const PACE_HALF_LIFE_MS: f64 = 2_000.0;
+
+/// What the planner knows about an engine.
+#[derive(Clone, Debug)]
+pub struct EngineState {
+    /// The endpoint as last announced.
+    pub endpoint: Endpoint,
+    /// Active runs by model.
+    pub running: BTreeMap<String, u32>,
+    /// The model whose weights are being loaded or are about to be.
+    pub loading: Option<String>,
+    /// Moving average of the milliseconds between events; zero before the first measurement.
+    pub(super) pace_ms: f64,
+    /// When the pace was last measured.
+    pub(super) paced_at: Millis,
+    /// Consecutive failures.
+    pub(super) failures: u32,
+    /// No runs are assigned before this time.
+    pub(super) blocked_until: Millis,
+    /// The announcement sequence at which the address turned out to belong to another endpoint. The
+    /// engine gets no runs until a newer announcement.
+    pub(super) moved_sequence: Option<u64>,
+}
+
+impl EngineState {
+    /// Creates the state of an engine without runs.
+    pub(super) fn new(endpoint: &Endpoint) -> Self {
+        Self {
+            endpoint: endpoint.clone(),
+            running: BTreeMap::new(),
+            loading: None,
+            pace_ms: 0.0,
+            paced_at: Millis::default(),
+            failures: 0,
+            blocked_until: Millis::default(),
+            moved_sequence: None,
+        }
+    }
+
+    /// Returns the number of active runs.
+    pub fn load(&self) -> u32 {
+        self.running.values().sum()
+    }
+
+    /// Returns whether the engine may be assigned runs.
+    pub fn is_ready(&self, now: Millis) -> bool {
+        let announced_since_move =
+            self.moved_sequence.is_none_or(|since| self.endpoint.announcement.sequence > since);
+        self.endpoint.status == EndpointStatus::Ready
+            && now >= self.blocked_until
+            && announced_since_move
+    }
+
+    /// Returns the number of slots without a run.
+    pub(super) fn free_slots(&self) -> u32 {
+        self.endpoint.announcement.slots.saturating_sub(self.load())
+    }
+
+    /// Returns the decayed pace in milliseconds between events.
+    pub(super) fn pace(&self, now: Millis) -> f64 {
+        self.pace_ms * 0.5_f64.powf(now.since(self.paced_at) as f64 / PACE_HALF_LIFE_MS)
+    }
+}
+
+/// Ranks an engine for another run, lower is better: by its load, multiplied by how much slower
+/// than `median_pace` it is.
+pub(super) fn rank(engine: &EngineState, median_pace: f64, now: Millis) -> f64 {
+    let slots = f64::from(engine.endpoint.announcement.slots.max(1));
+    let load = f64::from(engine.load()) / slots;
+    let slowdown = if median_pace > 0.0 { (engine.pace(now) / median_pace).max(1.0) } else { 1.0 };
+    (1.0 + load) * slowdown
+}
--- a/components/fleet/src/plan/mod.rs
+++ b/components/fleet/src/plan/mod.rs
@@ -1,17 +1,18 @@
-//! Which sample runs next, and on which engine.
+//! Schedules samples: decides which sample runs next and on which engine.
 //!
-//! The leader plans for the whole fleet: nobody else sends samples, so it knows what each engine
-//! has without asking. Hosts carry runs out ([`crate::run`]), and tell the next leader of them.
+//! The leader schedules for the whole fleet. No other process sends samples, so the planner tracks
+//! the load of each engine without asking it. Hosts execute the runs ([`crate::run`]) and report
+//! them to the next leader after a change of leader.
 
 mod assign;
-mod free;
-mod gather;
-mod moves;
-mod notes;
+mod candidates;
+mod checkpoints;
+mod engine;
+mod listing;
+mod reassign;
 mod reports;
-mod seat;
+mod samples;
 mod takeover;
-mod work;
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -26,176 +27,197 @@
 use crate::run::Cost;
 use crate::step::Step;
 
-pub use gather::GATHER_MS;
-pub use gather::LAST_MS;
-pub use gather::MOST_MS;
-pub use seat::Seat;
-pub use work::Assignment;
-pub use work::Made;
-pub use work::Next;
-pub use work::Note;
-pub use work::RunEnd;
-pub use work::Told;
-
-use work::Phase;
-use work::Progress;
-use work::Work;
-
-/// How many times slower than the usual engine one must be for its runs to go on elsewhere. An
-/// engine with all its slots taken is about a tenth slower than an idle one, so this is a fault.
-const SLOW: f64 = 2.0;
-
-/// Milliseconds for which the planner remembers what samples of a step that is over have cost. Their trainer
-/// submits them again in one of its next steps, if at all.
-const PAST_MS: u64 = 120_000;
-
-/// Plans samples' runs.
+pub use engine::EngineState;
+pub use listing::FINAL_LIST_DELAY_MS;
+pub use listing::LIST_DELAY_MS;
+pub use listing::MAX_LIST_DELAY_MS;
+pub use samples::AfterRun;
+pub use samples::Assignment;
+pub use samples::Checkpoint;
+pub use samples::ReportAction;
+pub use samples::RunEnd;
+pub use samples::SampleOutput;
+
+use samples::Phase;
+use samples::Progress;
+use samples::StepPlan;
+
+/// Pace of an engine, as a multiple of the median, above which its runs are moved. An engine with
+/// all slots in use is about a tenth slower than an idle one, so this ratio indicates a fault.
+const SLOW_RATIO: f64 = 2.0;
+
+/// Milliseconds for which the planner keeps the costs of failed samples of closed steps. If their
+/// trainer submits them again, it does so in one of its next steps.
+const PAST_COST_MS: u64 = 120_000;
+
+/// Schedules the samples of all open steps on the engines.
 #[derive(Default)]
-pub struct Plan {
-    works: BTreeMap<String, Work>,
-    seats: BTreeMap<String, Seat>,
-    usual_ms: f64,
-    /// The longest samples of late, by model.
-    longest: BTreeMap<String, gather::Longest>,
-    /// The number of the last run.
-    run: u64,
-    /// Hosts that were asked what they run and have not told yet.
-    untold: BTreeSet<String>,
-    /// Samples that failed in steps that are over, with what they had cost by when, in case they come again.
-    past: BTreeMap<String, (Cost, Millis)>,
+pub struct Planner {
+    steps: BTreeMap<String, StepPlan>,
+    engines: BTreeMap<String, EngineState>,
+    /// Median milliseconds between events of the engines; zero before the first measurement.
+    median_pace_ms: f64,
+    /// The longest recent samples, by model.
+    longest_outputs: BTreeMap<String, listing::LongestOutput>,
+    /// The id of the last run.
+    last_run: u64,
+    /// Hosts that were asked for their runs and have not reported yet.
+    unreported_hosts: BTreeSet<String>,
+    /// Costs of failed samples of closed steps with the time at which the step was closed, in case
+    /// the samples are submitted again.
+    past_costs: BTreeMap<String, (Cost, Millis)>,
     policy: Policy,
 }
 
-impl Plan {
-    /// Makes the plan of a leader; its runs are numbered apart from those of other epochs.
+impl Planner {
+    /// Creates the planner of a leader. Run ids contain the epoch, so they differ between leaders.
     pub fn new(epoch: Epoch) -> Self {
-        Self { run: epoch.0 << 32, ..Self::default() }
+        Self { last_run: epoch.0 << 32, ..Self::default() }
     }
 
-    /// Plans with these mechanisms.
-    pub fn under(self, policy: Policy) -> Self {
+    /// Sets which scheduling mechanisms are enabled.
+    pub fn with_policy(self, policy: Policy) -> Self {
         Self { policy, ..self }
     }
 
-    /// Takes in a step that is open. `listed` tells which samples have their results, `at` when it
-    /// was submitted, and `held` until when hosts may still tell that they run samples of it.
-    pub fn open(
+    /// Adds an open step. `listed` returns whether a sample already has its result, `at` is when
+    /// the step was submitted, and until `held` hosts may still report runs of it that were started
+    /// under a previous leader.
+    pub fn open_step(
         &mut self,
         step: Arc<Step>,
         at: Millis,
         held: Millis,
         listed: impl Fn(u32) -> bool,
     ) {
-        if self.works.contains_key(&step.id) {
+        if self.steps.contains_key(&step.id) {
             return;
         }
         let progress = (0..step.samples.len() as u32).map(|index| {
-            let past = self.past.get(&step.samples[index as usize].id);
+            let past = self.past_costs.get(&step.samples[index as usize].id);
             let phase = if listed(index) { Phase::Settled } else { Phase::Waiting };
             Progress {
                 phase,
-                seat: None,
+                engine: None,
                 run: 0,
                 host: None,
-                avoid: None,
+                avoided_engine: None,
                 claimable: held > Millis::default(),
-                told: false,
-                began: at,
-                heard: at,
-                made: Made::default(),
-                noted: 0,
+                reported: false,
+                started: at,
+                last_event: at,
+                output: SampleOutput::default(),
+                checkpointed: 0,
                 cost: past.map(|(cost, _)| cost.clone()).unwrap_or_default(),
-                until: at + step.age_ms,
-                rests: Millis::default(),
-                moved: 0,
+                deadline: at + step.age_ms,
+                blocked_until: Millis::default(),
+                moves: 0,
             }
         });
         let progress: Vec<Progress> = progress.collect();
         let waiting = progress.iter().filter(|p| p.phase == Phase::Waiting).count();
-        self.note_step(&step.model);
+        self.record_step_opened(&step.model);
         let id = step.id.clone();
         let mut order: Vec<u32> = (0..step.samples.len() as u32).collect();
         if self.policy.longest_first {
-            order.sort_by_key(|index| Reverse(step.samples[*index as usize].expected));
+            order.sort_by_key(|index| Reverse(step.samples[*index as usize].expected_tokens));
         }
-        self.works.insert(id, Work { step, order, at, held, asked: false, progress, waiting });
+        self.steps.insert(
+            id,
+            StepPlan {
+                step,
+                order,
+                submitted_at: at,
+                held_until: held,
+                hosts_asked: false,
+                progress,
+                waiting,
+            },
+        );
     }
 
-    /// Forgets a step: it is over. Gives the runs that hosts still have: host, sample, run.
-    pub fn close(&mut self, step: &str, now: Millis) -> Vec<(String, u32, u64)> {
-        let Some(work) = self.works.remove(step) else { return Vec::new() };
+    /// Removes a step that has ended and returns the runs that hosts still have, as host, sample
+    /// index and run id.
+    pub fn close_step(&mut self, step: &str, now: Millis) -> Vec<(String, u32, u64)> {
+        let Some(planned) = self.steps.remove(step) else { return Vec::new() };
         let mut hosted = Vec::new();
-        self.past.retain(|_, (_, at)| now.since(*at) < PAST_MS);
-        for (index, progress) in work.progress.into_iter().enumerate() {
+        self.past_costs.retain(|_, (_, at)| now.since(*at) < PAST_COST_MS);
+        for (index, progress) in planned.progress.into_iter().enumerate() {
             if progress.cost.has_failed() {
-                let id = work.step.samples[index].id.clone();
-                self.past.insert(id, (progress.cost, now));
+                let id = planned.step.samples[index].id.clone();
+                self.past_costs.insert(id, (progress.cost, now));
             }
             if progress.phase == Phase::Running {
-                self.free(progress.seat.as_deref(), &work.step.model);
+                self.release_slot(progress.engine.as_deref(), &planned.step.model);
             }
             hosted.extend(progress.host.map(|host| (host, index as u32, progress.run)));
         }
         hosted
     }
 
-    /// Tells whether a step is planned.
-    pub fn has(&self, step: &str) -> bool {
-        self.works.contains_key(step)
+    /// Returns whether a step is open in the planner.
+    pub fn has_step(&self, step: &str) -> bool {
+        self.steps.contains_key(step)
     }
 
-    /// Takes in what is known of an engine.
-    pub fn observe(&mut self, endpoint: &Endpoint) {
-        match self.seats.get_mut(&endpoint.said.id) {
-            // Runs and orders of the start before are still counted, until they end.
-            Some(seat) if seat.endpoint.said.born < endpoint.said.born => {
-                let running = std::mem::take(&mut seat.running);
-                let loading = seat.loading.take();
-                *seat = Seat { running, loading, ..Seat::new(endpoint) };
+    /// Adds an engine or updates its endpoint. A restart resets everything but its runs and its
+    /// load order.
+    pub fn update_engine(&mut self, endpoint: &Endpoint) {
+        match self.engines.get_mut(&endpoint.announcement.id) {
+            // Runs and load orders from before the restart still count until they end.
+            Some(engine)
+                if engine.endpoint.announcement.started_ms < endpoint.announcement.started_ms =>
+            {
+                let running = std::mem::take(&mut engine.running);
+                let loading = engine.loading.take();
+                *engine = EngineState { running, loading, ..EngineState::new(endpoint) };
             }
-            Some(seat) => seat.endpoint = endpoint.clone(),
+            Some(engine) => engine.endpoint = endpoint.clone(),
             None => {
-                self.seats.insert(endpoint.said.id.clone(), Seat::new(endpoint));
+                self.engines.insert(endpoint.announcement.id.clone(), EngineState::new(endpoint));
             }
         }
     }
 
-    /// Notes that an engine was heard again, with an announcement of this number.
-    pub fn heard(&mut self, id: &str, sequence: u64) {
-        if let Some(seat) = self.seats.get_mut(id) {
-            seat.endpoint.said.sequence = sequence;
+    /// Records a heartbeat of an engine with the sequence number of its announcement.
+    pub fn record_heartbeat(&mut self, id: &str, sequence: u64) {
+        if let Some(engine) = self.engines.get_mut(id) {
+            engine.endpoint.announcement.sequence = sequence;
         }
     }
 
-    /// Forgets an engine.
-    pub fn forget(&mut self, id: &str) {
-        self.seats.remove(id);
+    /// Removes an engine.
+    pub fn remove_engine(&mut self, id: &str) {
+        self.engines.remove(id);
     }
 
-    /// Gives the engines.
-    pub fn seats(&self) -> impl Iterator<Item = &Seat> {
-        self.seats.values()
+    /// Returns all engines.
+    pub fn engines(&self) -> impl Iterator<Item = &EngineState> {
+        self.engines.values()
     }
 
-    /// Gives an engine to be changed.
-    pub fn seat(&mut self, id: &str) -> Option<&mut Seat> {
-        self.seats.get_mut(id)
+    /// Returns an engine for modification.
+    pub fn engine_mut(&mut self, id: &str) -> Option<&mut EngineState> {
+        self.engines.get_mut(id)
     }
 
-    /// Counts the waiting samples of a model for which no engine is new enough, and gives the
-    /// version that they need.
-    pub fn starved(&self, model: &str) -> usize {
-        let newest = self.seats.values().filter(|seat| seat.loading.as_deref() != Some(model));
-        let newest = newest.filter_map(|seat| seat.endpoint.said.models.get(model)).max();
-        let works = self.works.values().filter(|work| {
-            work.step.model == model && newest.is_none_or(|version| *version < work.step.least)
+    /// Returns the number of waiting samples of a model for which no engine has a new enough
+    /// version.
+    pub fn starved_samples(&self, model: &str) -> usize {
+        let newest =
+            self.engines.values().filter(|engine| engine.loading.as_deref() != Some(model));
+        let newest =
+            newest.filter_map(|engine| engine.endpoint.announcement.models.get(model)).max();
+        let planned = self.steps.values().filter(|planned| {
+            planned.step.model == model
+                && newest.is_none_or(|version| *version < planned.step.min_version)
         });
-        works.map(|work| work.waiting).sum()
+        planned.map(|planned| planned.waiting).sum()
     }
 
-    /// Counts the samples of open steps by what they are doing.
-    pub fn counts(&self) -> [(&'static str, usize); 4] {
-        let all = || self.works.values().flat_map(|work| &work.progress);
+    /// Returns the number of samples of open steps by phase.
+    pub fn phase_counts(&self) -> [(&'static str, usize); 4] {
+        let all = || self.steps.values().flat_map(|planned| &planned.progress);
         let count = |phase: Phase| all().filter(|progress| progress.phase == phase).count();
         [
             ("waiting", count(Phase::Waiting)),
@@ -205,46 +227,51 @@
         ]
     }
 
-    /// Gives the tokens that open steps of a model ask for: its share of the engines.
-    pub fn demand(&self, model: &str) -> u64 {
-        let works = self.works.values().filter(|work| work.step.model == model);
-        works.flat_map(|work| &work.step.samples).map(|sample| sample.tokens).sum()
+    /// Returns the tokens of all samples in open steps of a model, which determines its share of
+    /// the engines.
+    pub fn token_demand(&self, model: &str) -> u64 {
+        let planned = self.steps.values().filter(|planned| planned.step.model == model);
+        planned.flat_map(|planned| &planned.step.samples).map(|sample| sample.tokens).sum()
     }
 
-    /// Counts the samples of a model's open steps.
+    /// Returns the number of samples in open steps of a model.
     pub fn open_samples(&self, model: &str) -> usize {
-        let works = self.works.values().filter(|work| work.step.model == model);
-        works.map(|work| work.step.samples.len()).sum()
+        let planned = self.steps.values().filter(|planned| planned.step.model == model);
+        planned.map(|planned| planned.step.samples.len()).sum()
     }
 
-    /// Tells whether samples of a model's open steps must each be made by one version.
-    pub fn is_single(&self, model: &str) -> bool {
-        self.works.values().any(|work| work.step.model == model && work.step.single)
+    /// Returns whether an open step of a model requires that each sample is generated by a single
+    /// version.
+    pub fn needs_single_version(&self, model: &str) -> bool {
+        self.steps
+            .values()
+            .any(|planned| planned.step.model == model && planned.step.single_version)
     }
 
-    /// Notes which VM hosts a run.
-    pub fn hosted(&mut self, step: &str, index: u32, host: &str) {
-        if let Some(work) = self.works.get_mut(step) {
-            let progress = &mut work.progress[index as usize];
+    /// Records which VM hosts a run.
+    pub fn set_host(&mut self, step: &str, index: u32, host: &str) {
+        if let Some(planned) = self.steps.get_mut(step) {
+            let progress = &mut planned.progress[index as usize];
             progress.host = Some(host.to_owned());
-            progress.told = true;
+            progress.reported = true;
         }
     }
 
-    /// Gives the VM that hosts a sample's run, and the run.
+    /// Returns the VM that hosts a sample's run, and the run id.
     pub fn host(&self, step: &str, index: u32) -> Option<(String, u64)> {
-        let progress = self.works.get(step)?.progress.get(index as usize)?;
+        let progress = self.steps.get(step)?.progress.get(index as usize)?;
         Some((progress.host.clone()?, progress.run))
     }
 
-    /// Gives what was made of a sample.
-    pub fn made(&self, step: &str, index: u32) -> Option<&Made> {
-        Some(&self.works.get(step)?.progress.get(index as usize)?.made)
+    /// Returns a sample's output so far.
+    pub fn output(&self, step: &str, index: u32) -> Option<&SampleOutput> {
+        Some(&self.steps.get(step)?.progress.get(index as usize)?.output)
     }
 
-    pub(super) fn free(&mut self, seat: Option<&str>, model: &str) {
-        let Some(seat) = seat.and_then(|id| self.seats.get_mut(id)) else { return };
-        if let Some(running) = seat.running.get_mut(model) {
+    /// Releases the slot of a run of `model` on an engine, if the engine is still known.
+    pub(super) fn release_slot(&mut self, engine: Option<&str>, model: &str) {
+        let Some(engine) = engine.and_then(|id| self.engines.get_mut(id)) else { return };
+        if let Some(running) = engine.running.get_mut(model) {
             *running = running.saturating_sub(1);
         }
     }
--- a/components/fleet/src/plan/reports.rs
+++ b/components/fleet/src/plan/reports.rs
@@ -1,248 +1,259 @@
-//! What hosts tell of runs, and what follows from it.
+//! Processes what hosts report about runs.
 
 use chicoryford_types::Millis;
 
-use super::Plan;
-use super::work::Next;
-use super::work::Phase;
-use super::work::Progress;
-use super::work::RunEnd;
-use super::work::Told;
+use super::Planner;
+use super::samples::AfterRun;
+use super::samples::Phase;
+use super::samples::Progress;
+use super::samples::ReportAction;
+use super::samples::RunEnd;
 use crate::config::Config;
 use crate::run;
-use crate::run::Report;
+use crate::run::RunReport;
 use crate::step::Sample;
 
-/// Milliseconds for which an engine is left alone after a failure; doubled for each further one.
-const PENALTY_MS: u64 = 200;
-/// Doublings of the penalty at most, which makes it 3.2 s.
-const DOUBLINGS: u32 = 4;
-/// Milliseconds for which an engine that says it is full is left alone.
-const FULL_MS: u64 = 100;
-/// The weight of the newest measurement of an engine's pace. Hosts tell the mean of some events
-/// of each run four times a second, so the last second or so counts.
-const NEWEST: f64 = 0.15;
-
-/// Crashes after which a sample is run again only after a rest.
-const SUSPECTED: u32 = 3;
-/// Crashes after which it is not run again.
-const CONVICTED: u32 = 6;
-/// Milliseconds of the rest: an engine that crashed is back by then.
-const REST_MS: u64 = 4_000;
-
-/// Gives the milliseconds for which a sample rests that has crashed so many engines. It is not given up: only
-/// an engine's answer, or its age, allows that.
-fn rest_ms(crashes: u32) -> u64 {
+/// Milliseconds for which an engine gets no runs after a failure, doubled for each consecutive
+/// failure.
+const FAILURE_PENALTY_MS: u64 = 200;
+/// Maximum number of doublings of the penalty, which limits it to 3.2 s.
+const MAX_DOUBLINGS: u32 = 4;
+/// Milliseconds for which an engine that reported to be full gets no runs.
+const FULL_PENALTY_MS: u64 = 100;
+/// Weight of the newest measurement in the moving average of an engine's pace. Hosts report the
+/// mean over some events of each run four times a second, so the average covers about the last
+/// second.
+const NEWEST_WEIGHT: f64 = 0.15;
+
+/// Engine crashes after which a sample is run again only after a delay.
+const DELAYED_CRASHES: u32 = 3;
+/// Engine crashes after which a sample is not run again.
+const MAX_CRASHES: u32 = 6;
+/// The delay in milliseconds; a crashed engine has restarted by then.
+const CRASH_DELAY_MS: u64 = 4_000;
+
+/// Returns the milliseconds to wait before a sample runs again after it crashed that many engines.
+/// The sample is not given up: only an engine's response or its age permits that.
+fn crash_delay_ms(crashes: u32) -> u64 {
     match crashes {
-        0..SUSPECTED => 0,
-        SUSPECTED..CONVICTED => REST_MS,
+        0..DELAYED_CRASHES => 0,
+        DELAYED_CRASHES..MAX_CRASHES => CRASH_DELAY_MS,
         _ => u64::MAX,
     }
 }
 
-impl Plan {
-    /// Takes in what a host tells of a run, and tells what follows.
-    pub fn told(&mut self, host: &str, report: &Report, now: Millis) -> Told {
-        let Some(work) = self.works.get_mut(&report.step) else { return Told::Stop };
-        let Some(progress) = work.progress.get_mut(report.index as usize) else {
-            return Told::Stop;
+impl Planner {
+    /// Records a report of a host about a run and returns how the host proceeds.
+    pub fn record_report(&mut self, host: &str, report: &RunReport, now: Millis) -> ReportAction {
+        let Some(planned) = self.steps.get_mut(&report.step) else { return ReportAction::Stop };
+        let Some(progress) = planned.progress.get_mut(report.index as usize) else {
+            return ReportAction::Stop;
         };
         progress.cost.merge(&report.cost);
-        progress.until = progress.until.min(now + report.left_ms);
-        let live = matches!(progress.phase, Phase::Running | Phase::Scoring);
-        let same = progress.host.as_deref() == Some(host) && progress.run == report.run;
-        let claimed = progress.phase == Phase::Waiting && progress.claimable;
-        if claimed && report.from > 0 {
-            // It was sent before the host was asked to tell all of it. Stopped for this, the run
-            // would begin anew, and with it all that it has made.
-            return Told::Later;
-        }
-        if claimed {
-            // The leader did not know of this run: it was begun under the leader before.
-            work.waiting -= 1;
+        progress.deadline = progress.deadline.min(now + report.remaining_ms);
+        let active = matches!(progress.phase, Phase::Running | Phase::Scoring);
+        let same_run = progress.host.as_deref() == Some(host) && progress.run == report.run;
+        let unclaimed = progress.phase == Phase::Waiting && progress.claimable;
+        if unclaimed && report.from > 0 {
+            // The report was sent before the host was asked for its complete output. Stopping the
+            // run now would make it start again and lose its output.
+            return ReportAction::Defer;
+        }
+        if unclaimed {
+            // The run was started under the previous leader and is new to this one.
+            planned.waiting -= 1;
             progress.phase = Phase::Running;
-            progress.seat = Some(report.endpoint.clone());
+            progress.engine = Some(report.endpoint.clone());
             progress.host = Some(host.to_owned());
             progress.run = report.run;
             progress.cost.crashes = report.cost.crashes;
-            progress.began = now;
-            if let Some(seat) = self.seats.get_mut(&report.endpoint) {
-                *seat.running.entry(work.step.model.clone()).or_default() += 1;
+            progress.started = now;
+            if let Some(engine) = self.engines.get_mut(&report.endpoint) {
+                *engine.running.entry(planned.step.model.clone()).or_default() += 1;
             }
-        } else if !live || !same {
-            return Told::Stop;
+        } else if !active || !same_run {
+            return ReportAction::Stop;
         }
-        progress.told = true;
-        let before = progress.made.events.len();
-        if !report.add_to(&mut progress.made) {
-            return Told::Stop;
+        progress.reported = true;
+        let known_events = progress.output.events.len();
+        if !report.append_to(&mut progress.output) {
+            return ReportAction::Stop;
         }
-        progress.noted = progress.noted.min(progress.made.events.len());
-        if progress.made.events.len() > before {
-            progress.heard = now;
+        progress.checkpointed = progress.checkpointed.min(progress.output.events.len());
+        if progress.output.events.len() > known_events {
+            progress.last_event = now;
             progress.cost.crashes = 0;
         }
-        if report.standing == run::Standing::Scoring && progress.phase == Phase::Running {
+        if report.status == run::RunStatus::Scoring && progress.phase == Phase::Running {
             progress.phase = Phase::Scoring;
-            let seat = progress.seat.take();
-            let model = work.step.model.clone();
-            let events = progress.made.events.len();
-            self.free(seat.as_deref(), &model);
-            self.note_length(&model, events);
+            let engine = progress.engine.take();
+            let model = planned.step.model.clone();
+            let events = progress.output.events.len();
+            self.release_slot(engine.as_deref(), &model);
+            self.record_length(&model, events);
         }
         if report.gap_ms > 0 {
-            self.pace(&report.endpoint, f64::from(report.gap_ms), now);
+            self.record_pace(&report.endpoint, f64::from(report.gap_ms), now);
         }
-        Told::GoOn
+        ReportAction::Continue
     }
 
-    pub(super) fn pace(&mut self, seat: &str, gap: f64, now: Millis) {
-        let Some(seat) = self.seats.get_mut(seat) else { return };
-        let pace = seat.pace_ms;
-        seat.pace_ms = if pace > 0.0 { pace + NEWEST * (gap - pace) } else { gap };
-        seat.paced = now;
-        seat.failures = 0;
-        if self.usual_ms == 0.0 {
-            self.usual_ms = gap;
+    /// Updates an engine's pace with the mean milliseconds between events of a run.
+    pub(super) fn record_pace(&mut self, engine: &str, gap: f64, now: Millis) {
+        let Some(engine) = self.engines.get_mut(engine) else { return };
+        let pace = engine.pace_ms;
+        engine.pace_ms = if pace > 0.0 { pace + NEWEST_WEIGHT * (gap - pace) } else { gap };
+        engine.paced_at = now;
+        engine.failures = 0;
+        if self.median_pace_ms == 0.0 {
+            self.median_pace_ms = gap;
         }
     }
 
-    /// Takes the runs of a host away: it is lost. They go on elsewhere after the last event told.
-    pub fn orphan(&mut self, host: &str) -> usize {
-        self.orphan_if(host, |_| true)
+    /// Returns all runs of a lost host to the queue and returns their number. They resume elsewhere
+    /// after the last reported event.
+    pub fn orphan_runs(&mut self, host: &str) -> usize {
+        self.orphan_runs_if(host, |_| true)
     }
 
-    /// Notes that a host has connected anew and is about to tell of its runs.
-    pub fn mark_untold(&mut self, host: &str) {
-        let all = self.works.values_mut().flat_map(|work| &mut work.progress);
-        all.filter(|progress| progress.host.as_deref() == Some(host)).for_each(|p| p.told = false);
+    /// Records that a host has reconnected and is about to report its runs.
+    pub fn mark_unreported(&mut self, host: &str) {
+        let all = self.steps.values_mut().flat_map(|planned| &mut planned.progress);
+        all.filter(|progress| progress.host.as_deref() == Some(host))
+            .for_each(|p| p.reported = false);
     }
 
-    /// Takes the runs of a host away of which it did not tell since it connected: its process is
-    /// another one than that which had them.
-    pub fn orphan_untold(&mut self, host: &str) -> usize {
-        self.orphan_if(host, |progress| !progress.told)
+    /// Returns those runs of a host to the queue that it has not reported since it connected, and
+    /// returns their number. The host's process has restarted without them.
+    pub fn orphan_unreported_runs(&mut self, host: &str) -> usize {
+        self.orphan_runs_if(host, |progress| !progress.reported)
     }
 
-    fn orphan_if(&mut self, host: &str, lost: impl Fn(&Progress) -> bool) -> usize {
+    /// Returns the active runs of a host for which `is_lost` is true to the queue.
+    fn orphan_runs_if(&mut self, host: &str, is_lost: impl Fn(&Progress) -> bool) -> usize {
         let mut orphaned = Vec::new();
-        for work in self.works.values_mut() {
-            for progress in &mut work.progress {
-                let live = matches!(progress.phase, Phase::Running | Phase::Scoring);
-                if !live || progress.host.as_deref() != Some(host) || !lost(progress) {
+        for planned in self.steps.values_mut() {
+            for progress in &mut planned.progress {
+                let active = matches!(progress.phase, Phase::Running | Phase::Scoring);
+                if !active || progress.host.as_deref() != Some(host) || !is_lost(progress) {
                     continue;
                 }
-                let ran = progress.phase == Phase::Running;
-                orphaned.push((ran, progress.seat.take(), work.step.model.clone()));
+                let was_running = progress.phase == Phase::Running;
+                orphaned.push((was_running, progress.engine.take(), planned.step.model.clone()));
                 progress.phase = Phase::Waiting;
                 progress.host = None;
                 progress.claimable = true;
-                work.waiting += 1;
+                planned.waiting += 1;
             }
         }
-        for (_, seat, model) in orphaned.iter().filter(|(ran, _, _)| *ran) {
-            self.free(seat.as_deref(), model);
+        for (_, engine, model) in orphaned.iter().filter(|(was_running, _, _)| *was_running) {
+            self.release_slot(engine.as_deref(), model);
         }
         orphaned.len()
     }
 
-    /// Takes in how a run ended. A sample that is to be given up stands as it did until its verdict is
-    /// noted ([`Self::settled`]).
-    pub fn ended(&mut self, step: &str, index: u32, end: RunEnd, now: Millis) -> Next {
-        let Some(work) = self.works.get_mut(step) else { return Next::Nothing };
-        let attempts = work.step.attempts;
-        let model = work.step.model.clone();
-        let progress = &mut work.progress[index as usize];
+    /// Records how a run ended. A sample that is to be given up keeps its state until its result is
+    /// recorded ([`Self::settle`]).
+    pub fn record_run_end(&mut self, step: &str, index: u32, end: RunEnd, now: Millis) -> AfterRun {
+        let Some(planned) = self.steps.get_mut(step) else { return AfterRun::Nothing };
+        let attempts = planned.step.attempts;
+        let model = planned.step.model.clone();
+        let progress = &mut planned.progress[index as usize];
         if progress.phase != Phase::Running {
-            return Next::Nothing;
+            return AfterRun::Nothing;
         }
-        let seat = progress.seat.clone();
+        let engine = progress.engine.clone();
         progress.host = None;
-        progress.avoid = None;
+        progress.avoided_engine = None;
         match end {
             RunEnd::Unfit => progress.cost.unfit = true,
             RunEnd::Failed => progress.cost.failures += 1,
             RunEnd::Taken => {
-                progress.moved += 1;
-                progress.avoid.clone_from(&seat);
+                progress.moves += 1;
+                progress.avoided_engine.clone_from(&engine);
             }
             RunEnd::Crashed => {
                 progress.cost.crashes += 1;
-                progress.rests = now + rest_ms(progress.cost.crashes);
+                progress.blocked_until = now + crash_delay_ms(progress.cost.crashes);
             }
             RunEnd::Full | RunEnd::Moved | RunEnd::Broken | RunEnd::Late => {}
         }
-        let next = if progress.cost.is_over(attempts) { Next::GiveUp } else { Next::Again };
-        if next == Next::Again {
+        let next =
+            if progress.cost.is_exhausted(attempts) { AfterRun::GiveUp } else { AfterRun::Again };
+        if next == AfterRun::Again {
             progress.phase = Phase::Waiting;
-            progress.seat = None;
-            work.waiting += 1;
-            self.free(seat.as_deref(), &model);
+            progress.engine = None;
+            planned.waiting += 1;
+            self.release_slot(engine.as_deref(), &model);
         }
-        self.judge(seat.as_deref(), end, now);
+        self.penalize(engine.as_deref(), end, now);
         next
     }
 
-    pub(super) fn judge(&mut self, seat: Option<&str>, end: RunEnd, now: Millis) {
-        let Some(seat) = seat.and_then(|id| self.seats.get_mut(id)) else { return };
+    /// Blocks an engine for some time if a run on it ended because of the engine.
+    pub(super) fn penalize(&mut self, engine: Option<&str>, end: RunEnd, now: Millis) {
+        let Some(engine) = engine.and_then(|id| self.engines.get_mut(id)) else { return };
         match end {
-            RunEnd::Full => seat.until = now + FULL_MS,
-            RunEnd::Moved => seat.moved = Some(seat.endpoint.said.sequence),
-            // An engine that fails at once is always the idlest. Given work again at once, it has samples
-            // of whole steps fail as often as they may; a sample that fails by itself costs a good engine
-            // 0.2 s, in which others take what comes.
+            RunEnd::Full => engine.blocked_until = now + FULL_PENALTY_MS,
+            RunEnd::Moved => engine.moved_sequence = Some(engine.endpoint.announcement.sequence),
+            // An engine that fails immediately always has the lowest load. Without a delay, it
+            // would get the samples of whole steps until they reach their failure limit. If a
+            // sample itself is at fault, a healthy engine is idle for 0.2 s, during which other
+            // engines take its work.
             RunEnd::Broken | RunEnd::Crashed | RunEnd::Failed => {
-                seat.failures += 1;
-                let doublings = (seat.failures - 1).min(DOUBLINGS);
-                seat.until = now + (PENALTY_MS << doublings);
+                engine.failures += 1;
+                let doublings = (engine.failures - 1).min(MAX_DOUBLINGS);
+                engine.blocked_until = now + (FAILURE_PENALTY_MS << doublings);
             }
             RunEnd::Unfit | RunEnd::Taken | RunEnd::Late => {}
         }
     }
 
-    /// Notes that a sample's verdict is on its way into the log. Gives the sample's identity; none
-    /// if its step is over, or it had a verdict before.
-    pub fn settled(&mut self, step: &str, index: u32) -> Option<String> {
-        let work = self.works.get_mut(step)?;
-        let progress = &mut work.progress[index as usize];
+    /// Records that a sample's result is about to be written to the log. Returns the sample's id,
+    /// or `None` if the step is closed or the sample had a result already.
+    pub fn settle(&mut self, step: &str, index: u32) -> Option<String> {
+        let planned = self.steps.get_mut(step)?;
+        let progress = &mut planned.progress[index as usize];
         let before = std::mem::replace(&mut progress.phase, Phase::Settled);
-        let (seat, model) = (progress.seat.take(), work.step.model.clone());
-        let sample = work.step.samples[index as usize].id.clone();
-        work.waiting -= usize::from(before == Phase::Waiting);
+        let (engine, model) = (progress.engine.take(), planned.step.model.clone());
+        let sample = planned.step.samples[index as usize].id.clone();
+        planned.waiting -= usize::from(before == Phase::Waiting);
         if before == Phase::Running {
-            self.free(seat.as_deref(), &model);
+            self.release_slot(engine.as_deref(), &model);
         }
         (before != Phase::Settled).then_some(sample)
     }
 
-    /// Gives the waiting samples that have failed as often as they may, in a step before this one.
-    pub fn failed_before(&self) -> Vec<(String, u32)> {
-        let mut failed = Vec::new();
-        for (id, work) in self.works.iter().filter(|(_, work)| work.waiting > 0) {
-            for (index, progress) in work.progress.iter().enumerate() {
-                let over = progress.cost.is_over(work.step.attempts);
-                if progress.phase == Phase::Waiting && over {
-                    failed.push((id.clone(), index as u32));
+    /// Returns waiting samples that reached their failure limit in a previous step.
+    pub fn exhausted_samples(&self) -> Vec<(String, u32)> {
+        let mut exhausted = Vec::new();
+        for (id, planned) in self.steps.iter().filter(|(_, planned)| planned.waiting > 0) {
+            for (index, progress) in planned.progress.iter().enumerate() {
+                let is_exhausted = progress.cost.is_exhausted(planned.step.attempts);
+                if progress.phase == Phase::Waiting && is_exhausted {
+                    exhausted.push((id.clone(), index as u32));
                 }
             }
         }
-        failed
+        exhausted
     }
 
-    /// Gives the samples that have become too old, or whose route is gone.
-    pub fn too_old(&self, config: &Config, now: Millis) -> Vec<(String, u32)> {
-        let mut lost = Vec::new();
-        for (id, work) in &self.works {
-            let old = now.since(work.at) >= work.step.age_ms;
-            let gone = |sample: &Sample| config.find(&work.step.host, &sample.path).is_none();
-            for (index, progress) in work.progress.iter().enumerate() {
-                let waits = progress.phase == Phase::Waiting;
-                let over = old || (waits && gone(&work.step.samples[index]));
-                if progress.phase != Phase::Settled && over {
-                    lost.push((id.clone(), index as u32));
+    /// Returns samples that are too old or whose route no longer exists.
+    pub fn expired_samples(&self, config: &Config, now: Millis) -> Vec<(String, u32)> {
+        let mut expired = Vec::new();
+        for (id, planned) in &self.steps {
+            let too_old = now.since(planned.submitted_at) >= planned.step.age_ms;
+            let route_is_gone =
+                |sample: &Sample| config.find(&planned.step.host, &sample.path).is_none();
+            for (index, progress) in planned.progress.iter().enumerate() {
+                let is_waiting = progress.phase == Phase::Waiting;
+                let is_expired =
+                    too_old || (is_waiting && route_is_gone(&planned.step.samples[index]));
+                if progress.phase != Phase::Settled && is_expired {
+                    expired.push((id.clone(), index as u32));
                 }
             }
         }
-        lost
+        expired
     }
 }
--- a/components/fleet/tests/policy.rs
+++ b/components/fleet/tests/policy.rs
@@ -1,4 +1,5 @@
-//! Each switch stops its mechanism and nothing else; settings may name some of them.
+//! Tests that each switch disables only its mechanism, and that settings may contain some of the
+//! switches.
 
 mod support;
 
@@ -8,29 +9,29 @@
 
 use chicoryford_fleet::Announcement;
 use chicoryford_fleet::Endpoint;
+use chicoryford_fleet::EndpointStatus;
 use chicoryford_fleet::Policy;
 use chicoryford_fleet::Sample;
-use chicoryford_fleet::Standing;
 use chicoryford_fleet::Step;
 use chicoryford_fleet::copies::StoreId;
 use chicoryford_fleet::copies::Stores;
-use chicoryford_fleet::pick::Ending;
+use chicoryford_fleet::pick::AttemptOutcome;
 use chicoryford_fleet::pick::Picker;
-use chicoryford_fleet::plan::Plan;
+use chicoryford_fleet::plan::Planner;
 use chicoryford_types::Epoch;
 use chicoryford_types::Millis;
 
 use support::steps_config;
 
-/// Where a store gives parts.
+/// The address of a store, which these tests do not use.
 fn address() -> SocketAddr {
     "10.0.0.1:7".parse().unwrap()
 }
 
 fn endpoint(id: &str, service: &str) -> Endpoint {
-    let said = Announcement {
+    let announcement = Announcement {
         id: id.to_owned(),
-        born: 0,
+        started_ms: 0,
         service: service.to_owned(),
         address: "10.0.0.1:80".parse().unwrap(),
         data_centre: "z".to_owned(),
@@ -39,35 +40,35 @@
         models: BTreeMap::from([("m".to_owned(), 1)]),
         sequence: 1,
     };
-    Endpoint { said, standing: Standing::Ready }
+    Endpoint { announcement, status: EndpointStatus::Ready }
 }
 
-/// Which endpoint is picked after one of two has failed.
+/// Returns those picks right after the failure of one of two endpoints that chose the failed one.
 fn after_a_failure(policy: Policy) -> Vec<String> {
-    let mut picker = Picker::new(7).under(policy);
+    let mut picker = Picker::new(7).with_policy(policy);
     picker.observe(&endpoint("a", "desk"));
     picker.observe(&endpoint("b", "desk"));
     let failed = picker.pick("desk", "route", |_| true, Millis(0)).unwrap().id;
-    picker.ended(&failed, "route", Ending::Failed, Millis(1));
+    picker.record_outcome(&failed, "route", AttemptOutcome::Failed, Millis(1));
     let picks = (0..2).map(|_| picker.pick("desk", "route", |_| true, Millis(2)).unwrap().id);
     picks.filter(|id| *id == failed).collect()
 }
 
 #[test]
-fn without_penalties_an_endpoint_that_failed_is_asked_again_at_once() {
+fn without_penalties_a_failed_endpoint_is_picked_again_at_once() {
     assert!(after_a_failure(Policy::default()).is_empty());
     let off = Policy { penalties: false, ..Policy::default() };
-    assert_eq!(after_a_failure(off).len(), 1, "two picks go to two endpoints");
+    assert_eq!(after_a_failure(off).len(), 1, "the two attempts use both endpoints");
 }
 
-/// Which samples start first where there is room for two.
+/// Returns the samples that start first when two slots are free.
 fn first_started(policy: Policy) -> Vec<u32> {
-    let mut plan = Plan::new(Epoch(1)).under(policy);
-    plan.observe(&endpoint("e", "engines"));
+    let mut planner = Planner::new(Epoch(1)).with_policy(policy);
+    planner.update_engine(&endpoint("e", "engines"));
     let sample = |expected: u64| Sample {
         id: format!("s{expected}"),
         path: "/s/1".to_owned(),
-        expected,
+        expected_tokens: expected,
         ..Sample::default()
     };
     let step = Step {
@@ -79,8 +80,8 @@
         samples: [5, 1, 9, 3].into_iter().map(sample).collect(),
         ..Step::default()
     };
-    plan.open(Arc::new(step), Millis(0), Millis::default(), |_| false);
-    plan.assign(&steps_config(), Millis(1)).iter().map(|assignment| assignment.index).collect()
+    planner.open_step(Arc::new(step), Millis(0), Millis::default(), |_| false);
+    planner.assign(&steps_config(), Millis(1)).iter().map(|assignment| assignment.index).collect()
 }
 
 #[test]
@@ -93,10 +94,10 @@
 #[test]
 fn without_near_copies_parts_are_spread_evenly() {
     let first = |policy: Policy| {
-        let mut stores = Stores::new("y", Millis(0)).under(policy);
-        for (node, place) in [("a", "x"), ("b", "y")] {
+        let mut stores = Stores::new("y", Millis(0)).with_policy(policy);
+        for (node, data_centre) in [("a", "x"), ("b", "y")] {
             let id = StoreId { node: node.to_owned(), identity: 1 };
-            stores.connected(id, place.to_owned(), address(), Millis(0));
+            stores.connected(id, data_centre.to_owned(), address(), Millis(0));
         }
         stores.choose(&Default::default(), &Default::default())[0].node.clone()
     };
--- a/components/suspects/src/rule.rs
+++ b/components/suspects/src/rule.rs
@@ -1,4 +1,4 @@
-//! The rule by which contents are suspected, cleared and convicted.
+//! The rule that decides when contents are suspected, cleared and convicted.
 
 use std::collections::BTreeMap;
 
@@ -9,44 +9,53 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The rule's settings.
+/// The settings of the rule.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rule {
-    /// Crashes that convict a content, the last of them while it ran apart.
-    pub apart: u32,
-    /// Crashes that convict a content, even if other suspects were in progress each time.
-    pub crowd: u32,
-    /// Milliseconds for which a conviction holds.
-    pub lasts_ms: u64,
-    /// Suspects kept at most.
-    pub suspects: usize,
-    /// Convictions kept at most.
-    pub convictions: usize,
+    /// Crashes after which a content is convicted, if it was the only blamed content in the last
+    /// one.
+    #[serde(rename = "apart")]
+    pub isolated_crashes: u32,
+    /// Crashes after which a content is convicted even if other suspects were in progress at each
+    /// of them.
+    #[serde(rename = "crowd")]
+    pub shared_crashes: u32,
+    /// Milliseconds until a conviction expires.
+    #[serde(rename = "lasts_ms")]
+    pub conviction_ms: u64,
+    /// Maximum number of suspects.
+    #[serde(rename = "suspects")]
+    pub max_suspects: usize,
+    /// Maximum number of convictions.
+    #[serde(rename = "convictions")]
+    pub max_convictions: usize,
 }
 
 impl Default for Rule {
     fn default() -> Self {
         Self {
-            apart: 3,
-            crowd: 6,
-            lasts_ms: 24 * 60 * 60 * 1_000,
-            suspects: 4_096,
-            convictions: 4_096,
+            isolated_crashes: 3,
+            shared_crashes: 6,
+            conviction_ms: 24 * 60 * 60 * 1_000,
+            max_suspects: 4_096,
+            max_convictions: 4_096,
         }
     }
 }
 
 impl Rule {
-    /// Weighs a crash; `blamed` are the suspects among the contents in progress, or else all.
+    /// Returns the changes caused by a crash. `blamed` are the suspects among the contents in
+    /// progress, or all contents in progress if there are no suspects among them.
     ///
-    /// A content that crashes engines comes back under new request ids for as long as its caller
-    /// wants the answer, and takes one endpoint down each time, with all that runs there. What
-    /// was in progress at a crash is therefore suspected, and from then on runs apart from other
-    /// suspects: the next crash blames it alone. One crash apart may still be chance, as
-    /// endpoints crash for other reasons too; docs/SUSPECTS.md has the measured rates of both
-    /// errors by which the numbers were chosen.
-    pub fn crashed(
+    /// A content that crashes engines is sent again under new request ids for as long as its caller
+    /// wants the answer, and each time stops an endpoint with everything that runs there. The
+    /// contents in progress at a crash are therefore suspected and from then on run separately from
+    /// other suspects, so that the next crash blames only one of them. A single crash of a content
+    /// that ran separately may still be a coincidence, because endpoints also crash for other
+    /// reasons. docs/SUSPECTS.md has the measured rates of both kinds of errors, from which the
+    /// numbers follow.
+    pub fn on_crash(
         &self,
         suspects: &BTreeMap<Fingerprint, u32>,
         convictions: &BTreeMap<Fingerprint, Conviction>,
@@ -66,25 +75,25 @@
             }
             let before = suspects.get(content).copied().unwrap_or(0);
             let crashes = before.saturating_add(1);
-            let proven = alone && before > 0 && crashes >= self.apart;
-            let room = convicted < self.convictions;
-            if room && (proven || crashes >= self.crowd) {
-                let until = Unix(stamp.0.saturating_add(self.lasts_ms));
+            let is_proven = alone && before > 0 && crashes >= self.isolated_crashes;
+            let has_room = convicted < self.max_convictions;
+            if has_room && (is_proven || crashes >= self.shared_crashes) {
+                let until = Unix(stamp.0.saturating_add(self.conviction_ms));
                 changes.push(Change::Convicted(*content, Conviction { crashes, until }));
                 convicted += 1;
-            } else if before > 0 || added < self.suspects {
+            } else if before > 0 || added < self.max_suspects {
                 changes.push(Change::Suspected(*content, crashes));
                 added += usize::from(before == 0);
             }
         }
-        let mut room = self.make_room(suspects, &blamed, added);
-        room.extend(self.make_room_convicted(convictions, convicted));
-        room.append(&mut changes);
-        room
+        let mut evicted = self.evict_suspects(suspects, &blamed, added);
+        evicted.extend(self.evict_convictions(convictions, convicted));
+        evicted.append(&mut changes);
+        evicted
     }
 
-    /// Takes in that a content ran to its end.
-    pub fn cleared(
+    /// Returns the change caused by the completion of a request with this content, if any.
+    pub fn on_completion(
         &self,
         suspects: &BTreeMap<Fingerprint, u32>,
         content: Fingerprint,
@@ -92,8 +101,8 @@
         suspects.contains_key(&content).then_some(Change::Cleared(content))
     }
 
-    /// Gives the convictions that have lapsed.
-    pub fn lapsed(
+    /// Returns the changes that remove expired convictions.
+    pub fn expired(
         &self,
         convictions: &BTreeMap<Fingerprint, Conviction>,
         stamp: Unix,
@@ -105,14 +114,15 @@
             .collect()
     }
 
-    /// Clears the suspects with the fewest crashes, to keep within the bound.
-    fn make_room(
+    /// Returns the changes that clear the suspects with the fewest crashes, to stay within the
+    /// limit.
+    fn evict_suspects(
         &self,
         suspects: &BTreeMap<Fingerprint, u32>,
         blamed: &[Fingerprint],
         added: usize,
     ) -> Vec<Change> {
-        let excess = (suspects.len() + added).saturating_sub(self.suspects);
+        let excess = (suspects.len() + added).saturating_sub(self.max_suspects);
         if excess == 0 {
             return Vec::new();
         }
@@ -125,12 +135,13 @@
         least.into_iter().take(excess).map(|(_, content)| Change::Cleared(content)).collect()
     }
 
-    fn make_room_convicted(
+    /// Returns the changes that remove the convictions that expire first, to stay within the limit.
+    fn evict_convictions(
         &self,
         convictions: &BTreeMap<Fingerprint, Conviction>,
         added: usize,
     ) -> Vec<Change> {
-        let excess = (convictions.len() + added).saturating_sub(self.convictions);
+        let excess = (convictions.len() + added).saturating_sub(self.max_convictions);
         if excess == 0 {
             return Vec::new();
         }
--- a/components/suspects/tests/rule.rs
+++ b/components/suspects/tests/rule.rs
@@ -1,4 +1,4 @@
-//! The rule, case by case.
+//! Tests of the rule.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 fn crash(config: &mut Config, blamed: &[u64]) {
     let blamed: Vec<Fingerprint> = blamed.iter().map(|n| Fingerprint(*n)).collect();
     let rule = Rule::default();
-    let changes = rule.crashed(&config.suspects, &config.convictions, Unix(0), &blamed);
+    let changes = rule.on_crash(&config.suspects, &config.convictions, Unix(0), &blamed);
     apply(config, changes);
 }
 
@@ -25,17 +25,16 @@
 }
 
 #[test]
-fn can_convict_only_the_guilty_of_a_batch() {
-    // Symptom: callers whose requests are harmless are refused.
-    // Sequence: a request crashes the endpoint on which it runs among others; they are all sent
-    // again, and it crashes the next endpoints too.
-    // Cause: all of the batch were there at the first crash.
+fn convicts_only_the_crashing_content_of_a_batch() {
+    // Guards against rejecting harmless requests. A request crashes the endpoint on which it runs
+    // next to others. All of them are sent again, and it crashes the next endpoints too. All
+    // contents of the first crash were treated as equally suspicious.
     let mut config = Config::default();
     crash(&mut config, &[1, 2, 3]);
     assert_eq!(config.suspects.len(), 3);
     let rule = Rule::default();
     for innocent in [1, 3] {
-        let cleared = rule.cleared(&config.suspects, Fingerprint(innocent));
+        let cleared = rule.on_completion(&config.suspects, Fingerprint(innocent));
         apply(&mut config, cleared.into_iter().collect());
     }
     crash(&mut config, &[2]);
@@ -45,9 +44,9 @@
 }
 
 #[test]
-fn can_stay_within_its_bound() {
-    let rule = Rule { suspects: 2, ..Rule::default() };
+fn keeps_the_number_of_suspects_within_the_limit() {
+    let rule = Rule { max_suspects: 2, ..Rule::default() };
     let suspects = BTreeMap::from([(Fingerprint(1), 2), (Fingerprint(2), 1)]);
-    let changes = rule.crashed(&suspects, &BTreeMap::new(), Unix(0), &[Fingerprint(3)]);
+    let changes = rule.on_crash(&suspects, &BTreeMap::new(), Unix(0), &[Fingerprint(3)]);
     assert_eq!(changes, [Change::Cleared(Fingerprint(2)), Change::Suspected(Fingerprint(3), 1)]);
 }
