--- a/components/agent/benches/cost.rs
+++ b/components/agent/benches/cost.rs
@@ -1,7 +1,7 @@
-//! What the agent costs: a decision of the gate as its memory grows, and a short generation
-//! through the agent against the same one sent to the engine directly, in one run.
+//! Measures the cost of the agent: a decision of the gate as its history grows, and a short
+//! generation through the agent compared with the same one sent directly to the engine.
 //!
-//! `cargo bench -p chicoryford-agent`; docs/AGENT.md notes the figures.
+//! Run with `cargo bench -p chicoryford-agent`; docs/AGENT.md lists the results.
 
 #[allow(dead_code)]
 #[path = "../tests/live/rig.rs"]
@@ -14,7 +14,7 @@
 use std::time::Instant;
 
 use chicoryford_agent::gate::Arrival;
-use chicoryford_agent::gate::End;
+use chicoryford_agent::gate::AttemptEnd;
 use chicoryford_agent::gate::Gate;
 use chicoryford_agent::gate::GateSettings;
 use chicoryford_agent::gate::Id;
@@ -29,9 +29,9 @@
 use serde_json::json;
 
 const DECISIONS: u64 = 100_000;
-const ALTERNATIONS: u64 = 2_000;
-const FLOOD: u64 = 20_000;
-const AT_ONCE: u64 = 64;
+const LATENCY_PAIRS: u64 = 2_000;
+const FLOOD_REQUESTS: u64 = 20_000;
+const CONCURRENCY: u64 = 64;
 const TOKENS: u32 = 8;
 
 fn main() {
@@ -39,9 +39,9 @@
         decisions(remembered);
     }
     actix_rt::System::new().block_on(async {
-        let agent = AgentSettings { slots: AT_ONCE as u32, ..AgentSettings::default() };
+        let agent = AgentSettings { slots: CONCURRENCY as u32, ..AgentSettings::default() };
         let engine = EngineSettings {
-            slots: 2 * AT_ONCE as usize,
+            slots: 2 * CONCURRENCY as usize,
             token_us: 0,
             batch_us: 0,
             prefill_us: 0,
@@ -57,21 +57,21 @@
 
 fn decisions(remembered: u64) {
     let bound = (remembered + DECISIONS + 1) as usize;
-    let mut gate = Gate::new(GateSettings { remembered: bound, ..GateSettings::default() });
+    let mut gate = Gate::new(GateSettings { max_records: bound, ..GateSettings::default() });
     let pass = |gate: &mut Gate, number: u64| {
         let id = Id { request: RequestId(1, number), attempt: Attempt(1) };
-        let arrival = Arrival { id, budget: 1_000, ..Arrival::default() };
+        let arrival = Arrival { id, budget_ms: 1_000, ..Arrival::default() };
         black_box(gate.arrive(arrival, Millis(number / 100), Unix(0)));
-        gate.ended(id, End::Finished, Millis(number / 100));
+        gate.record_end(id, AttemptEnd::Finished, Millis(number / 100));
     };
     for number in 0..remembered {
         pass(&mut gate, number);
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     for number in remembered..remembered + DECISIONS {
         pass(&mut gate, number);
     }
-    let each = begun.elapsed().as_nanos() as u64 / DECISIONS;
+    let each = started.elapsed().as_nanos() as u64 / DECISIONS;
     println!("gate remembered={remembered} arrive_and_end_ns={each}");
 }
 
@@ -95,7 +95,7 @@
 async fn latency(rig: &Rc<Rig>) {
     let address = rig.endpoint.clone();
     let (mut direct_us, mut through_us) = (Vec::new(), Vec::new());
-    for number in 0..ALTERNATIONS {
+    for number in 0..LATENCY_PAIRS {
         direct_us.push(timed(direct(rig, &address, number)).await);
         through_us.push(timed(through(rig, number)).await);
     }
@@ -106,9 +106,9 @@
 }
 
 async fn timed(work: impl Future<Output = ()>) -> u64 {
-    let begun = Instant::now();
+    let started = Instant::now();
     work.await;
-    begun.elapsed().as_micros() as u64
+    started.elapsed().as_micros() as u64
 }
 
 fn percentiles(mut values: Vec<u64>) -> (u64, u64) {
@@ -118,21 +118,21 @@
 
 async fn throughput(rig: &Rc<Rig>) {
     let address = rig.endpoint.clone();
-    let begun = Instant::now();
+    let started = Instant::now();
     flood(rig, move |rig, number| {
         let address = address.clone();
         async move { direct(&rig, &address, number).await }
     })
     .await;
-    let direct = rate(begun.elapsed());
-    let begun = Instant::now();
-    flood(rig, |rig, number| async move { through(&rig, ALTERNATIONS + number).await }).await;
-    let agent = rate(begun.elapsed());
-    println!("requests_a_second direct={direct} agent={agent} at_once={AT_ONCE}");
+    let direct = rate(started.elapsed());
+    let started = Instant::now();
+    flood(rig, |rig, number| async move { through(&rig, LATENCY_PAIRS + number).await }).await;
+    let agent = rate(started.elapsed());
+    println!("requests_a_second direct={direct} agent={agent} at_once={CONCURRENCY}");
 }
 
 fn rate(time: Duration) -> u64 {
-    (FLOOD as f64 / time.as_secs_f64()) as u64
+    (FLOOD_REQUESTS as f64 / time.as_secs_f64()) as u64
 }
 
 async fn flood<F, Fut>(rig: &Rc<Rig>, run: F)
@@ -140,15 +140,15 @@
     F: Fn(Rc<Rig>, u64) -> Fut + Clone + 'static,
     Fut: Future<Output = ()>,
 {
-    let lanes = (0..AT_ONCE).map(|lane| {
+    let workers = (0..CONCURRENCY).map(|worker| {
         let (rig, run) = (rig.clone(), run.clone());
         actix_rt::spawn(async move {
-            for number in (lane..FLOOD).step_by(AT_ONCE as usize) {
+            for number in (worker..FLOOD_REQUESTS).step_by(CONCURRENCY as usize) {
                 run(rig.clone(), number).await;
             }
         })
     });
-    for lane in lanes.collect::<Vec<_>>() {
-        lane.await.expect("a lane ends well");
+    for worker in workers.collect::<Vec<_>>() {
+        worker.await.expect("the worker does not panic");
     }
 }
--- a/components/agent/src/engine.rs
+++ b/components/agent/src/engine.rs
@@ -1,5 +1,5 @@
-//! The adapter to the engines' protocol, which docs/STANDINS.md describes. An engine that speaks
-//! another one needs another file like this, and nothing else.
+//! The adapter to the protocol of the engines, which docs/STANDINS.md describes. To support an
+//! engine with another protocol, only another adapter like this is needed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,36 +24,37 @@
 use serde::de::DeserializeOwned;
 use serde_json::json;
 
-/// Time for a short question to the engine.
-const SHORT: Duration = Duration::from_secs(2);
-/// Time for the load of a version, which fetches the weights.
-const LOAD: Duration = Duration::from_secs(120);
-/// Bound on one event of a stream.
-const EVENT_BOUND: usize = 4 << 20;
+/// The timeout of short requests to the engine.
+const SHORT_TIMEOUT: Duration = Duration::from_secs(2);
+/// The timeout of loading a version, during which the engine fetches the weights.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(120);
+/// The maximum size of one event of a stream.
+const MAX_EVENT_BYTES: usize = 4 << 20;
 
-/// What an engine says of its health.
+/// The health that an engine reports.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Health {
-    /// Drawn anew at each start of the engine.
+    /// A random identifier that changes at each start of the engine.
     pub instance: String,
     /// The version in use of each model.
     pub models: BTreeMap<Model, Version>,
     /// Whether it can serve.
     pub healthy: bool,
-    /// Where it gives its weights to other engines; none if it does not offer that.
-    pub gives: Option<String>,
+    /// The address at which it serves its weights to other engines; `None` if it does not.
+    #[serde(rename = "gives")]
+    pub weights_address: Option<String>,
 }
 
-/// What an engine says of its load.
+/// The load that an engine reports.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Load {
-    /// Completions running.
+    /// Running completions.
     pub running: u32,
-    /// Completions waiting in the engine.
+    /// Completions queued in the engine.
     pub waiting: u32,
-    /// Tokens a second.
+    /// Generated tokens per second.
     pub rate: u32,
     /// Cache memory in use, in thousandths.
     pub memory: u32,
@@ -61,11 +62,11 @@
     pub prefill: u32,
     /// Transfer link in use, in thousandths.
     pub link: u32,
-    /// How old the figures are, in milliseconds.
+    /// The age of these figures, in milliseconds.
     pub age_ms: u64,
-    /// Prefix hashes that entered the cache since the last question.
+    /// Hashes of the prefixes added to the cache since the last request.
     pub cached: Vec<u64>,
-    /// Prefix hashes that left it.
+    /// Hashes of the prefixes evicted from the cache since the last request.
     pub evicted: Vec<u64>,
     /// The version in use of each model.
     pub versions: BTreeMap<Model, Version>,
@@ -74,13 +75,13 @@
 /// A part of a completion.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Part {
-    /// Some tokens.
+    /// A chunk of tokens.
     Tokens(Tokens),
-    /// The explicit end.
+    /// The explicit end of the completion.
     Last {
-        /// The engine's count of tokens.
+        /// The number of tokens according to the engine.
         tokens: u32,
-        /// Why it ended.
+        /// The reason for the end.
         reason: String,
     },
 }
@@ -102,7 +103,7 @@
     },
 }
 
-/// The body of a completion; it borrows the prompt, which can be long.
+/// The request body of a completion. It borrows the prompt, which can be long.
 #[derive(Serialize)]
 struct Completion<'a> {
     model: &'a Model,
@@ -123,22 +124,22 @@
     stopped: bool,
 }
 
-/// How an attempt to reach the engine failed.
+/// Why a call to an engine or a service failed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum EngineError {
     /// No byte reached the engine.
     #[error("the engine was not reached: {0}")]
     NotReached(String),
-    /// The engine refused by its own word, before it did anything.
+    /// The engine refused the request before it did anything.
     #[error("the engine refused with status {0}: {1}")]
     Refused(u16, String),
-    /// The connection broke, or what came makes no sense.
+    /// The connection broke, or the response is invalid; the engine may have started.
     #[error("the connection to the engine broke: {0}")]
     Broken(String),
 }
 
 impl EngineError {
-    pub(crate) fn of(error: CallError) -> Self {
+    pub(crate) fn from_call_error(error: CallError) -> Self {
         match error {
             CallError::NotSent { .. } => Self::NotReached(error.to_string()),
             CallError::Lost { .. } | CallError::Failure(_) => Self::Broken(error.to_string()),
@@ -146,8 +147,8 @@
     }
 }
 
-/// A completion on its way.
-pub struct Chunks {
+/// The response stream of a completion.
+pub struct CompletionStream {
     stream: LocalBoxStream<'static, Result<Bytes, PayloadError>>,
     pending: BytesMut,
 }
@@ -156,13 +157,13 @@
 ///
 /// # Errors
 ///
-/// [`EngineError`], which tells whether the engine can have begun.
+/// [`EngineError`], whose variant shows whether the engine can have started.
 pub async fn generate(
     client: &Client,
     address: &str,
     work: &Work,
     task: &Generation,
-) -> Result<Chunks, EngineError> {
+) -> Result<CompletionStream, EngineError> {
     let url = client.url(address, "/v1/completions");
     let body = Completion {
         model: &work.model,
@@ -178,26 +179,27 @@
         attempt: work.attempt,
     };
     let sent = client.post(&url).send_json(&body).await;
-    let mut response = sent.map_err(|error| EngineError::of(send_error(&url, &error)))?;
+    let mut response =
+        sent.map_err(|error| EngineError::from_call_error(send_error(&url, &error)))?;
     let status = response.status().as_u16();
     if status >= 400 {
         let body = response.body().await.unwrap_or_default();
         let text = String::from_utf8_lossy(&body).into_owned();
-        return Err(refusal(status, text));
+        return Err(status_error(status, text));
     }
-    Ok(Chunks { stream: response.boxed_local(), pending: BytesMut::new() })
+    Ok(CompletionStream { stream: response.boxed_local(), pending: BytesMut::new() })
 }
 
-impl Chunks {
-    /// Waits for the next part; none when the stream ended without its explicit end.
+impl CompletionStream {
+    /// Waits for the next part. Returns `None` if the stream ended without the explicit end.
     ///
     /// # Errors
     ///
     /// [`EngineError::Broken`].
     pub async fn next(&mut self) -> Result<Option<Part>, EngineError> {
         loop {
-            if let Some(line) = self.line()? {
-                return Ok(Some(read(&line)?));
+            if let Some(line) = self.take_event()? {
+                return Ok(Some(parse_part(&line)?));
             }
             match self.stream.next().await {
                 Some(Ok(chunk)) => self.pending.extend_from_slice(&chunk),
@@ -207,34 +209,34 @@
         }
     }
 
-    /// Takes the data of the next whole event.
-    fn line(&mut self) -> Result<Option<BytesMut>, EngineError> {
+    /// Removes the data of the next complete event from the buffer.
+    fn take_event(&mut self) -> Result<Option<BytesMut>, EngineError> {
         while let Some(end) = self.pending.iter().position(|byte| *byte == b'\n') {
             let line = self.pending.split_to(end + 1);
             if let Some(data) = line.strip_prefix(b"data:") {
                 return Ok(Some(BytesMut::from(data)));
             }
         }
-        if self.pending.len() > EVENT_BOUND {
-            return Err(EngineError::Broken("an event exceeds the bound".to_owned()));
+        if self.pending.len() > MAX_EVENT_BYTES {
+            return Err(EngineError::Broken("an event exceeds the size limit".to_owned()));
         }
         Ok(None)
     }
 }
 
-/// Stops a completion, and tells whether it was there to be stopped; either way it does not run
-/// when this returns.
+/// Stops a completion. Returns whether it was running; in either case it no longer runs when this
+/// returns.
 ///
 /// # Errors
 ///
-/// [`EngineError`]; whether it runs is not known then.
+/// [`EngineError`]; it is then unknown whether the completion runs.
 pub async fn cancel(client: &Client, address: &str, work: &Work) -> Result<bool, EngineError> {
     let body = json!({ "request": work.request.to_string(), "attempt": work.attempt });
-    let answer: Cancelled = post(client, address, "/cancel", &body, SHORT).await?;
-    Ok(answer.stopped)
+    let reply: Cancelled = post(client, address, "/cancel", &body, SHORT_TIMEOUT).await?;
+    Ok(reply.stopped)
 }
 
-/// Asks for the engine's health.
+/// Requests the engine's health.
 ///
 /// # Errors
 ///
@@ -243,7 +245,7 @@
     get(client, address, "/health").await
 }
 
-/// Asks for the engine's load.
+/// Requests the engine's load.
 ///
 /// # Errors
 ///
@@ -252,7 +254,8 @@
     get(client, address, "/load").await
 }
 
-/// Tells the engine to load a version. Its success is not to be trusted; ask [`health`] after.
+/// Orders the engine to load a version. The reported success is not reliable; check the version
+/// with [`health`] afterwards.
 ///
 /// # Errors
 ///
@@ -266,23 +269,23 @@
     fence: u64,
 ) -> Result<(), EngineError> {
     let body = json!({ "model": model, "version": version, "source": source, "fence": fence });
-    let _: serde_json::Value = post(client, address, "/weights", &body, LOAD).await?;
+    let _: serde_json::Value = post(client, address, "/weights", &body, LOAD_TIMEOUT).await?;
     Ok(())
 }
 
-/// Tells the engine to change its role.
+/// Orders the engine to change its role.
 ///
 /// # Errors
 ///
 /// [`EngineError`].
-pub async fn role(
+pub async fn set_role(
     client: &Client,
     address: &str,
     role: &str,
     fence: u64,
 ) -> Result<(), EngineError> {
     let body = json!({ "role": role, "fence": fence });
-    let _: serde_json::Value = post(client, address, "/role", &body, SHORT).await?;
+    let _: serde_json::Value = post(client, address, "/role", &body, SHORT_TIMEOUT).await?;
     Ok(())
 }
 
@@ -294,29 +297,31 @@
     let url = client.url(address, path);
     let exchange = async {
         let sent = client.get(&url).send().await;
-        let response = sent.map_err(|error| EngineError::of(send_error(&url, &error)))?;
-        whole(response).await
+        let response =
+            sent.map_err(|error| EngineError::from_call_error(send_error(&url, &error)))?;
+        read_response(response).await
     };
-    within(SHORT, exchange).await
+    with_timeout(SHORT_TIMEOUT, exchange).await
 }
 
 async fn post<Q: Serialize, A: DeserializeOwned>(
     client: &Client,
     address: &str,
     path: &str,
-    question: &Q,
+    request: &Q,
     timeout: Duration,
 ) -> Result<A, EngineError> {
     let url = client.url(address, path);
     let exchange = async {
-        let sent = client.post(&url).send_json(question).await;
-        let response = sent.map_err(|error| EngineError::of(send_error(&url, &error)))?;
-        whole(response).await
+        let sent = client.post(&url).send_json(request).await;
+        let response =
+            sent.map_err(|error| EngineError::from_call_error(send_error(&url, &error)))?;
+        read_response(response).await
     };
-    within(timeout, exchange).await
+    with_timeout(timeout, exchange).await
 }
 
-async fn within<A>(
+async fn with_timeout<A>(
     timeout: Duration,
     exchange: impl Future<Output = Result<A, EngineError>>,
 ) -> Result<A, EngineError> {
@@ -324,7 +329,8 @@
     actix_rt::time::timeout(timeout, exchange).await.unwrap_or_else(broken)
 }
 
-async fn whole<A, S>(mut response: awc::ClientResponse<S>) -> Result<A, EngineError>
+/// Reads a response to its end and parses it.
+async fn read_response<A, S>(mut response: awc::ClientResponse<S>) -> Result<A, EngineError>
 where
     A: DeserializeOwned,
     S: futures_util::Stream<Item = Result<Bytes, PayloadError>> + Unpin,
@@ -333,20 +339,21 @@
     let status = response.status().as_u16();
     let body = response.body().await.map_err(|error| broken(error.to_string()))?;
     if status >= 400 {
-        return Err(refusal(status, String::from_utf8_lossy(&body).into_owned()));
+        return Err(status_error(status, String::from_utf8_lossy(&body).into_owned()));
     }
     serde_json::from_slice(&body).map_err(|error| broken(error.to_string()))
 }
 
-/// An engine's status below 500, and 503, say that it did not begin; any other may come late.
-fn refusal(status: u16, text: String) -> EngineError {
+/// Converts an error status. A status below 500, or 503, means that the engine did not start; any
+/// other may be sent after it started.
+fn status_error(status: u16, text: String) -> EngineError {
     if status < 500 || status == 503 {
         return EngineError::Refused(status, text);
     }
     EngineError::Broken(format!("status {status}: {text}"))
 }
 
-fn read(line: &[u8]) -> Result<Part, EngineError> {
+fn parse_part(line: &[u8]) -> Result<Part, EngineError> {
     let event = serde_json::from_slice(line).map_err(|e| EngineError::Broken(e.to_string()))?;
     Ok(match event {
         Event::Last { finish_reason: reason, tokens } => Part::Last { tokens, reason },
--- a/components/agent/src/gate/decide.rs
+++ b/components/agent/src/gate/decide.rs
@@ -1,4 +1,4 @@
-//! The decisions of the gate.
+//! The gate's state and the events that change it.
 
 use std::collections::HashMap;
 
@@ -12,200 +12,205 @@
 
 use super::Action;
 use super::Arrival;
-use super::End;
+use super::AttemptEnd;
 use super::GateSettings;
 use super::Id;
 use super::Verdict;
-use super::judge::key_of;
-use super::judge::leaving;
-use super::judge::not_working;
-use super::memory::Fate;
-use super::memory::KeyFate;
-use super::memory::Memory;
+use super::admission::draining_failure;
+use super::admission::key_of;
+use super::admission::unhealthy_failure;
+use super::history::AttemptStatus;
+use super::history::History;
+use super::history::KeyStatus;
 use super::queue::Queue;
-use super::queue::Waiting;
+use super::queue::QueuedAttempt;
 
-/// The weight of the newest holding time in the average, as one part in this many.
+/// The divisor of the exponential moving average of slot times: a new value has the weight
+/// 1 / `SMOOTHING`.
 const SMOOTHING: u64 = 8;
 
-/// An attempt that runs.
+/// An attempt that holds a slot.
 #[derive(Clone, Debug)]
-pub(super) struct Running {
+pub(super) struct RunningAttempt {
     pub(super) arrival: Arrival,
     since: Millis,
     cancelled: bool,
 }
 
-/// An attempt whose connection broke, until it is known whether the endpoint crashed.
+/// An attempt whose connection broke, kept until it is known whether the endpoint crashed.
 #[derive(Clone, Debug)]
-pub(super) struct Broken {
+pub(super) struct BrokenAttempt {
     fingerprint: Fingerprint,
     suspect: bool,
     at: Millis,
 }
 
-/// Decides which attempts start; see the module's page.
+/// Decides which attempts start (see [the module](super)).
 #[derive(Default)]
 pub struct Gate {
     pub(super) settings: GateSettings,
-    pub(super) memory: Memory,
+    pub(super) history: History,
     pub(super) queue: Queue,
-    pub(super) running: HashMap<Id, Running>,
-    pub(super) broken: Vec<Broken>,
+    pub(super) running: HashMap<Id, RunningAttempt>,
+    pub(super) broken: Vec<BrokenAttempt>,
     pub(super) draining: bool,
     pub(super) unhealthy: bool,
     actions: Vec<Action>,
-    pub(super) held: u64,
-    promises: u64,
+    pub(super) mean_slot_ms: u64,
+    violations: u64,
 }
 
-/// The gate's figures, for reports and dumps.
+/// Statistics of the gate, for load reports and dumps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
-pub struct Figures {
-    /// Attempts that run.
+pub struct GateStats {
+    /// Running attempts.
     pub running: usize,
-    /// Attempts that wait.
+    /// Queued attempts.
     pub waiting: usize,
-    /// Attempts that are remembered.
+    /// Attempts in the history.
     pub attempts: usize,
-    /// Keys that are remembered.
+    /// Keys in the history.
     pub keys: usize,
     /// Bytes of stored answers.
     pub stored: usize,
-    /// The average time for which an attempt held its slot, in milliseconds.
-    pub held: u64,
-    /// Whether new work is refused because the endpoint leaves.
+    /// The average time for which an attempt holds its slot, in milliseconds.
+    #[serde(rename = "held")]
+    pub mean_slot_ms: u64,
+    /// Whether new work is refused because the endpoint drains.
     pub draining: bool,
-    /// Promises that were found broken; anything but zero is a fault of the system.
-    pub promises: u64,
+    /// Invariant violations found so far; any value but zero is a bug.
+    #[serde(rename = "promises")]
+    pub violations: u64,
 }
 
 impl Gate {
-    /// Makes a gate that remembers nothing.
+    /// Creates a gate with an empty history.
     pub fn new(settings: GateSettings) -> Self {
         Self { settings, ..Self::default() }
     }
 
-    /// Decides on an attempt that arrives. `wall` is only compared with the issue time of keys.
+    /// Decides on an arriving attempt and records the decision. `wall` is only compared with the
+    /// issue time of idempotency keys.
     pub fn arrive(&mut self, arrival: Arrival, now: Millis, wall: Unix) -> Verdict {
-        self.memory.forget(now);
-        let verdict = self.judge(&arrival, now, wall);
+        self.history.evict_expired(now);
+        let verdict = self.admit(&arrival, now, wall);
         match &verdict {
             Verdict::Start => {
-                self.admit(&arrival, Fate::Running, now);
+                self.record_admitted(&arrival, AttemptStatus::Running, now);
                 self.start(arrival, now);
             }
             Verdict::Wait => {
-                self.admit(&arrival, Fate::Waiting, now);
-                let deadline = now + arrival.budget;
-                self.queue.push(Waiting { arrival, deadline });
+                self.record_admitted(&arrival, AttemptStatus::Waiting, now);
+                let deadline = now + arrival.budget_ms;
+                self.queue.push(QueuedAttempt { arrival, deadline });
             }
             Verdict::Stored(_) => {}
-            Verdict::Refuse(_) => return self.deny(&arrival, verdict, now),
+            Verdict::Refuse(_) => return self.record_refusal(&arrival, verdict, now),
         }
-        self.check();
+        self.check_invariants();
         verdict
     }
 
-    /// Takes note that an attempt ended, and starts what waits.
-    pub fn ended(&mut self, id: Id, end: End, now: Millis) {
+    /// Records the end of a running attempt and starts queued ones.
+    pub fn record_end(&mut self, id: Id, end: AttemptEnd, now: Millis) {
         let Some(run) = self.running.remove(&id) else { return };
-        let held = now.since(run.since);
-        self.held = if self.held == 0 {
-            held
+        let slot_ms = now.since(run.since);
+        self.mean_slot_ms = if self.mean_slot_ms == 0 {
+            slot_ms
         } else {
-            self.held - self.held / SMOOTHING + held / SMOOTHING
+            self.mean_slot_ms - self.mean_slot_ms / SMOOTHING + slot_ms / SMOOTHING
         };
-        if end == End::Broken {
+        if end == AttemptEnd::Broken {
             let Arrival { fingerprint, suspect, .. } = run.arrival;
-            self.broken.push(Broken { fingerprint, suspect, at: now });
+            self.broken.push(BrokenAttempt { fingerprint, suspect, at: now });
         }
-        let fate = match end {
-            End::NotRun => Fate::Refused,
-            End::Answered(_) | End::Finished => Fate::Ended,
-            End::Stopped | End::Broken => Fate::Unknown,
+        let status = match end {
+            AttemptEnd::NotRun => AttemptStatus::Refused,
+            AttemptEnd::Answered(_) | AttemptEnd::Finished => AttemptStatus::Ended,
+            AttemptEnd::Stopped | AttemptEnd::Broken => AttemptStatus::Unknown,
         };
-        self.settle_key(&run.arrival, end);
-        self.settle(id, fate, now);
-        self.fill(now);
-        self.check();
+        self.record_key_end(&run.arrival, end);
+        self.record_status(id, status, now);
+        self.start_queued(now);
+        self.check_invariants();
     }
 
-    /// Tells what became of an attempt; one that never arrived is revoked, so that "not run"
-    /// stays true when it arrives late.
-    pub fn question(
+    /// Returns the state of an attempt, and with `cancel` also cancels it. An attempt that has not
+    /// arrived is revoked, so that it is refused if it arrives later.
+    pub fn query(
         &mut self,
         id: Id,
         incarnation: Incarnation,
         cancel: bool,
         now: Millis,
     ) -> AttemptState {
-        self.memory.forget(now);
+        self.history.evict_expired(now);
         if incarnation != self.settings.incarnation {
             return AttemptState::Unknown;
         }
-        let known = self.memory.attempt(id).map(|record| (record.fate, record.key.clone()));
+        let known = self.history.attempt(id).map(|record| (record.status, record.key.clone()));
         match known {
             None => self.revoke(id, now),
-            Some((Fate::Waiting, _)) if cancel => {
-                self.withdraw(id, now);
+            Some((AttemptStatus::Waiting, _)) if cancel => {
+                self.cancel_queued(id, now);
                 AttemptState::Refused
             }
-            Some((Fate::Waiting, _)) => AttemptState::Running,
-            Some((Fate::Running, _)) => {
+            Some((AttemptStatus::Waiting, _)) => AttemptState::Running,
+            Some((AttemptStatus::Running, _)) => {
                 if cancel {
-                    self.cancel(id);
+                    self.cancel_running(id);
                 }
                 AttemptState::Running
             }
-            Some((Fate::Refused, _)) => AttemptState::Refused,
-            Some((Fate::Revoked, _)) => AttemptState::Revoked,
-            Some((Fate::Ended, key)) => self.stored(key.as_ref()),
-            Some((Fate::Unknown, _)) => AttemptState::Unknown,
+            Some((AttemptStatus::Refused, _)) => AttemptState::Refused,
+            Some((AttemptStatus::Revoked, _)) => AttemptState::Revoked,
+            Some((AttemptStatus::Ended, key)) => self.stored_answer(key.as_ref()),
+            Some((AttemptStatus::Unknown, _)) => AttemptState::Unknown,
         }
     }
 
-    /// Takes note that the entry's connection is gone: nobody waits for the answer any more.
-    pub fn gone(&mut self, id: Id, now: Millis) {
-        self.withdraw(id, now);
-        self.cancel(id);
-        self.check();
+    /// Cancels an attempt whose entry has disconnected.
+    pub fn disconnected(&mut self, id: Id, now: Millis) {
+        self.cancel_queued(id, now);
+        self.cancel_running(id);
+        self.check_invariants();
     }
 
-    /// Starts or ends draining. What waits is dropped at once: it did not run and can run
-    /// elsewhere, while here it would hold up the stop. What runs goes on to its end.
-    pub fn drain(&mut self, draining: bool, now: Millis) {
+    /// Starts or ends draining. Queued attempts are dropped at once: they have not run and can run
+    /// at another endpoint, and would only delay the stop. Running attempts are completed.
+    pub fn set_draining(&mut self, draining: bool, now: Millis) {
         self.draining = draining;
         if draining && self.settings.protections.draining {
-            self.drop_waiting(&leaving(), now);
+            self.drop_all_queued(&draining_failure(), now);
         }
-        self.check();
+        self.check_invariants();
     }
 
-    /// Takes note whether the endpoint works. While it does not, work is refused, so that the
-    /// entry tries elsewhere at once instead of waiting for an answer that will not come.
-    pub fn health(&mut self, healthy: bool, now: Millis) {
+    /// Records whether the endpoint is healthy. While it is not, work is refused, so that the entry
+    /// retries at another endpoint at once instead of waiting for a timeout.
+    pub fn set_healthy(&mut self, healthy: bool, now: Millis) {
         self.unhealthy = !healthy;
         if !healthy {
-            self.drop_waiting(&not_working(), now);
+            self.drop_all_queued(&unhealthy_failure(), now);
         }
-        self.check();
+        self.check_invariants();
     }
 
-    /// Drops what waits and can no longer be answered in time.
+    /// Drops the queued attempts whose deadline has passed, and evicts expired records.
     pub fn tick(&mut self, now: Millis) {
-        self.memory.forget(now);
-        for waiting in self.queue.doomed(now) {
+        self.history.evict_expired(now);
+        for waiting in self.queue.take_expired(now) {
             let detail = "the deadline passed while the attempt waited for a slot";
-            self.refuse(waiting, Failure::not_run(Code::DeadlinePassed, detail), now);
+            self.drop_queued(waiting, Failure::not_run(Code::DeadlinePassed, detail), now);
         }
-        self.fill(now);
-        self.check();
+        self.start_queued(now);
+        self.check_invariants();
     }
 
-    /// Gives the contents to blame for a crash: the suspects among those in progress if there
-    /// were any, because one of them has a record already, or else all.
-    pub fn crashed(&mut self) -> Vec<Fingerprint> {
+    /// Returns the fingerprints of the content that may have caused a crash, and forgets the broken
+    /// attempts. These are the suspects among the attempts in progress if there are any, because
+    /// suspects were already in progress during an earlier crash; otherwise all of them.
+    pub fn take_crash_suspects(&mut self) -> Vec<Fingerprint> {
         let running =
             self.running.values().map(|run| (&run.arrival.fingerprint, run.arrival.suspect));
         let broken = self.broken.iter().map(|broken| (&broken.fingerprint, broken.suspect));
@@ -220,144 +225,150 @@
         blamed
     }
 
-    /// Takes note that the endpoint had not crashed at `since`: connections that broke before
-    /// broke for another reason, and nobody is to blame.
-    pub fn not_crashed(&mut self, since: Millis) {
+    /// Records that the endpoint had not crashed at `since`: connections that broke until then
+    /// broke for another reason, so their content is not suspected.
+    pub fn record_not_crashed(&mut self, since: Millis) {
         self.broken.retain(|broken| broken.at > since);
     }
 
-    /// Takes what is to be done.
-    pub fn take(&mut self) -> Vec<Action> {
+    /// Removes and returns the collected actions.
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Gives the figures.
-    pub fn figures(&self) -> Figures {
-        let (attempts, keys, stored) = self.memory.size();
-        Figures {
+    /// Returns the current statistics.
+    pub fn stats(&self) -> GateStats {
+        let (attempts, keys, stored) = self.history.size();
+        GateStats {
             running: self.running.len(),
             waiting: self.queue.len(),
             attempts,
             keys,
             stored,
-            held: self.held,
+            mean_slot_ms: self.mean_slot_ms,
             draining: self.draining,
-            promises: self.promises,
+            violations: self.violations,
         }
     }
 
-    fn admit(&mut self, arrival: &Arrival, fate: Fate, now: Millis) {
-        let key = arrival.once.as_ref().and_then(key_of);
-        self.memory.remember(arrival.id, fate, key.clone());
+    fn record_admitted(&mut self, arrival: &Arrival, status: AttemptStatus, now: Millis) {
+        let key = arrival.at_most_once.as_ref().and_then(key_of);
+        self.history.insert_attempt(arrival.id, status, key.clone());
         let Some(key) = key else { return };
-        if self.memory.key(&key).is_none() {
-            let until = now + self.settings.key_ms + 2 * self.settings.skew_ms;
-            self.memory.remember_key(&key, arrival.fingerprint, until);
+        if self.history.key(&key).is_none() {
+            let until = now + self.settings.key_validity_ms + 2 * self.settings.max_skew_ms;
+            self.history.insert_key(&key, arrival.fingerprint, until);
         }
-        if let Some(record) = self.memory.key(&key) {
-            record.fate = KeyFate::Taken;
+        if let Some(record) = self.history.key(&key) {
+            record.status = KeyStatus::InFlight;
         }
     }
 
+    /// Starts an attempt and checks that it may start.
     fn start(&mut self, arrival: Arrival, now: Millis) {
         let id = arrival.id;
-        let mut kept = !self.draining;
-        if let Some(record) = self.memory.attempt(id) {
-            record.fate = Fate::Running;
+        let mut may_start = !self.draining;
+        if let Some(record) = self.history.attempt(id) {
+            record.status = AttemptStatus::Running;
             record.starts += 1;
-            kept &= record.starts == 1 && !record.denied;
+            may_start &= record.starts == 1 && !record.refusal_reported;
         }
-        if let Some(once) = &arrival.once {
-            kept &= once.incarnation == self.settings.incarnation;
-            if let Some(record) = key_of(once).and_then(|key| self.memory.key(&key)) {
+        if let Some(at_most_once) = &arrival.at_most_once {
+            may_start &= at_most_once.incarnation == self.settings.incarnation;
+            if let Some(record) = key_of(at_most_once).and_then(|key| self.history.key(&key)) {
                 record.runs += 1;
-                kept &= record.runs == 1;
+                may_start &= record.runs == 1;
             }
         }
-        self.promise(kept, "an attempt starts at most once, and only where it may");
-        self.running.insert(id, Running { arrival, since: now, cancelled: false });
+        self.check_invariant(may_start, "an attempt starts at most once, and only where it may");
+        self.running.insert(id, RunningAttempt { arrival, since: now, cancelled: false });
     }
 
-    fn fill(&mut self, now: Millis) {
+    fn start_queued(&mut self, now: Millis) {
         while self.has_slot() {
-            let suspects = !self.runs_suspect();
-            let Some(waiting) = self.queue.pop(self.settings.turn, suspects) else { return };
+            let allow_suspects = !self.is_suspect_running();
+            let Some(waiting) = self.queue.pop(self.settings.max_batch_passes, allow_suspects)
+            else {
+                return;
+            };
             let id = waiting.arrival.id;
             self.start(waiting.arrival, now);
             self.actions.push(Action::Start(id));
         }
     }
 
-    pub(super) fn settle(&mut self, id: Id, fate: Fate, now: Millis) {
-        if let Some(record) = self.memory.attempt(id) {
-            record.fate = fate;
-            record.denied |= fate == Fate::Refused;
+    pub(super) fn record_status(&mut self, id: Id, status: AttemptStatus, now: Millis) {
+        if let Some(record) = self.history.attempt(id) {
+            record.status = status;
+            record.refusal_reported |= status == AttemptStatus::Refused;
         }
-        self.memory.fade(id, now + self.settings.window_ms);
+        self.history.expire_attempt_at(id, now + self.settings.attempt_ttl_ms);
     }
 
-    fn settle_key(&mut self, arrival: &Arrival, end: End) {
-        let Some(key) = arrival.once.as_ref().and_then(key_of) else { return };
-        let bound = self.settings.answer;
+    fn record_key_end(&mut self, arrival: &Arrival, end: AttemptEnd) {
+        let Some(key) = arrival.at_most_once.as_ref().and_then(key_of) else { return };
+        let max_bytes = self.settings.max_answer_bytes;
         match end {
-            End::Answered(answer) if answer.body.len() <= bound => self.memory.store(&key, answer),
-            End::NotRun => {
-                if let Some(record) = self.memory.key(&key) {
-                    record.fate = KeyFate::Free;
+            AttemptEnd::Answered(answer) if answer.body.len() <= max_bytes => {
+                self.history.store_answer(&key, answer)
+            }
+            AttemptEnd::NotRun => {
+                if let Some(record) = self.history.key(&key) {
+                    record.status = KeyStatus::Free;
                     record.runs = record.runs.saturating_sub(1);
                 }
             }
             _ => {
-                if let Some(record) = self.memory.key(&key) {
-                    record.fate = KeyFate::Unknown;
+                if let Some(record) = self.history.key(&key) {
+                    record.status = KeyStatus::Unknown;
                 }
             }
         }
     }
 
-    pub(super) fn refuse(&mut self, waiting: Waiting, failure: Failure, now: Millis) {
-        let Waiting { arrival, .. } = waiting;
+    pub(super) fn drop_queued(&mut self, waiting: QueuedAttempt, failure: Failure, now: Millis) {
+        let QueuedAttempt { arrival, .. } = waiting;
         if let Some(record) =
-            arrival.once.as_ref().and_then(key_of).and_then(|key| self.memory.key(&key))
+            arrival.at_most_once.as_ref().and_then(key_of).and_then(|key| self.history.key(&key))
         {
-            record.fate = KeyFate::Free;
+            record.status = KeyStatus::Free;
         }
-        self.settle(arrival.id, Fate::Refused, now);
+        self.record_status(arrival.id, AttemptStatus::Refused, now);
         self.actions.push(Action::Drop(arrival.id, failure));
     }
 
     fn revoke(&mut self, id: Id, now: Millis) -> AttemptState {
-        if !self.memory.has_refusal_room(&self.settings) {
+        if !self.history.has_refusal_room(&self.settings) {
             return AttemptState::Unknown;
         }
-        self.memory.remember(id, Fate::Revoked, None);
-        if let Some(record) = self.memory.attempt(id) {
-            record.denied = true;
+        self.history.insert_attempt(id, AttemptStatus::Revoked, None);
+        if let Some(record) = self.history.attempt(id) {
+            record.refusal_reported = true;
         }
-        self.memory.fade(id, now + self.settings.window_ms);
+        self.history.expire_attempt_at(id, now + self.settings.attempt_ttl_ms);
         AttemptState::Revoked
     }
 
-    fn withdraw(&mut self, id: Id, now: Millis) {
+    fn cancel_queued(&mut self, id: Id, now: Millis) {
         if let Some(waiting) = self.queue.remove(id) {
             let detail = "the attempt was cancelled while it waited for a slot";
-            self.refuse(waiting, Failure::not_run(Code::DeadlinePassed, detail), now);
+            self.drop_queued(waiting, Failure::not_run(Code::DeadlinePassed, detail), now);
         }
     }
 
-    /// Stops a running attempt, unless it may not be repeated: its effect at the endpoint could
-    /// then neither be undone nor known, while its answer will be wanted by a resend.
-    fn cancel(&mut self, id: Id) {
+    /// Stops a running attempt, unless it must run at most once: the effect of such a call at the
+    /// endpoint can neither be undone nor determined, and a resend will need its answer.
+    fn cancel_running(&mut self, id: Id) {
         let Some(run) = self.running.get_mut(&id) else { return };
-        if run.arrival.once.is_none() && !run.cancelled {
+        if run.arrival.at_most_once.is_none() && !run.cancelled {
             run.cancelled = true;
             self.actions.push(Action::Cancel(id));
         }
     }
 
-    fn drop_waiting(&mut self, failure: &Failure, now: Millis) {
+    fn drop_all_queued(&mut self, failure: &Failure, now: Millis) {
         for waiting in self.queue.clear() {
-            self.refuse(waiting, failure.clone(), now);
+            self.drop_queued(waiting, failure.clone(), now);
         }
     }
 
@@ -365,24 +376,30 @@
         self.running.len() < self.settings.slots
     }
 
-    pub(super) fn runs_suspect(&self) -> bool {
+    pub(super) fn is_suspect_running(&self) -> bool {
         self.running.values().any(|run| run.arrival.suspect)
     }
 
-    fn check(&mut self) {
+    fn check_invariants(&mut self) {
         let suspects = self.running.values().filter(|run| run.arrival.suspect).count();
-        let (slots, waiting) = (self.settings.slots, self.settings.waiting);
-        self.promise(self.running.len() <= slots, "no more attempts run than there are slots");
-        self.promise(self.queue.len() <= waiting, "the queue is bounded");
-        self.promise(suspects <= 1, "one suspect runs at a time");
-        let (_, _, stored) = self.memory.size();
-        self.promise(stored <= self.settings.stored, "stored answers are bounded");
+        let (slots, queue_length) = (self.settings.slots, self.settings.queue_length);
+        self.check_invariant(
+            self.running.len() <= slots,
+            "no more attempts run than there are slots",
+        );
+        self.check_invariant(self.queue.len() <= queue_length, "the queue is bounded");
+        self.check_invariant(suspects <= 1, "one suspect runs at a time");
+        let (_, _, stored) = self.history.size();
+        self.check_invariant(
+            stored <= self.settings.max_stored_bytes,
+            "stored answers are bounded",
+        );
     }
 
-    fn promise(&mut self, kept: bool, promise: &'static str) {
-        if !kept {
-            self.promises += 1;
-            tracing::error!(event = "promise_broken", promise);
+    fn check_invariant(&mut self, holds: bool, invariant: &'static str) {
+        if !holds {
+            self.violations += 1;
+            tracing::error!(event = "promise_broken", promise = invariant);
         }
     }
 }
--- a/components/agent/src/gate/mod.rs
+++ b/components/agent/src/gate/mod.rs
@@ -1,12 +1,12 @@
-//! The gate: which attempts may start, and that none starts twice (docs/AGENT.md).
+//! Decides which attempts may start, and ensures that none starts twice (docs/AGENT.md).
 //!
-//! [`Gate`] is a pure decision: it is told of events with the time at which they happened and
-//! answers with a verdict; what follows for other attempts is collected and taken with
-//! [`Gate::take`]. Its promises are checked where they could be broken, in every build.
+//! [`Gate`] performs no input or output and reads no clock: every call passes the time of the
+//! event and returns a verdict. The effects on other attempts are collected as [`Action`]s, which
+//! [`Gate::take_actions`] returns. The gate checks its invariants in every build.
 
+mod admission;
 mod decide;
-mod judge;
-mod memory;
+mod history;
 mod queue;
 
 use chicoryford_types::Attempt;
@@ -21,51 +21,51 @@
 use chicoryford_types::request::StoredAnswer;
 use serde::Serialize;
 
-pub use decide::Figures;
 pub use decide::Gate;
-pub use memory::Fate;
+pub use decide::GateStats;
+pub use history::AttemptStatus;
 
-/// Names one attempt.
+/// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Id {
     /// The request.
     pub request: RequestId,
-    /// Which try of it.
+    /// The number of the attempt within the request.
     pub attempt: Attempt,
 }
 
-/// A call that may not be repeated.
+/// The properties of a call that must run at most once.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Once {
+pub struct AtMostOnce {
     /// The workspace.
     pub workspace: Workspace,
-    /// The caller's key; without one only the attempt itself is recognised.
+    /// The caller's key. Without one, only the same attempt is recognised as a duplicate.
     pub key: Option<IdempotencyKey>,
-    /// The incarnation of the agent that is to run it.
+    /// The incarnation of the agent to which the call was sent.
     pub incarnation: Incarnation,
 }
 
-/// What the gate needs to know of an attempt that arrives.
+/// The properties of an arriving attempt on which the gate decides.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Arrival {
     /// The attempt.
     pub id: Id,
-    /// How urgent it is.
+    /// Its priority class.
     pub class: Class,
-    /// Milliseconds until its answer is worthless.
-    pub budget: u64,
+    /// Milliseconds until its deadline.
+    pub budget_ms: u64,
     /// Hash of its content.
     pub fingerprint: Fingerprint,
-    /// Whether its content is suspected of crashing endpoints.
+    /// Whether its content is suspected of having crashed endpoints.
     pub suspect: bool,
-    /// Set for a call that may not be repeated.
-    pub once: Option<Once>,
+    /// Set for a call that must run at most once.
+    pub at_most_once: Option<AtMostOnce>,
 }
 
 impl Arrival {
-    /// Takes what the gate needs from an attempt.
-    pub fn of(work: &Work) -> Self {
-        let once = (!work.repeatable).then(|| Once {
+    /// Extracts the properties from the work that an entry sent.
+    pub fn from_work(work: &Work) -> Self {
+        let at_most_once = (!work.repeatable).then(|| AtMostOnce {
             workspace: work.workspace.clone(),
             key: work.key.clone(),
             incarnation: work.incarnation,
@@ -73,46 +73,46 @@
         Self {
             id: Id { request: work.request, attempt: work.attempt },
             class: work.class,
-            budget: work.budget_ms,
+            budget_ms: work.budget_ms,
             fingerprint: work.fingerprint,
             suspect: work.suspect,
-            once,
+            at_most_once,
         }
     }
 }
 
-/// What becomes of an attempt that arrived.
+/// The decision on an attempt that arrived.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It runs now.
+    /// The attempt starts now.
     Start,
-    /// It waits for a slot; [`Action`] tells when it starts or is dropped.
+    /// The attempt waits for a slot. A later [`Action`] starts or drops it.
     Wait,
-    /// A first run of the same call answered this.
+    /// The same call has run before and gave this answer.
     Stored(StoredAnswer),
-    /// It is refused.
+    /// The attempt is refused.
     Refuse(Failure),
 }
 
-/// What is to be done about an attempt that arrived earlier.
+/// An effect on an attempt that arrived earlier.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// It runs now.
+    /// A queued attempt starts.
     Start(Id),
-    /// It waited and is dropped; it did not run.
+    /// A queued attempt is dropped; it did not run.
     Drop(Id, Failure),
-    /// It runs and is to be stopped at the endpoint.
+    /// A running attempt must be stopped at the endpoint.
     Cancel(Id),
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
-    /// The endpoint got no byte of it, or refused it by its own word.
+pub enum AttemptEnd {
+    /// No byte of it reached the endpoint, or the endpoint refused it.
     NotRun,
     /// A service answered.
     Answered(StoredAnswer),
-    /// A generation came to its end.
+    /// A generation finished.
     Finished,
     /// It was stopped at the endpoint, or its deadline passed.
     Stopped,
@@ -120,18 +120,18 @@
     Broken,
 }
 
-/// Which protections are on. All are, but in the runs that show that each is needed.
+/// Which protections are enabled. Only tests disable one, to show that it is needed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Protections {
-    /// Attempts are remembered, so that none starts twice.
+    /// Records attempts, so that none starts twice.
     pub attempts: bool,
-    /// Keys are remembered, so that no call that may not be repeated starts twice.
+    /// Records keys, so that no call that must run at most once starts twice.
     pub keys: bool,
-    /// Attempts that were called "not run" are refused when they arrive late.
+    /// Refuses an attempt that arrives after it was reported as "not run".
     pub revoked: bool,
-    /// A call meant for an earlier incarnation is refused.
+    /// Refuses a call that was sent to an earlier incarnation.
     pub incarnation: bool,
-    /// No new work while draining.
+    /// Refuses new work while draining.
     pub draining: bool,
 }
 
@@ -141,32 +141,33 @@
     }
 }
 
-/// The bounds of a gate.
+/// The limits of a gate.
 #[derive(Clone, Debug)]
 pub struct GateSettings {
-    /// Attempts that run at once.
+    /// Attempts that may run concurrently.
     pub slots: usize,
-    /// Attempts that wait at once.
-    pub waiting: usize,
+    /// Attempts that may wait in the queue.
+    pub queue_length: usize,
     /// The incarnation of this agent.
     pub incarnation: Incarnation,
-    /// Milliseconds for which an ended attempt is remembered. A connection's last bytes can be
-    /// sent again by the kernel for a quarter of an hour, so it must be longer than that.
-    pub window_ms: u64,
-    /// Milliseconds from its issue in which a key may be used (docs/API.md).
-    pub key_ms: u64,
+    /// Milliseconds for which an ended attempt is remembered. The operating system may retransmit
+    /// the last bytes of a connection for a quarter of an hour, so this must be longer.
+    pub attempt_ttl_ms: u64,
+    /// Milliseconds after its issue during which a key may be used (docs/API.md).
+    pub key_validity_ms: u64,
     /// Milliseconds by which the wall clocks of caller and agent may differ.
-    pub skew_ms: u64,
-    /// Attempts and keys remembered at most; past it new work is refused, not old forgotten.
-    pub remembered: usize,
-    /// Bytes of stored answers at most.
-    pub stored: usize,
-    /// Bytes of one stored answer at most; a longer one is not stored, and a resend is told that
-    /// the first call may have run.
-    pub answer: usize,
-    /// Starts of more urgent work in a row, after which waiting batch work has its turn.
-    pub turn: u32,
-    /// Switches for tests.
+    pub max_skew_ms: u64,
+    /// Maximum number of remembered attempts, and of keys. At the limit new work is refused;
+    /// records are not evicted early.
+    pub max_records: usize,
+    /// Maximum total size of the stored answers, in bytes.
+    pub max_stored_bytes: usize,
+    /// Maximum size of one stored answer, in bytes. A longer answer is not stored, and a resend is
+    /// answered that the first call may have run.
+    pub max_answer_bytes: usize,
+    /// Consecutive starts of higher classes after which a waiting batch attempt starts first.
+    pub max_batch_passes: u32,
+    /// The enabled protections; tests disable some.
     pub protections: Protections,
 }
 
@@ -174,15 +175,15 @@
     fn default() -> Self {
         Self {
             slots: 16,
-            waiting: 16,
+            queue_length: 16,
             incarnation: Incarnation::default(),
-            window_ms: 20 * 60_000,
-            key_ms: 24 * 3_600_000,
-            skew_ms: 5 * 60_000,
-            remembered: 131_072,
-            stored: 32 << 20,
-            answer: 256 << 10,
-            turn: 4,
+            attempt_ttl_ms: 20 * 60_000,
+            key_validity_ms: 24 * 3_600_000,
+            max_skew_ms: 5 * 60_000,
+            max_records: 131_072,
+            max_stored_bytes: 32 << 20,
+            max_answer_bytes: 256 << 10,
+            max_batch_passes: 4,
             protections: Protections::default(),
         }
     }
--- a/components/agent/src/gate/queue.rs
+++ b/components/agent/src/gate/queue.rs
@@ -1,4 +1,5 @@
-//! Attempts that wait for a slot: urgent first, batch not starved, the doomed dropped first.
+//! The attempts that wait for a slot: higher classes start first, batch work is not starved, and
+//! attempts whose deadline has passed can be removed.
 
 use std::collections::VecDeque;
 
@@ -8,31 +9,32 @@
 use super::Arrival;
 use super::Id;
 
-/// An attempt that waits.
+/// An attempt in the queue.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct QueuedAttempt {
     /// The attempt.
     pub arrival: Arrival,
-    /// When its answer becomes worthless.
+    /// The time after which its answer is of no use.
     pub deadline: Millis,
 }
 
-/// The attempts that wait, by class and within a class by arrival.
+/// The queued attempts, by class and in order of arrival within a class.
 #[derive(Default)]
 pub struct Queue {
-    batch: VecDeque<Waiting>,
-    normal: VecDeque<Waiting>,
-    urgent: VecDeque<Waiting>,
-    passed: u32,
+    batch: VecDeque<QueuedAttempt>,
+    normal: VecDeque<QueuedAttempt>,
+    urgent: VecDeque<QueuedAttempt>,
+    /// Consecutive starts of other classes while batch work waited.
+    batch_passes: u32,
 }
 
 impl Queue {
-    /// Counts those that wait.
+    /// Returns the number of queued attempts.
     pub fn len(&self) -> usize {
         self.batch.len() + self.normal.len() + self.urgent.len()
     }
 
-    /// Counts those that would start before an attempt of `class` that came now.
+    /// Returns the number of attempts that would start before an attempt of `class` arriving now.
     pub fn ahead(&self, class: Class) -> usize {
         match class {
             Class::Urgent => self.urgent.len(),
@@ -41,53 +43,57 @@
         }
     }
 
-    /// Adds one.
-    pub fn push(&mut self, waiting: Waiting) {
-        self.lane(waiting.arrival.class).push_back(waiting);
+    /// Appends an attempt to the queue of its class.
+    pub fn push(&mut self, waiting: QueuedAttempt) {
+        self.class_queue(waiting.arrival.class).push_back(waiting);
     }
 
-    /// Takes the next to start. `suspects` tells whether a suspect may start; after `turn`
-    /// starts past waiting batch work, batch work has its turn.
-    pub fn pop(&mut self, turn: u32, suspects: bool) -> Option<Waiting> {
-        let order = if self.passed >= turn {
+    /// Removes and returns the next attempt to start. Suspects are skipped unless `allow_suspects`
+    /// is set. After `max_batch_passes` consecutive starts of other classes while batch work
+    /// waited, batch work starts first.
+    pub fn pop(&mut self, max_batch_passes: u32, allow_suspects: bool) -> Option<QueuedAttempt> {
+        let order = if self.batch_passes >= max_batch_passes {
             [Class::Batch, Class::Urgent, Class::Normal]
         } else {
             [Class::Urgent, Class::Normal, Class::Batch]
         };
-        let class = order.into_iter().find(|class| self.first(*class, suspects).is_some())?;
-        let at = self.first(class, suspects)?;
+        let class = order
+            .into_iter()
+            .find(|class| self.first_eligible(*class, allow_suspects).is_some())?;
+        let at = self.first_eligible(class, allow_suspects)?;
         let passes = class != Class::Batch && !self.batch.is_empty();
-        self.passed = if passes { self.passed + 1 } else { 0 };
-        self.lane(class).remove(at)
+        self.batch_passes = if passes { self.batch_passes + 1 } else { 0 };
+        self.class_queue(class).remove(at)
     }
 
-    /// Takes the youngest of the lowest class below `class`, to make room for one of `class`.
-    pub fn displace(&mut self, class: Class) -> Option<Waiting> {
+    /// Removes the newest attempt of the lowest class below `class`, to make room for one of
+    /// `class`.
+    pub fn displace(&mut self, class: Class) -> Option<QueuedAttempt> {
         [Class::Batch, Class::Normal]
             .into_iter()
             .filter(|lower| *lower < class)
-            .find_map(|lower| self.lane(lower).pop_back())
+            .find_map(|lower| self.class_queue(lower).pop_back())
     }
 
-    /// Takes those whose answer would be worthless at `now`.
-    pub fn doomed(&mut self, now: Millis) -> Vec<Waiting> {
+    /// Removes and returns the attempts whose deadline has passed at `now`.
+    pub fn take_expired(&mut self, now: Millis) -> Vec<QueuedAttempt> {
         self.extract(|waiting| waiting.deadline <= now)
     }
 
-    /// Takes one.
-    pub fn remove(&mut self, id: Id) -> Option<Waiting> {
+    /// Removes and returns one attempt.
+    pub fn remove(&mut self, id: Id) -> Option<QueuedAttempt> {
         self.extract(|waiting| waiting.arrival.id == id).pop()
     }
 
-    /// Takes all.
-    pub fn clear(&mut self) -> Vec<Waiting> {
+    /// Removes and returns all attempts.
+    pub fn clear(&mut self) -> Vec<QueuedAttempt> {
         self.extract(|_| true)
     }
 
-    fn extract(&mut self, wanted: impl Fn(&Waiting) -> bool) -> Vec<Waiting> {
+    fn extract(&mut self, wanted: impl Fn(&QueuedAttempt) -> bool) -> Vec<QueuedAttempt> {
         let mut taken = Vec::new();
-        for lane in [&mut self.urgent, &mut self.normal, &mut self.batch] {
-            lane.retain(|waiting| {
+        for queue in [&mut self.urgent, &mut self.normal, &mut self.batch] {
+            queue.retain(|waiting| {
                 let take = wanted(waiting);
                 if take {
                     taken.push(waiting.clone());
@@ -98,11 +104,13 @@
         taken
     }
 
-    fn first(&mut self, class: Class, suspects: bool) -> Option<usize> {
-        self.lane(class).iter().position(|waiting| suspects || !waiting.arrival.suspect)
+    fn first_eligible(&mut self, class: Class, allow_suspects: bool) -> Option<usize> {
+        self.class_queue(class)
+            .iter()
+            .position(|waiting| allow_suspects || !waiting.arrival.suspect)
     }
 
-    fn lane(&mut self, class: Class) -> &mut VecDeque<Waiting> {
+    fn class_queue(&mut self, class: Class) -> &mut VecDeque<QueuedAttempt> {
         match class {
             Class::Batch => &mut self.batch,
             Class::Normal => &mut self.normal,
--- a/components/agent/src/handle.rs
+++ b/components/agent/src/handle.rs
@@ -1,4 +1,4 @@
-//! What the duties and HTTP threads of the role share.
+//! The handle to the role's duties, and the messages that the duties receive.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -17,124 +17,128 @@
 use tokio::sync::watch;
 
 use crate::gate::Arrival;
-use crate::gate::End;
-use crate::gate::Figures;
+use crate::gate::AttemptEnd;
+use crate::gate::GateStats;
 use crate::gate::Id;
 use crate::gate::Verdict;
 
-/// The name under which [`Handle`] is offered.
+/// The name under which [`Handle`] is registered.
 pub const SERVICE: &str = "agent";
 
-/// What an attempt's task is told after it was let wait.
+/// The gate's signal to the task of an attempt.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Signal {
-    /// It waits for a slot.
+    /// The attempt waits for a slot.
     #[default]
     Wait,
-    /// It runs.
+    /// The attempt runs.
     Start,
-    /// It is dropped and did not run.
+    /// The attempt is dropped; it did not run.
     Drop(Failure),
-    /// It is to be stopped at the endpoint.
+    /// The attempt must be stopped at the endpoint.
     Cancel,
 }
 
-/// A message to the gate's duty.
-pub enum ToGate {
+/// A message to the gate duty.
+pub enum GateMessage {
     /// An attempt arrives.
     Arrive {
         /// The attempt.
         arrival: Box<Arrival>,
-        /// Where its task hears what becomes of it.
+        /// Signals the task of the attempt.
         signal: watch::Sender<Signal>,
-        /// Takes the verdict.
+        /// Receives the verdict.
         reply: oneshot::Sender<Verdict>,
     },
     /// An attempt ended.
-    Ended(Id, End),
-    /// The entry's connection of an attempt is gone.
-    Gone(Id),
-    /// Somebody asks what became of an attempt.
-    Question {
+    Ended(Id, AttemptEnd),
+    /// The entry has closed the connection of an attempt.
+    Disconnected(Id),
+    /// A query for the state of an attempt.
+    Query {
         /// The attempt.
         id: Id,
         /// The incarnation of the agent to which it was sent.
         incarnation: Incarnation,
-        /// Whether it is to be stopped.
+        /// Whether the attempt is also cancelled.
         cancel: bool,
-        /// Takes the answer.
+        /// Receives the state.
         reply: oneshot::Sender<AttemptState>,
     },
     /// Draining starts or ends.
     Drain(bool),
-    /// The endpoint works or does not.
+    /// The endpoint became healthy or unhealthy.
     Health(bool),
-    /// The endpoint crashed; takes the contents to blame.
-    Crashed(oneshot::Sender<Vec<Fingerprint>>),
-    /// The endpoint had not crashed at that time.
+    /// The endpoint crashed; the reply lists the fingerprints of the content suspected of it.
+    TakeCrashSuspects(oneshot::Sender<Vec<Fingerprint>>),
+    /// The endpoint had not crashed at the given time.
     NotCrashed(Millis),
 }
 
-/// A message to the orders' duty.
-pub struct ToOrders {
+/// A message to the order duty.
+pub struct OrderRequest {
     /// The order.
     pub order: Order,
-    /// Takes the answer.
+    /// Receives the reply.
     pub reply: oneshot::Sender<OrderReply>,
 }
 
-/// The reasons for which an endpoint takes no new work; one is enough.
+/// The reasons for draining an endpoint; it drains while at least one is set.
 #[derive(Default)]
-pub struct Drains {
-    /// An order told it to drain.
+pub struct DrainReasons {
+    /// An order to drain is in effect.
     pub order: AtomicBool,
-    /// A planned stop names it, its node or its data centre.
+    /// A planned stop names the endpoint, its node or its data centre.
     pub stop: AtomicBool,
-    /// This process is asked to end.
+    /// This process is shutting down.
     pub phase: AtomicBool,
 }
 
-impl Drains {
-    /// Tells whether any of the reasons holds.
+impl DrainReasons {
+    /// Returns whether any reason is set.
     pub fn any(&self) -> bool {
         let reasons = [&self.order, &self.stop, &self.phase];
         reasons.iter().any(|reason| reason.load(Ordering::Relaxed))
     }
 }
 
-/// The way to the role's duties, offered to the rest of the process.
+/// Gives the other parts of the process access to the role's duties.
 #[derive(Clone)]
 pub struct Handle {
-    /// To the gate's duty.
-    pub gate: Sender<ToGate>,
-    /// To the orders' duty.
-    pub orders: Sender<ToOrders>,
-    /// Asks the watch duty to look at the endpoint now.
-    pub look: Sender<()>,
-    /// The newest load report and when it was taken.
+    /// Sends messages to the gate duty.
+    pub gate: Sender<GateMessage>,
+    /// Sends orders to the order duty.
+    pub orders: Sender<OrderRequest>,
+    /// Requests an immediate health check from the monitor duty.
+    pub check_now: Sender<()>,
+    /// The latest load report and the time at which it was made.
     pub report: watch::Receiver<(Millis, LoadReport)>,
-    /// The gate's figures.
-    pub figures: watch::Receiver<Figures>,
-    /// Whether the endpoint works, as of the last look.
+    /// The gate's statistics.
+    pub gate_stats: watch::Receiver<GateStats>,
+    /// Whether the endpoint was healthy at the last check.
     pub healthy: watch::Receiver<bool>,
-    /// Whether an order changes the endpoint's weights just now; a stream may pause meanwhile.
-    pub swapping: Arc<AtomicBool>,
-    /// Why the endpoint takes no new work, if it does not.
-    pub drains: Arc<Drains>,
+    /// Whether an order is loading weights into the endpoint; streams may pause meanwhile.
+    pub loading_weights: Arc<AtomicBool>,
+    /// The reasons for draining the endpoint.
+    pub drain_reasons: Arc<DrainReasons>,
     /// This process's incarnation.
     pub incarnation: Incarnation,
 }
 
 impl Handle {
-    /// Waits until no attempt waits or runs, so that a graceful shutdown cuts nothing.
-    pub async fn idle(&self) {
-        let mut figures = self.figures.clone();
-        // If the gate's duty is gone, nothing runs any more.
-        let _ = figures.wait_for(|f| f.running == 0 && f.waiting == 0).await;
+    /// Waits until no attempt waits or runs, so that a graceful shutdown interrupts none.
+    pub async fn wait_idle(&self) {
+        let mut stats = self.gate_stats.clone();
+        // If the gate duty has ended, no attempt runs.
+        let _ = stats.wait_for(|s| s.running == 0 && s.waiting == 0).await;
     }
 
-    /// Asks the gate's duty and waits for its answer; none if the duty is gone or overloaded.
-    pub async fn ask<A>(&self, message: impl FnOnce(oneshot::Sender<A>) -> ToGate) -> Option<A> {
+    /// Sends a message to the gate duty and waits for the reply. Returns `None` if the duty has
+    /// ended or its queue is full.
+    pub async fn query_gate<A>(
+        &self,
+        message: impl FnOnce(oneshot::Sender<A>) -> GateMessage,
+    ) -> Option<A> {
         let (reply, answer) = oneshot::channel();
         self.gate.offer(message(reply)).ok()?;
         answer.await.ok()
--- a/components/agent/src/lib.rs
+++ b/components/agent/src/lib.rs
@@ -1,21 +1,21 @@
-//! The agent role: the one small process beside an endpoint.
+//! The agent role: a small process that runs next to each endpoint.
 //!
-//! It announces the endpoint, reports its load, gates its work and carries out orders to it
-//! under fencing. docs/AGENT.md says how it is built and how to run it.
+//! The agent announces the endpoint, reports its load, admits its work and executes orders for it
+//! under fencing. docs/AGENT.md describes its design and operation.
 
 pub mod engine;
 pub mod fence;
 pub mod gate;
-mod gatekeeper;
+mod gate_duty;
 pub mod handle;
+pub mod health;
+mod monitor;
 pub mod orders;
-pub mod pace;
-pub mod pulse;
+pub mod report_pacer;
 pub mod routes;
 mod run;
 mod service;
 pub mod start;
-mod watch;
 
 pub use handle::Handle;
 pub use handle::SERVICE;
--- a/components/agent/src/watch.rs
+++ b/components/agent/src/monitor.rs
@@ -1,5 +1,5 @@
-//! The watch duty: looks at the endpoint, announces it, reports its load, notices its crashes,
-//! and notices that it is to leave.
+//! The monitor duty: checks the endpoint's health, announces the endpoint, reports its load,
+//! reports its crashes, and starts and ends draining.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -29,59 +29,60 @@
 use crate::engine::Health;
 use crate::engine::Load;
 use crate::fence::Fence;
+use crate::handle::GateMessage;
 use crate::handle::Handle;
-use crate::handle::ToGate;
-use crate::pulse::Look;
-use crate::pulse::Pulse;
+use crate::health::CheckResult;
+use crate::health::HealthTracker;
 use crate::service;
 
-/// Time until the next look after one that failed, to tell a blip from a crash soon.
-const DOUBT: Duration = Duration::from_millis(100);
-/// Time in which a crash must be told to the control processes.
-const TELL: Duration = Duration::from_secs(10);
-/// Tries to tell a crash. Without a majority for longer, the blame is lost, and the next crash
-/// of the same content has to tell again.
-const TELL_TRIES: u32 = 30;
-
-/// What the duty holds.
-pub struct Watch {
-    /// The process.
+/// The pause after a failed health check. It is short, so that a crash is quickly distinguished
+/// from a transient failure.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The timeout of one attempt to report a crash to the control processes.
+const CRASH_REPORT_TIMEOUT: Duration = Duration::from_secs(10);
+/// The maximum number of attempts to report a crash. If there is no majority for longer, the report
+/// is lost, and the content is reported only if it is in progress at another crash.
+const MAX_CRASH_REPORTS: u32 = 30;
+
+/// The monitor duty.
+pub struct Monitor {
+    /// The kernel of the process.
     pub kernel: Kernel,
     /// The settings of the process.
     pub settings: Arc<Settings>,
-    /// The way to the other duties.
+    /// The handle to the other duties.
     pub handle: Handle,
-    /// Where the endpoint is announced.
+    /// Membership, through which the endpoint is announced.
     pub members: Arc<Members>,
-    /// Accepted configuration, which holds planned stops.
+    /// The accepted configuration, which contains planned stops.
     pub config: Arc<Configuration>,
-    /// Makes the client that tells crashes.
+    /// Creates the client that reports crashes.
     pub proposer: Arc<chicoryford_config::Proposer>,
-    /// What the looks showed, shared with the dump.
-    pub pulse: Arc<Mutex<Pulse>>,
-    /// The fence, which learns the epoch of accepted configuration.
+    /// The results of the health checks, shared with the dump.
+    pub health: Arc<Mutex<HealthTracker>>,
+    /// The fence, which is updated with the epoch of the accepted configuration.
     pub fence: Arc<Mutex<Fence>>,
-    /// Where load reports go.
+    /// Publishes load reports.
     pub report: watch::Sender<(Millis, LoadReport)>,
-    /// Where health goes.
+    /// Publishes whether the endpoint is healthy.
     pub healthy: watch::Sender<bool>,
 }
 
-impl Watch {
-    /// Looks at the endpoint until the process stops.
-    pub async fn run(self, mut wanted: Receiver<()>) {
+impl Monitor {
+    /// Checks the endpoint until the process stops. `requests` asks for an immediate check.
+    pub async fn run(self, mut requests: Receiver<()>) {
         let client = Client::new(None, None).fresh();
         let mut config = self.config.watch();
         let period =
             Duration::from_millis(self.settings.agent.clone().unwrap_or_default().report_ms);
         while self.kernel.phases.now() < Phase::Stopping {
-            self.leave_if_told(&config.borrow_and_update().clone()).await;
-            self.look(&client).await;
-            let pause = if self.pulse().doubts() { DOUBT } else { period };
+            self.update_draining(&config.borrow_and_update().clone()).await;
+            self.check(&client).await;
+            let pause = if self.health().needs_recheck() { RECHECK_INTERVAL } else { period };
             let stopping = self.kernel.phases.now() >= Phase::Draining;
             tokio::select! {
                 () = actix_rt::time::sleep(pause) => {}
-                Some(()) = wanted.next() => {}
+                Some(()) = requests.next() => {}
                 Ok(()) = config.changed() => {}
                 () = self.kernel.phases.reached(Phase::Draining), if !stopping => {}
                 () = self.kernel.phases.reached(Phase::Stopping) => {}
@@ -89,51 +90,52 @@
         }
     }
 
-    fn pulse(&self) -> std::sync::MutexGuard<'_, Pulse> {
-        self.pulse.lock().expect("nothing panics while it holds this lock")
+    fn health(&self) -> std::sync::MutexGuard<'_, HealthTracker> {
+        self.health.lock().expect("nothing panics while it holds this lock")
     }
 
-    async fn look(&self, client: &Client) {
-        let begun = self.kernel.now();
+    /// Checks the endpoint once and publishes the results.
+    async fn check(&self, client: &Client) {
+        let started = self.kernel.now();
         let agent = self.settings.agent.clone().unwrap_or_default();
-        let (look, health) = match agent.kind {
-            EndpointKind::Engine => look_at_engine(client, &agent.address).await,
-            EndpointKind::Service => look_at_service(client, &agent.address).await,
+        let (result, health) = match agent.kind {
+            EndpointKind::Engine => check_engine(client, &agent.address).await,
+            EndpointKind::Service => check_service(client, &agent.address).await,
         };
-        let found = self.pulse().take(look);
-        if found.alive {
-            self.tell(ToGate::NotCrashed(begun)).await;
+        let update = self.health().record(result);
+        if update.alive {
+            self.notify_gate(GateMessage::NotCrashed(started)).await;
         }
-        if found.crashed {
-            self.crashed().await;
+        if update.crashed {
+            self.report_crash().await;
         }
-        if self.healthy.send_replace(found.healthy) != found.healthy {
-            tracing::info!(event = "endpoint_health", endpoint = %agent.endpoint, healthy = found.healthy);
-            self.tell(ToGate::Health(found.healthy)).await;
+        if self.healthy.send_replace(update.healthy) != update.healthy {
+            tracing::info!(event = "endpoint_health", endpoint = %agent.endpoint, healthy = update.healthy);
+            self.notify_gate(GateMessage::Health(update.healthy)).await;
         }
         let load = match agent.kind {
             EndpointKind::Engine => engine::load(client, &agent.address).await.ok(),
             EndpointKind::Service => None,
         };
-        self.announce(health.as_ref(), found.healthy);
+        self.announce(health.as_ref(), update.healthy);
         self.report(load, health);
     }
 
-    async fn tell(&self, message: ToGate) {
+    async fn notify_gate(&self, message: GateMessage) {
         if self.handle.gate.send(message).await.is_err() {
             tracing::warn!(event = "gate_gone");
         }
     }
 
-    /// Announces the endpoint; what did not change does not spread. The versions are those that
-    /// the engine itself reports, never those that were ordered.
+    /// Announces the endpoint; an unchanged announcement is not gossiped. The announced versions
+    /// are those that the engine reports, never those that were ordered.
     fn announce(&self, health: Option<&Health>, healthy: bool) {
         let agent = self.settings.agent.clone().unwrap_or_default();
-        let draining = self.handle.drains.any();
+        let draining = self.handle.drain_reasons.any();
         self.members.announce(|own| {
             let EndpointInfo { models: before, gives, .. } =
                 own.endpoint.take().unwrap_or_default();
-            let gives = health.map_or(gives, |health| health.gives.clone());
+            let gives = health.map_or(gives, |health| health.weights_address.clone());
             let models = match (agent.kind, health) {
                 (EndpointKind::Engine, Some(health)) => {
                     let mut models = health.models.clone();
@@ -158,10 +160,11 @@
         });
     }
 
+    /// Publishes a load report. Without figures from the engine, the gate's are used.
     fn report(&self, load: Option<Load>, health: Option<Health>) {
-        let figures = *self.handle.figures.borrow();
+        let stats = *self.handle.gate_stats.borrow();
         let load = load.unwrap_or_else(|| Load {
-            running: figures.running as u32,
+            running: stats.running as u32,
             versions: health.map(|health| health.models).unwrap_or_default(),
             ..Load::default()
         });
@@ -174,7 +177,7 @@
                 seq: report.seq + 1,
                 age_ms: load.age_ms,
                 running: load.running,
-                waiting: load.waiting + figures.waiting as u32,
+                waiting: load.waiting + stats.waiting as u32,
                 rate: load.rate,
                 memory: load.memory,
                 prefill: load.prefill,
@@ -186,9 +189,11 @@
         });
     }
 
-    async fn crashed(&self) {
-        let blamed = self.handle.ask(ToGate::Crashed).await.unwrap_or_default();
-        let crash = self.pulse().crashes();
+    /// Logs a crash and reports the content suspected of it to the control processes.
+    async fn report_crash(&self) {
+        let blamed =
+            self.handle.query_gate(GateMessage::TakeCrashSuspects).await.unwrap_or_default();
+        let crash = self.health().crashes();
         let endpoint = self.settings.agent.clone().unwrap_or_default().endpoint;
         tracing::warn!(event = "endpoint_crashed", %endpoint, crash, blamed = blamed.len());
         self.kernel.metrics.count("agent.crashes", 1);
@@ -197,22 +202,23 @@
         }
         let incarnation = self.handle.incarnation;
         let command = Command::Crashed { endpoint, crash, incarnation, blamed };
-        actix_rt::spawn(propose(self.proposer.client(), command));
+        actix_rt::spawn(propose_crash(self.proposer.client(), command));
     }
 
-    /// Drains while a planned stop names this endpoint, and when the process is asked to end.
-    async fn leave_if_told(&self, config: &Config) {
-        let drains = &self.handle.drains;
-        let before = drains.any();
-        drains.stop.store(self.is_stopped(config), Ordering::Relaxed);
-        let ends = self.kernel.phases.now() >= Phase::Draining;
-        drains.phase.store(ends, Ordering::Relaxed);
-        if drains.any() != before {
-            tracing::info!(event = "drain", draining = drains.any());
-            self.tell(ToGate::Drain(drains.any())).await;
+    /// Drains while a planned stop names this endpoint and while the process shuts down, and
+    /// updates the fence with the configuration's epoch.
+    async fn update_draining(&self, config: &Config) {
+        let drain_reasons = &self.handle.drain_reasons;
+        let before = drain_reasons.any();
+        drain_reasons.stop.store(self.is_stopped(config), Ordering::Relaxed);
+        let is_ending = self.kernel.phases.now() >= Phase::Draining;
+        drain_reasons.phase.store(is_ending, Ordering::Relaxed);
+        if drain_reasons.any() != before {
+            tracing::info!(event = "drain", draining = drain_reasons.any());
+            self.notify_gate(GateMessage::Drain(drain_reasons.any())).await;
         }
         let mut fence = self.fence.lock().expect("nothing panics while it holds this lock");
-        fence.hear(config.at.epoch);
+        fence.observe_epoch(config.at.epoch);
     }
 
     fn is_stopped(&self, config: &Config) -> bool {
@@ -225,29 +231,31 @@
     }
 }
 
-async fn look_at_engine(client: &Client, address: &str) -> (Look, Option<Health>) {
+async fn check_engine(client: &Client, address: &str) -> (CheckResult, Option<Health>) {
     match engine::health(client, address).await {
         Ok(health) => {
-            let look =
-                Look::Answered { instance: health.instance.clone(), healthy: health.healthy };
-            (look, Some(health))
+            let result = CheckResult::Answered {
+                instance: health.instance.clone(),
+                healthy: health.healthy,
+            };
+            (result, Some(health))
         }
-        Err(EngineError::NotReached(_)) => (Look::Refused, None),
-        Err(_) => (Look::Silent, None),
+        Err(EngineError::NotReached(_)) => (CheckResult::Refused, None),
+        Err(_) => (CheckResult::NoResponse, None),
     }
 }
 
-async fn look_at_service(client: &Client, address: &str) -> (Look, Option<Health>) {
+async fn check_service(client: &Client, address: &str) -> (CheckResult, Option<Health>) {
     if service::answers(client, address).await {
-        (Look::Answered { instance: String::new(), healthy: true }, None)
+        (CheckResult::Answered { instance: String::new(), healthy: true }, None)
     } else {
-        (Look::Silent, None)
+        (CheckResult::NoResponse, None)
     }
 }
 
-async fn propose(proposer: ProposerClient, command: Command) {
-    for _ in 0..TELL_TRIES {
-        match proposer.propose_until_timeout(&command, TELL).await {
+async fn propose_crash(proposer: ProposerClient, command: Command) {
+    for _ in 0..MAX_CRASH_REPORTS {
+        match proposer.propose_until_timeout(&command, CRASH_REPORT_TIMEOUT).await {
             Ok(reply) => return tracing::info!(event = "crash_told", ?reply),
             Err(error) => tracing::warn!(event = "crash_untold", %error),
         }
--- a/components/agent/src/routes.rs
+++ b/components/agent/src/routes.rs
@@ -1,4 +1,4 @@
-//! The paths of the role, for entries and for the leader.
+//! The HTTP routes of the role, for entries and for the leader.
 
 use std::time::Duration;
 
@@ -36,50 +36,51 @@
 use crate::gate::Arrival;
 use crate::gate::Id;
 use crate::gate::Verdict;
+use crate::handle::GateMessage;
+use crate::handle::OrderRequest;
 use crate::handle::Signal;
-use crate::handle::ToGate;
-use crate::handle::ToOrders;
-use crate::pace::Pace;
+use crate::report_pacer::ReportPacer;
 use crate::run;
 use crate::run::Context;
 use crate::start::Chunk;
 use crate::start::context;
 
-/// Frames of one attempt that may wait for a slow entry; past it the endpoint is read no faster.
-const FRAMES: usize = 64;
+/// Frames of one attempt that may wait for a slow entry; while this many wait, reading from the
+/// endpoint pauses.
+const FRAME_QUEUE_LENGTH: usize = 64;
 /// The media type of streamed frames.
-const FRAMED: &str = "application/x-chicoryford-frames";
-/// When to come back to an agent whose duty does not keep up, in milliseconds.
-const COME_BACK: u64 = 500;
+const FRAMES_MEDIA_TYPE: &str = "application/x-chicoryford-frames";
+/// The retry delay given when a duty of the agent is overloaded, in milliseconds.
+const OVERLOAD_RETRY_MS: u64 = 500;
 
-/// The answer to a probe.
+/// The response to a probe.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Probe {
-    /// Whether the endpoint answered its agent's last look.
+    /// Whether the endpoint was healthy at the agent's last check.
     pub healthy: bool,
-    /// Whether the endpoint is leaving.
+    /// Whether the endpoint is draining.
     pub draining: bool,
 }
 
-/// Adds the role's paths; each HTTP thread calls it.
+/// Adds the role's routes. Called on each HTTP thread.
 ///
 /// # Errors
 ///
-/// [`MissingService`] if [`crate::start`] has not run.
+/// [`MissingService`] if [`crate::start()`] has not run.
 pub fn routes(
     routes: &mut Routes,
     kernel: &Kernel,
     settings: &Settings,
 ) -> Result<(), MissingService> {
     let shared = context(kernel, settings)?;
-    let here = shared.clone();
-    routes.add(paths::WORK, &[Kind::Process], move |call| work(here.clone(), call));
-    let here = shared.clone();
-    routes.add(paths::ATTEMPT, &[Kind::Process], move |call| attempt(here.clone(), call));
-    let here = shared.clone();
-    routes.add(paths::ORDER, &[Kind::Process], move |call| order(here.clone(), call));
-    let here = shared.clone();
-    routes.add(paths::REPORTS, &[Kind::Process], move |_| reports(here.clone()));
+    let context = shared.clone();
+    routes.add(paths::WORK, &[Kind::Process], move |call| work(context.clone(), call));
+    let context = shared.clone();
+    routes.add(paths::ATTEMPT, &[Kind::Process], move |call| attempt(context.clone(), call));
+    let context = shared.clone();
+    routes.add(paths::ORDER, &[Kind::Process], move |call| order(context.clone(), call));
+    let context = shared.clone();
+    routes.add(paths::REPORTS, &[Kind::Process], move |_| reports(context.clone()));
     routes.add(paths::PROBE, &[Kind::Process], move |_| probe(shared.clone()));
     Ok(())
 }
@@ -89,41 +90,41 @@
         Ok(work) => work,
         Err(failure) => return reply::peer_failure(&failure),
     };
-    let (frames, body) = mpsc::channel(FRAMES);
-    let (said, verdict) = oneshot::channel();
+    let (frames, body) = mpsc::channel(FRAME_QUEUE_LENGTH);
+    let (verdict_sender, verdict) = oneshot::channel();
     let id = Id { request: work.request, attempt: work.attempt };
-    actix_rt::spawn(attend(context.clone(), work, frames, said));
+    actix_rt::spawn(run_attempt(context.clone(), work, frames, verdict_sender));
     match verdict.await {
         Ok(Verdict::Start | Verdict::Wait) => {
-            reply::stream(FRAMED, stream::unfold(body, next_chunk))
+            reply::stream(FRAMES_MEDIA_TYPE, stream::unfold(body, next_chunk))
         }
-        Ok(Verdict::Stored(answer)) => stored(&context, id, answer),
+        Ok(Verdict::Stored(answer)) => stored_reply(&context, id, answer),
         Ok(Verdict::Refuse(failure)) => reply::peer_failure(&failure),
-        Err(_) => reply::peer_failure(&busy()),
+        Err(_) => reply::peer_failure(&overloaded()),
     }
 }
 
-/// Takes an attempt through the gate and runs it.
+/// Submits an attempt to the gate and runs it.
 ///
-/// This is a task of its own, because the handler is dropped when the entry's connection breaks:
-/// dropped between the gate's verdict and the start, it would leave a slot taken for ever. A
+/// This is a separate task, because the handler is dropped when the entry's connection breaks. If
+/// that happened between the gate's verdict and the start, the slot would never be released. A
 /// graceful shutdown waits for the task.
-async fn attend(
+async fn run_attempt(
     context: Context,
     work: Work,
     frames: mpsc::Sender<Bytes>,
-    said: oneshot::Sender<Verdict>,
+    verdict_sender: oneshot::Sender<Verdict>,
 ) {
     let guard = context.progress.as_ref().map(|progress| progress.begin());
-    let (signal, heard) = watch::channel(Signal::Wait);
-    let arrival = Box::new(Arrival::of(&work));
-    let arrive = |reply| ToGate::Arrive { arrival, signal, reply };
-    let Some(verdict) = context.handle.ask(arrive).await else { return };
+    let (signal, signals) = watch::channel(Signal::Wait);
+    let arrival = Box::new(Arrival::from_work(&work));
+    let arrive = |reply| GateMessage::Arrive { arrival, signal, reply };
+    let Some(verdict) = context.handle.query_gate(arrive).await else { return };
     let runs = matches!(verdict, Verdict::Start | Verdict::Wait);
-    // If the handler is gone, the task notices by the frames that nobody reads.
-    let _ = said.send(verdict);
+    // If the handler was dropped, the task detects that its frames are not read.
+    let _ = verdict_sender.send(verdict);
     if runs {
-        run::run(context, work, heard, frames).await;
+        run::run(context, work, signals, frames).await;
     }
     drop(guard);
 }
@@ -133,8 +134,8 @@
     Some((Ok(bytes), body))
 }
 
-/// Answers a resend with what the first run answered.
-fn stored(context: &Context, id: Id, answer: StoredAnswer) -> Reply {
+/// Answers a resend with the stored answer of the first run.
+fn stored_reply(context: &Context, id: Id, answer: StoredAnswer) -> Reply {
     let finish = Finish { tokens: 0, reason: "stop".to_owned(), load: Some(context.load()) };
     let events = [Event::Accepted, Event::Answer(answer), Event::Finished(finish)];
     let frames = events.into_iter().enumerate().map(|(seq, event)| {
@@ -142,20 +143,20 @@
         framing::encode(&Frame { request, attempt, seq: seq as u32, event })
     });
     let frames: Vec<Chunk> = frames.map(Ok).collect();
-    reply::stream(FRAMED, stream::iter(frames))
+    reply::stream(FRAMES_MEDIA_TYPE, stream::iter(frames))
 }
 
 async fn attempt(context: Context, call: Call) -> Reply {
-    let asked: AttemptQuestion = match call.msgpack() {
-        Ok(asked) => asked,
+    let question: AttemptQuestion = match call.msgpack() {
+        Ok(question) => question,
         Err(failure) => return reply::peer_failure(&failure),
     };
-    let AttemptQuestion { request, attempt, incarnation, cancel } = asked;
+    let AttemptQuestion { request, attempt, incarnation, cancel } = question;
     let id = Id { request, attempt };
-    let question = |reply| ToGate::Question { id, incarnation, cancel, reply };
-    match context.handle.ask(question).await {
+    let query = |reply| GateMessage::Query { id, incarnation, cancel, reply };
+    match context.handle.query_gate(query).await {
         Some(state) => reply::msgpack(&state),
-        None => reply::peer_failure(&busy()),
+        None => reply::peer_failure(&overloaded()),
     }
 }
 
@@ -165,59 +166,61 @@
         Err(failure) => return reply::peer_failure(&failure),
     };
     let (reply, answer) = oneshot::channel();
-    if context.handle.orders.offer(ToOrders { order, reply }).is_err() {
+    if context.handle.orders.offer(OrderRequest { order, reply }).is_err() {
         return reply::msgpack(&OrderReply::Busy);
     }
     match answer.await {
         Ok(answer) => reply::msgpack(&answer),
-        Err(_) => reply::peer_failure(&busy()),
+        Err(_) => reply::peer_failure(&overloaded()),
     }
 }
 
 async fn probe(context: Context) -> Reply {
     let healthy = *context.handle.healthy.borrow();
-    reply::msgpack(&Probe { healthy, draining: context.handle.drains.any() })
+    reply::msgpack(&Probe { healthy, draining: context.handle.drain_reasons.any() })
 }
 
 async fn reports(context: Context) -> Reply {
-    let seen = context.handle.report.clone();
-    let state = Reports { context, seen, pace: Pace::default() };
-    reply::stream(FRAMED, stream::unfold(state, Reports::next))
+    let reports = context.handle.report.clone();
+    let state = ReportStream { context, reports, pacer: ReportPacer::default() };
+    reply::stream(FRAMES_MEDIA_TYPE, stream::unfold(state, ReportStream::next))
 }
 
-struct Reports {
+/// A stream of load reports to one reader.
+struct ReportStream {
     context: Context,
-    seen: watch::Receiver<(Millis, LoadReport)>,
-    pace: Pace,
+    reports: watch::Receiver<(Millis, LoadReport)>,
+    pacer: ReportPacer,
 }
 
-impl Reports {
-    /// Waits until a report is due to this reader.
+impl ReportStream {
+    /// Waits until a report is due for this reader and returns it.
     async fn next(mut self) -> Option<(Chunk, Self)> {
         loop {
-            let left = self.pace.due().since(self.context.kernel.now());
-            match timeout(Duration::from_millis(left), self.seen.changed()).await {
+            let wait_ms = self.pacer.next_due().since(self.context.kernel.now());
+            match timeout(Duration::from_millis(wait_ms), self.reports.changed()).await {
                 Ok(Err(_)) => return None,
                 Ok(Ok(())) => {
-                    let (at, report) = self.seen.borrow_and_update().clone();
-                    self.pace.gather(self.context.kernel.now().max(at), &report);
+                    let (at, report) = self.reports.borrow_and_update().clone();
+                    self.pacer.record(self.context.kernel.now().max(at), &report);
                 }
-                Err(_) => return Some(self.give()),
+                Err(_) => return Some(self.send_report()),
             }
         }
     }
 
-    fn give(mut self) -> (Chunk, Self) {
+    fn send_report(mut self) -> (Chunk, Self) {
         let now = self.context.kernel.now();
-        let (at, report) = self.seen.borrow().clone();
-        let report = self.pace.give(now, &report);
+        let (at, report) = self.reports.borrow().clone();
+        let report = self.pacer.take_report(now, &report);
         let age_ms = report.age_ms + now.since(at);
         (Ok(framing::encode_compact(&LoadReport { age_ms, ..report })), self)
     }
 }
 
-/// The message did not reach the gate's duty, or the duty ended before it took the message.
-fn busy() -> Failure {
-    let detail = "the agent's gate does not keep up";
-    Failure::not_run(Code::Overloaded, detail).retry_after(COME_BACK)
+/// The failure for a message that the duty's queue did not accept, or that the duty did not handle
+/// before it ended.
+fn overloaded() -> Failure {
+    let detail = "the agent is overloaded";
+    Failure::not_run(Code::Overloaded, detail).retry_after(OVERLOAD_RETRY_MS)
 }
--- a/components/agent/src/run/generate.rs
+++ b/components/agent/src/run/generate.rs
@@ -1,4 +1,4 @@
-//! A generation at the engine.
+//! Runs a generation at the engine.
 
 use std::time::Duration;
 
@@ -10,39 +10,39 @@
 use chicoryford_types::frame::Finish;
 use chicoryford_types::request::Task;
 
-use super::Attempt;
+use super::LiveAttempt;
 use super::Signal;
-use super::out::Rest;
+use super::frame_sender::IdleEvent;
 use crate::engine;
-use crate::engine::Chunks;
+use crate::engine::CompletionStream;
 use crate::engine::EngineError;
 use crate::engine::Part;
-use crate::gate::End;
+use crate::gate::AttemptEnd;
 
-/// Time without a token after which the connection to the engine counts as silent. Something
-/// between the two ends may have lost track of it; no token would ever come, while new
-/// connections work.
-const SILENCE: Duration = Duration::from_secs(5);
-/// Tries to stop a completion at the engine.
-const CANCEL_TRIES: u32 = 3;
+/// The time without a token after which the connection to the engine counts as lost. A device
+/// between the two ends may have dropped the connection's state; then no token would ever arrive,
+/// although new connections work.
+const TOKEN_TIMEOUT: Duration = Duration::from_secs(5);
+/// The maximum number of attempts to stop a completion at the engine.
+const MAX_CANCEL_ATTEMPTS: u32 = 3;
 
-/// What the task hears next.
-enum Heard {
+/// The next event in a running generation.
+enum NextEvent {
     Part(Result<Option<Part>, EngineError>),
-    Cancel,
-    Late,
+    Cancelled,
+    DeadlinePassed,
     Silent,
 }
 
-/// Runs it to its end.
-pub async fn run(mut attempt: Attempt) {
+/// Runs the generation to its end.
+pub async fn run(mut attempt: LiveAttempt) {
     let opened = {
-        let Attempt { context, work, .. } = &attempt;
+        let LiveAttempt { context, work, .. } = &attempt;
         let address = context.settings.address.as_str();
         match &work.task {
             Task::Generate(task) => {
                 let open = engine::generate(&context.client, address, work, task);
-                actix_rt::time::timeout(SILENCE, open).await
+                actix_rt::time::timeout(TOKEN_TIMEOUT, open).await
             }
             Task::Call(_) => Ok(Err(EngineError::NotReached("the attempt is a call".to_owned()))),
         }
@@ -50,81 +50,87 @@
     match opened {
         Ok(Ok(chunks)) => stream(attempt, chunks).await,
         Ok(Err(error)) => attempt.fail(error).await,
-        Err(_) => {
-            give_up(attempt, Code::EndpointFailed, "the engine did not begin to answer").await
-        }
+        Err(_) => abort(attempt, Code::EndpointFailed, "the engine did not start to answer").await,
     }
 }
 
-async fn stream(mut attempt: Attempt, mut chunks: Chunks) {
+/// Forwards the tokens of a completion until it ends or fails.
+async fn stream(mut attempt: LiveAttempt, mut chunks: CompletionStream) {
     let mut count = 0;
-    let mut progress = Instant::now();
+    let mut last_progress = Instant::now();
     loop {
-        match hear(&mut attempt, &mut chunks, progress).await {
-            Heard::Part(Ok(Some(Part::Tokens(tokens)))) if attempt.work.floor > tokens.version => {
-                let detail = "the engine runs a version older than the sample may have";
-                return give_up(attempt, Code::Stale, detail).await;
+        match next_event(&mut attempt, &mut chunks, last_progress).await {
+            NextEvent::Part(Ok(Some(Part::Tokens(tokens))))
+                if attempt.work.floor > tokens.version =>
+            {
+                let detail = "the engine runs a version older than the sample allows";
+                return abort(attempt, Code::Stale, detail).await;
             }
-            Heard::Part(Ok(Some(Part::Tokens(tokens)))) => {
-                progress = Instant::now();
+            NextEvent::Part(Ok(Some(Part::Tokens(tokens)))) => {
+                last_progress = Instant::now();
                 count += tokens.count;
-                attempt.out.put(Event::Tokens(tokens)).await;
+                attempt.frames.send(Event::Tokens(tokens)).await;
             }
-            Heard::Part(Ok(Some(Part::Last { tokens, reason }))) => {
+            NextEvent::Part(Ok(Some(Part::Last { tokens, reason }))) => {
                 return finish(attempt, count, tokens, reason).await;
             }
-            Heard::Part(Ok(None)) => {
-                let error = EngineError::Broken("the stream ended without its end".to_owned());
+            NextEvent::Part(Ok(None)) => {
+                let error =
+                    EngineError::Broken("the stream ended without the end event".to_owned());
                 return attempt.fail(error).await;
             }
-            Heard::Part(Err(error)) => return attempt.fail(error).await,
-            Heard::Cancel => return give_up(attempt, Code::DeadlinePassed, "cancelled").await,
-            Heard::Late => {
+            NextEvent::Part(Err(error)) => return attempt.fail(error).await,
+            NextEvent::Cancelled => return abort(attempt, Code::DeadlinePassed, "cancelled").await,
+            NextEvent::DeadlinePassed => {
                 let detail = "the deadline passed while the attempt ran";
-                return give_up(attempt, Code::DeadlinePassed, detail).await;
+                return abort(attempt, Code::DeadlinePassed, detail).await;
             }
-            Heard::Silent if attempt.is_swapping() => progress = Instant::now(),
-            Heard::Silent => {
+            NextEvent::Silent if attempt.is_loading_weights() => last_progress = Instant::now(),
+            NextEvent::Silent => {
                 let detail = "the connection to the engine went silent";
-                return give_up(attempt, Code::EndpointFailed, detail).await;
+                return abort(attempt, Code::EndpointFailed, detail).await;
             }
         }
     }
 }
 
-async fn hear(attempt: &mut Attempt, chunks: &mut Chunks, progress: Instant) -> Heard {
-    let Attempt { out, signal, deadline, .. } = attempt;
+async fn next_event(
+    attempt: &mut LiveAttempt,
+    chunks: &mut CompletionStream,
+    last_progress: Instant,
+) -> NextEvent {
+    let LiveAttempt { frames, signal, deadline, .. } = attempt;
     loop {
         tokio::select! {
             biased;
-            Ok(_) = signal.wait_for(|signal| *signal == Signal::Cancel) => return Heard::Cancel,
-            part = chunks.next() => return Heard::Part(part),
-            () = sleep_until(*deadline) => return Heard::Late,
-            () = sleep_until(progress + SILENCE) => return Heard::Silent,
-            rest = out.rest() => if rest == Rest::Gone {
-                return Heard::Cancel;
+            Ok(_) = signal.wait_for(|signal| *signal == Signal::Cancel) => return NextEvent::Cancelled,
+            part = chunks.next() => return NextEvent::Part(part),
+            () = sleep_until(*deadline) => return NextEvent::DeadlinePassed,
+            () = sleep_until(last_progress + TOKEN_TIMEOUT) => return NextEvent::Silent,
+            event = frames.wait_idle() => if event == IdleEvent::Disconnected {
+                return NextEvent::Cancelled;
             },
         }
     }
 }
 
-/// The engine's own count must agree with the tokens that came: a chunk that was lost between
-/// would otherwise give a caller an answer with a hole.
-async fn finish(mut attempt: Attempt, count: u32, tokens: u32, reason: String) {
+/// Ends a finished generation. The engine's token count must equal the number of received tokens;
+/// otherwise a chunk was lost and the caller would get an answer with a gap.
+async fn finish(mut attempt: LiveAttempt, count: u32, tokens: u32, reason: String) {
     if count != tokens {
-        let detail = format!("the engine counts {tokens} tokens, {count} came");
+        let detail = format!("the engine counted {tokens} tokens, {count} were received");
         return attempt.fail(EngineError::Broken(detail)).await;
     }
     let load = Some(attempt.context.load());
-    attempt.end(End::Finished, Event::Finished(Finish { tokens, reason, load })).await;
+    attempt.end(AttemptEnd::Finished, Event::Finished(Finish { tokens, reason, load })).await;
 }
 
-/// Stops the completion at the engine and has it confirmed, so that its slot is free there when
-/// the gate lets the next one in.
-async fn give_up(mut attempt: Attempt, code: Code, detail: &str) {
+/// Stops the completion at the engine and waits for the confirmation, so that its slot there is
+/// free when the gate starts the next attempt.
+async fn abort(mut attempt: LiveAttempt, code: Code, detail: &str) {
     let mut confirmed = false;
-    for _ in 0..CANCEL_TRIES {
-        let Attempt { context, work, .. } = &attempt;
+    for _ in 0..MAX_CANCEL_ATTEMPTS {
+        let LiveAttempt { context, work, .. } = &attempt;
         match engine::cancel(&context.fresh, &context.settings.address, work).await {
             Ok(_) => confirmed = true,
             Err(EngineError::NotReached(_)) => {}
@@ -137,7 +143,7 @@
         event = "attempt_stopped", request = %id.request, attempt = %id.attempt, detail, confirmed
     );
     attempt.context.kernel.metrics.count("agent.stopped", 1);
-    let end = if confirmed { End::Stopped } else { End::Broken };
+    let end = if confirmed { AttemptEnd::Stopped } else { AttemptEnd::Broken };
     attempt.end(end, Event::Failed(Failure::unknown(code, detail))).await;
-    let _ = attempt.context.handle.look.offer(());
+    let _ = attempt.context.handle.check_now.offer(());
 }
--- a/components/agent/src/run/mod.rs
+++ b/components/agent/src/run/mod.rs
@@ -1,12 +1,12 @@
-//! One attempt from its acceptance to its end, as a task on the HTTP thread that took it.
+//! Runs one attempt from its acceptance to its end, as a task on the HTTP thread that accepted it.
 //!
-//! The task does not depend on the entry's connection: when that breaks, a generation is stopped
-//! at the engine, while a call that may not be repeated goes on, so that its answer is there for
-//! a resend.
+//! The task outlives the entry's connection. When the connection breaks, a generation is stopped at
+//! the engine, while a call that must run at most once continues, so that its answer can be stored
+//! for a resend.
 
+mod frame_sender;
 mod generate;
-mod out;
-mod serve;
+mod service_call;
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -28,34 +28,34 @@
 use tokio::sync::watch;
 
 use crate::engine::EngineError;
-use crate::gate::End;
+use crate::gate::AttemptEnd;
 use crate::gate::Id;
+use crate::handle::GateMessage;
 use crate::handle::Handle;
 use crate::handle::Signal;
-use crate::handle::ToGate;
-use out::Out;
-use out::Rest;
+use frame_sender::FrameSender;
+use frame_sender::IdleEvent;
 
-/// What the tasks of one HTTP thread share.
+/// The context that the attempts of one HTTP thread share.
 #[derive(Clone)]
 pub struct Context {
-    /// The way to the duties.
+    /// The handle to the duties.
     pub handle: Handle,
     /// The agent's settings.
     pub settings: Rc<AgentSettings>,
-    /// A client that keeps its connections to the endpoint.
+    /// A client that reuses its connections to the endpoint.
     pub client: Client,
-    /// A client whose calls open new connections.
+    /// A client that opens a new connection for each call.
     pub fresh: Client,
-    /// The process's clock.
+    /// The kernel of the process.
     pub kernel: chicoryford_kernel::Kernel,
     /// Counts the attempts that a graceful shutdown waits for.
     pub progress: Option<Arc<Progress>>,
 }
 
 impl Context {
-    /// Gives the newest load report with its present age; cache events are left to the reports'
-    /// stream, which gives each once.
+    /// Returns the latest load report with its current age and without cache events, which only the
+    /// report stream sends, each once.
     pub fn load(&self) -> LoadReport {
         let (at, report) = self.handle.report.borrow().clone();
         let age_ms = report.age_ms + self.kernel.now().since(at);
@@ -63,7 +63,7 @@
     }
 }
 
-/// Runs an attempt that the gate let in. `frames` takes its encoded frames.
+/// Runs an attempt that the gate admitted. Its encoded frames are sent to `frames`.
 pub async fn run(
     context: Context,
     work: Work,
@@ -72,103 +72,112 @@
 ) {
     let id = Id { request: work.request, attempt: work.attempt };
     let deadline = Instant::now() + Duration::from_millis(work.budget_ms);
-    let mut out = Out::new(id, frames);
-    out.put(Event::Accepted).await;
-    match wait(&mut out, &mut signal).await {
-        Waited::Started => {}
-        Waited::Dropped(failure) => {
-            out.put(Event::Failed(failure)).await;
+    let mut frames = FrameSender::new(id, frames);
+    frames.send(Event::Accepted).await;
+    match wait_for_slot(&mut frames, &mut signal).await {
+        WaitEnd::Started => {}
+        WaitEnd::Dropped(failure) => {
+            frames.send(Event::Failed(failure)).await;
             return;
         }
-        Waited::Gone => {
-            tell(&context, ToGate::Gone(id)).await;
-            // The gate may have started it in the same moment, and then waits for its end.
+        WaitEnd::Disconnected => {
+            notify_gate(&context, GateMessage::Disconnected(id)).await;
+            // The gate may have started the attempt concurrently and then expects its end.
             if *signal.borrow() == Signal::Wait && signal.changed().await.is_err() {
                 return;
             }
             if !matches!(*signal.borrow(), Signal::Drop(_)) {
-                tell(&context, ToGate::Ended(id, End::NotRun)).await;
+                notify_gate(&context, GateMessage::Ended(id, AttemptEnd::NotRun)).await;
             }
             return;
         }
     }
-    let attempt = Attempt { context, work, id, deadline, signal, out };
+    let attempt = LiveAttempt { context, work, id, deadline, signal, frames };
     match attempt.work.task {
         Task::Generate(_) => generate::run(attempt).await,
-        Task::Call(_) => serve::run(attempt).await,
+        Task::Call(_) => service_call::run(attempt).await,
     }
 }
 
-/// An attempt that runs.
-struct Attempt {
+/// A running attempt.
+struct LiveAttempt {
     context: Context,
     work: Work,
     id: Id,
     deadline: Instant,
     signal: watch::Receiver<Signal>,
-    out: Out,
+    frames: FrameSender,
 }
 
-impl Attempt {
-    /// Tells the gate first, so that a resend that comes at once finds how the attempt ended,
-    /// and then the entry.
-    async fn end(&mut self, end: End, event: Event) {
-        tell(&self.context, ToGate::Ended(self.id, end)).await;
-        self.out.put(event).await;
+impl LiveAttempt {
+    /// Reports the end of the attempt to the gate and then to the entry, in this order, so that a
+    /// resend that follows at once finds the end recorded.
+    async fn end(&mut self, end: AttemptEnd, event: Event) {
+        notify_gate(&self.context, GateMessage::Ended(self.id, end)).await;
+        self.frames.send(event).await;
     }
 
-    /// Ends an attempt whose way to the endpoint failed.
+    /// Ends the attempt after an error of the endpoint or of the connection to it.
     async fn fail(&mut self, error: EngineError) {
         tracing::warn!(
             event = "attempt_failed", request = %self.id.request, attempt = %self.id.attempt, %error
         );
         let detail = error.to_string();
         let (end, failure) = match error {
-            EngineError::NotReached(_) => (End::NotRun, Failure::not_run(Code::NoEndpoint, detail)),
+            EngineError::NotReached(_) => {
+                (AttemptEnd::NotRun, Failure::not_run(Code::NoEndpoint, detail))
+            }
             EngineError::Refused(_, _) => {
-                (End::NotRun, Failure::not_run(Code::EndpointFailed, detail))
+                (AttemptEnd::NotRun, Failure::not_run(Code::EndpointFailed, detail))
+            }
+            EngineError::Broken(_) => {
+                (AttemptEnd::Broken, Failure::unknown(Code::EndpointFailed, detail))
             }
-            EngineError::Broken(_) => (End::Broken, Failure::unknown(Code::EndpointFailed, detail)),
         };
         self.end(end, Event::Failed(failure)).await;
-        // The watch duty finds out whether the endpoint crashed; a full ring means it looks soon.
-        let _ = self.context.handle.look.offer(());
+        // The monitor determines whether the endpoint crashed. If its queue is full, a check is
+        // already requested.
+        let _ = self.context.handle.check_now.offer(());
     }
 
-    /// Tells whether the endpoint changes its weights, during which a stream may stand still.
-    fn is_swapping(&self) -> bool {
-        self.context.handle.swapping.load(Ordering::Relaxed)
+    /// Returns whether the endpoint is loading weights, during which a stream may pause.
+    fn is_loading_weights(&self) -> bool {
+        self.context.handle.loading_weights.load(Ordering::Relaxed)
     }
 }
 
-enum Waited {
+/// How the wait for a slot ended.
+enum WaitEnd {
     Started,
     Dropped(Failure),
-    Gone,
+    /// The entry disconnected, or the gate cancelled the attempt.
+    Disconnected,
 }
 
-async fn wait(out: &mut Out, signal: &mut watch::Receiver<Signal>) -> Waited {
+/// Waits until the gate starts or drops the attempt, or the entry disconnects.
+async fn wait_for_slot(frames: &mut FrameSender, signal: &mut watch::Receiver<Signal>) -> WaitEnd {
     loop {
         match signal.borrow_and_update().clone() {
-            Signal::Start => return Waited::Started,
-            Signal::Cancel => return Waited::Gone,
-            Signal::Drop(failure) => return Waited::Dropped(failure),
+            Signal::Start => return WaitEnd::Started,
+            Signal::Cancel => return WaitEnd::Disconnected,
+            Signal::Drop(failure) => return WaitEnd::Dropped(failure),
             Signal::Wait => {}
         }
         tokio::select! {
             changed = signal.changed() => if changed.is_err() {
-                let detail = "the agent stops";
-                return Waited::Dropped(Failure::not_run(Code::Draining, detail));
+                let detail = "the agent is shutting down";
+                return WaitEnd::Dropped(Failure::not_run(Code::Draining, detail));
             },
-            rest = out.rest() => if rest == Rest::Gone {
-                return Waited::Gone;
+            event = frames.wait_idle() => if event == IdleEvent::Disconnected {
+                return WaitEnd::Disconnected;
             },
         }
     }
 }
 
-/// Tells the gate something that must not be lost, or a slot would stay taken for ever.
-async fn tell(context: &Context, message: ToGate) {
+/// Sends the gate a message that must not be lost, because a slot would otherwise never be
+/// released.
+async fn notify_gate(context: &Context, message: GateMessage) {
     if context.handle.gate.send(message).await.is_err() {
         tracing::warn!(event = "gate_gone");
     }
--- a/components/agent/src/service.rs
+++ b/components/agent/src/service.rs
@@ -1,4 +1,4 @@
-//! The adapter to plain services: one call, one answer.
+//! The adapter to plain services, which answer each call with one response.
 
 use std::time::Duration;
 
@@ -10,20 +10,20 @@
 
 use crate::engine::EngineError;
 
-/// Bound on an answer, which the agent and the entry hold whole.
-const ANSWER_BOUND: usize = 8 << 20;
-const PROBE: Duration = Duration::from_secs(2);
+/// The maximum size of an answer, which the agent and the entry buffer as a whole.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
+const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 const KEY_HEADER: &str = "idempotency-key";
 const REQUEST_HEADER: &str = "x-request-id";
 
-/// Calls the service and reads its whole answer. Any status is an answer.
+/// Calls the service and reads the whole answer. A response with any status is an answer.
 ///
-/// `client` must be one whose calls open new connections: on a kept one that the service has
-/// just closed, a call would break off, and nobody could tell whether it ran.
+/// `client` must open a new connection for each call. On a reused connection that the service is
+/// just closing, the call would fail without any way to determine whether it ran.
 ///
 /// # Errors
 ///
-/// [`EngineError`], which tells whether the service can have got the call.
+/// [`EngineError`], whose variant shows whether the service can have received the call.
 pub async fn call(
     client: &Client,
     address: &str,
@@ -39,18 +39,20 @@
         None => request,
     };
     let sent = request.send_body(task.body.clone()).await;
-    let mut response = sent.map_err(|error| EngineError::of(send_error(&url, &error)))?;
+    let mut response =
+        sent.map_err(|error| EngineError::from_call_error(send_error(&url, &error)))?;
     let status = response.status().as_u16();
     let media = response.headers().get("content-type").and_then(|value| value.to_str().ok());
     let media = media.unwrap_or_default().to_owned();
-    let body = response.body().limit(ANSWER_BOUND).await;
+    let body = response.body().limit(MAX_ANSWER_BYTES).await;
     let body = body.map_err(|error| EngineError::Broken(error.to_string()))?;
     Ok(StoredAnswer { status, media, body })
 }
 
-/// Tells whether the service answers HTTP at all; plain services need no health path.
+/// Returns whether the service answers HTTP at all, with any status, because a plain service need
+/// not have a health path.
 pub async fn answers(client: &Client, address: &str) -> bool {
     let url = client.url(address, "/health");
-    let sent = actix_rt::time::timeout(PROBE, client.get(&url).send()).await;
+    let sent = actix_rt::time::timeout(PROBE_TIMEOUT, client.get(&url).send()).await;
     matches!(sent, Ok(Ok(_)))
 }
--- a/components/agent/src/start.rs
+++ b/components/agent/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts the role's duties and adds its paths.
+//! Starts the role's duties.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -31,27 +31,27 @@
 use tokio::sync::watch;
 
 use crate::fence::Fence;
-use crate::gate::Figures;
 use crate::gate::GateSettings;
-use crate::gatekeeper;
-use crate::handle::Drains;
+use crate::gate::GateStats;
+use crate::gate_duty;
+use crate::handle::DrainReasons;
 use crate::handle::Handle;
 use crate::handle::SERVICE;
-use crate::orders::Orders;
-use crate::pulse::Pulse;
+use crate::health::HealthTracker;
+use crate::monitor::Monitor;
+use crate::orders::OrderDuty;
 use crate::run::Context;
-use crate::watch::Watch;
 
-/// Messages that may wait for the gate's duty; past it new work is refused.
-const GATE_RING: usize = 4_096;
-/// Orders that may wait; there is one leader, which sends one at a time.
-const ORDER_RING: usize = 16;
-const LOOK_RING: usize = 1;
+/// Messages that may wait for the gate duty; while this many wait, new work is refused.
+const GATE_QUEUE_LENGTH: usize = 4_096;
+/// Orders that may wait; there is one leader, which sends one order at a time.
+const ORDER_QUEUE_LENGTH: usize = 16;
+const CHECK_QUEUE_LENGTH: usize = 1;
 
 /// The agent role could not be started.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// A service that the role needs was not started before it.
+    /// A service that the role needs has not been started.
     #[error(transparent)]
     Missing(#[from] MissingService),
     /// A thread could not be started.
@@ -59,8 +59,8 @@
     Duty(#[from] DutyError),
 }
 
-/// Starts the duties and offers [`Handle`]. Membership, configuration and the caller must have
-/// been offered before.
+/// Starts the duties and registers [`Handle`]. Membership, configuration, the proposer and the
+/// caller must be registered before.
 ///
 /// # Errors
 ///
@@ -72,63 +72,63 @@
     let proposer = kernel.registry.find::<Proposer>(PROPOSER)?;
     let caller = kernel.registry.find::<Caller>(CALLER)?;
 
-    let (gate, gate_inbox) = ring(GATE_RING);
-    let (orders, orders_inbox) = ring(ORDER_RING);
-    let (look, look_inbox) = ring(LOOK_RING);
+    let (gate, gate_inbox) = ring(GATE_QUEUE_LENGTH);
+    let (orders, orders_inbox) = ring(ORDER_QUEUE_LENGTH);
+    let (check_now, check_requests) = ring(CHECK_QUEUE_LENGTH);
     let (report, reports) = watch::channel((Millis::default(), LoadReport::default()));
-    let (figures, figures_seen) = watch::channel(Figures::default());
+    let (stats, gate_stats) = watch::channel(GateStats::default());
     let (healthy, health_seen) = watch::channel(true);
     let incarnation = members.own().incarnation;
     let handle = Handle {
         gate,
         orders,
-        look,
+        check_now,
         report: reports,
-        figures: figures_seen,
+        gate_stats,
         healthy: health_seen,
-        swapping: Arc::default(),
-        drains: Arc::new(Drains::default()),
+        loading_weights: Arc::default(),
+        drain_reasons: Arc::new(DrainReasons::default()),
         incarnation,
     };
     let fence = Arc::new(Mutex::new(Fence::new(incarnation)));
-    let pulse = Arc::new(Mutex::new(Pulse::default()));
-    add_dump(kernel, &agent, &handle, &fence, &pulse);
+    let health = Arc::new(Mutex::new(HealthTracker::default()));
+    add_dump(kernel, &agent, &handle, &fence, &health);
     kernel.registry.offer(SERVICE, handle.clone());
 
     let gate_settings = gate_settings(&agent, incarnation);
     kernel.duty("agent-gate", move |kernel| {
-        gatekeeper::run(kernel, gate_settings, gate_inbox, figures)
+        gate_duty::run(kernel, gate_settings, gate_inbox, stats)
     })?;
 
-    let (ordering, known) = (handle.clone(), members.clone());
+    let (order_handle, order_members) = (handle.clone(), members.clone());
     let (order_fence, address) = (fence.clone(), agent.address.clone());
     kernel.duty("agent-orders", move |kernel| async move {
-        let orders = Orders {
+        let duty = OrderDuty {
             fence: order_fence,
-            handle: ordering,
-            members: known,
+            handle: order_handle,
+            members: order_members,
             peers: caller.client(),
             engine: Client::new(None, None).fresh(),
             address,
         };
-        orders.run(kernel.phases, orders_inbox).await;
+        duty.run(kernel.phases, orders_inbox).await;
     })?;
 
     let settings = Arc::new(settings.clone());
     kernel.duty("agent-watch", move |kernel| async move {
-        let watch = Watch {
+        let monitor = Monitor {
             kernel,
             settings,
             handle,
             members,
             config,
             proposer,
-            pulse,
+            health,
             fence,
             report,
             healthy,
         };
-        watch.run(look_inbox).await;
+        monitor.run(check_requests).await;
     })?;
     Ok(())
 }
@@ -136,12 +136,12 @@
 fn gate_settings(agent: &AgentSettings, incarnation: Incarnation) -> GateSettings {
     GateSettings {
         slots: agent.slots as usize,
-        waiting: agent.waiting as usize,
+        queue_length: agent.waiting as usize,
         incarnation,
-        // A key that the control processes still take must not be refused here for a clock that
-        // runs a little ahead of theirs.
-        key_ms: CLAIM_WINDOW_MS + MAX_KEY_CLOCK_SKEW_MS,
-        skew_ms: 2 * MAX_KEY_CLOCK_SKEW_MS,
+        // A key that the control processes still accept must not be refused here because this
+        // clock runs a little ahead of theirs.
+        key_validity_ms: CLAIM_WINDOW_MS + MAX_KEY_CLOCK_SKEW_MS,
+        max_skew_ms: 2 * MAX_KEY_CLOCK_SKEW_MS,
         ..GateSettings::default()
     }
 }
@@ -151,28 +151,28 @@
     agent: &AgentSettings,
     handle: &Handle,
     fence: &Arc<Mutex<Fence>>,
-    pulse: &Arc<Mutex<Pulse>>,
+    health: &Arc<Mutex<HealthTracker>>,
 ) {
     let (agent, handle) = (agent.clone(), handle.clone());
-    let (fence, pulse) = (fence.clone(), pulse.clone());
+    let (fence, health) = (fence.clone(), health.clone());
     kernel.dumps.add("agent", move || {
         let fence = fence.lock().expect("nothing panics while it holds this lock").clone();
-        let pulse = pulse.lock().expect("nothing panics while it holds this lock").clone();
+        let health = health.lock().expect("nothing panics while it holds this lock").clone();
         let part = json!({
             "endpoint": agent.endpoint,
             "address": agent.address,
             "incarnation": handle.incarnation,
-            "gate": *handle.figures.borrow(),
+            "gate": *handle.gate_stats.borrow(),
             "fence": fence,
-            "pulse": pulse,
+            "pulse": health,
             "load": handle.report.borrow().1.clone(),
-            "draining": handle.drains.any(),
+            "draining": handle.drain_reasons.any(),
         });
         async move { part }
     });
 }
 
-/// Makes what the attempts of one HTTP thread share.
+/// Creates the context that the attempts of one HTTP thread share.
 pub(crate) fn context(kernel: &Kernel, settings: &Settings) -> Result<Context, MissingService> {
     let handle = kernel.registry.find::<Handle>(SERVICE)?;
     let client = Client::new(None, None);
@@ -186,5 +186,5 @@
     })
 }
 
-/// A chunk of a streamed answer.
+/// A chunk of a streamed response.
 pub(crate) type Chunk = Result<Bytes, Infallible>;
--- a/components/agent/tests/live/main.rs
+++ b/components/agent/tests/live/main.rs
@@ -1,4 +1,4 @@
-//! The agent with real connections, beside stand-in endpoints, in one process.
+//! Tests of the agent over real connections, with stand-in endpoints, in one process.
 
 mod faults;
 mod orders;
--- a/components/agent/tests/live/rig.rs
+++ b/components/agent/tests/live/rig.rs
@@ -1,4 +1,5 @@
-//! An agent, its endpoint, a fake control process and the entry's side of the connection.
+//! A test rig with an agent, its endpoint, a fake control process and a client that acts as the
+//! entry.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -69,18 +70,18 @@
 use futures_util::StreamExt;
 use tokio::sync::watch;
 
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const MAX_WAIT: Duration = Duration::from_secs(20);
 pub const INCARNATION: Incarnation = Incarnation(7);
 const TOKEN: &str = "secret";
 
-/// What the fake control process was told, and what it answers.
+/// The commands that the fake control process has received, and the epoch that it reports.
 #[derive(Clone, Default)]
 pub struct Control {
     pub commands: Arc<Mutex<Vec<Command>>>,
     pub epoch: Arc<Mutex<Epoch>>,
 }
 
-/// An agent beside an endpoint.
+/// An agent and its endpoint.
 pub struct Rig {
     pub kernel: Kernel,
     pub handle: Handle,
@@ -88,7 +89,7 @@
     pub config: watch::Sender<Arc<Config>>,
     pub control: Control,
     pub address: String,
-    /// Where the endpoint answers; the bench calls it directly.
+    /// The endpoint's address; the benchmark calls it directly.
     pub endpoint: String,
     pub client: Client,
     pub records: Recorder,
@@ -125,7 +126,7 @@
 }
 
 impl Rig {
-    /// Starts an agent beside an engine.
+    /// Starts an engine and its agent.
     pub fn engine(agent: AgentSettings, settings: EngineSettings) -> Self {
         let records = Recorder::default();
         let here = "127.0.0.1:0".parse().unwrap();
@@ -139,7 +140,7 @@
         Self::start(agent, records, Some(engine), server)
     }
 
-    /// Starts an agent beside a plain service.
+    /// Starts a plain service and its agent.
     pub fn service(settings: ServiceSettings) -> Self {
         let records = Recorder::default();
         let here = "127.0.0.1:0".parse().unwrap();
@@ -166,9 +167,10 @@
         let (key_file, keys) = keys();
         let control = Control::default();
         *control.epoch.lock().unwrap() = Epoch(3);
-        let told = control.clone();
+        let control_state = control.clone();
         let controls =
-            serve(here, &bounds(), keys.clone(), None, move || control_routes(&told)).unwrap();
+            serve(here, &bounds(), keys.clone(), None, move || control_routes(&control_state))
+                .unwrap();
 
         let kernel = Kernel::new(Metrics::new(None).unwrap());
         let members = Arc::new(members(&controls.address.to_string()));
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Ends everything.
+    /// Stops all processes of the rig.
     pub async fn stop(self) {
         self.kernel.phases.advance(Phase::Stopping);
         for server in &self.servers {
@@ -244,18 +246,18 @@
         Ok(events)
     }
 
-    /// Asks what became of an attempt.
-    pub async fn ask(&self, work: &Work, cancel: bool) -> AttemptState {
+    /// Queries the state of an attempt, and cancels it if `cancel` is set.
+    pub async fn query(&self, work: &Work, cancel: bool) -> AttemptState {
         let (request, attempt, incarnation) = (work.request, work.attempt, work.incarnation);
         let question = AttemptQuestion { request, attempt, incarnation, cancel };
-        self.client.call(&self.address, paths::ATTEMPT, &question, PATIENCE).await.unwrap()
+        self.client.call(&self.address, paths::ATTEMPT, &question, MAX_WAIT).await.unwrap()
     }
 
-    /// Gives an order and repeats it until it is no longer being carried out.
+    /// Sends an order and repeats it until it is no longer in progress.
     pub async fn order(&self, epoch: u64, number: u64, action: OrderAction) -> OrderReply {
         let order = Order { epoch: Epoch(epoch), number, agent: INCARNATION, action };
         loop {
-            let called = self.client.call(&self.address, paths::ORDER, &order, PATIENCE).await;
+            let called = self.client.call(&self.address, paths::ORDER, &order, MAX_WAIT).await;
             match called.unwrap() {
                 OrderReply::Busy => actix_rt::time::sleep(Duration::from_millis(10)).await,
                 reply => return reply,
@@ -263,7 +265,7 @@
         }
     }
 
-    /// Counts the lines of the endpoint's record that `wanted` picks.
+    /// Counts the lines of the endpoint's record for which `wanted` returns true.
     pub fn count(&self, wanted: impl Fn(&serde_json::Value) -> bool) -> usize {
         self.records.kept().iter().filter(|line| wanted(line)).count()
     }
@@ -282,7 +284,7 @@
     Members::new(view, Arc::new(watch::Sender::new(own)))
 }
 
-/// An answer on its way.
+/// The response stream of an attempt.
 pub struct Stream {
     chunks: futures_util::stream::LocalBoxStream<
         'static,
@@ -305,27 +307,27 @@
         }
     }
 
-    /// Reads until tokens come.
-    pub async fn tokens(&mut self) {
+    /// Reads events until the first tokens.
+    pub async fn wait_for_tokens(&mut self) {
         while !matches!(self.next().await, Some(Event::Tokens(_))) {}
     }
 }
 
-/// Runs a test within an actix system.
-pub fn within(test: impl Future<Output = ()>) {
+/// Runs a test in an actix system, with a timeout.
+pub fn run_test(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(async {
-        actix_rt::time::timeout(PATIENCE, test).await.expect("the test ends in time");
+        actix_rt::time::timeout(MAX_WAIT, test).await.expect("the test ends in time");
     });
 }
 
-/// Waits until something holds.
-pub async fn until(mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds.
+pub async fn wait_until(mut holds: impl FnMut() -> bool) {
     while !holds() {
         actix_rt::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Makes a generation.
+/// Creates a generation.
 pub fn generation(number: u64, prompt: &str, tokens: u32) -> Work {
     Work {
         request: RequestId(1, number),
@@ -350,8 +352,8 @@
     }
 }
 
-/// Makes a call that may not be repeated.
-pub fn label(number: u64, key: &str, body: &str) -> Work {
+/// Creates a call that must run at most once.
+pub fn label_call(number: u64, key: &str, body: &str) -> Work {
     let issued = chicoryford_kernel::unix().0;
     Work {
         repeatable: false,
--- a/components/agent/tests/live/work.rs
+++ b/components/agent/tests/live/work.rs
@@ -1,6 +1,6 @@
-//! Attempts that go well, wait, are sent again, are cancelled, or meet a draining agent.
+//! Attempts that succeed, wait, are resent, are cancelled, or reach a draining agent.
 
-use chicoryford_agent::handle::ToGate;
+use chicoryford_agent::handle::GateMessage;
 use chicoryford_settings::AgentSettings;
 use chicoryford_standin::engine::EngineSettings;
 use chicoryford_standin::engine::token;
@@ -27,12 +27,12 @@
 
 use crate::rig::Rig;
 use crate::rig::generation;
-use crate::rig::label;
-use crate::rig::until;
-use crate::rig::within;
+use crate::rig::label_call;
+use crate::rig::run_test;
+use crate::rig::wait_until;
 
-/// An engine whose completions hardly end by themselves.
-fn slow() -> EngineSettings {
+/// An engine whose completions take so long that a test can interrupt them.
+fn slow_engine() -> EngineSettings {
     EngineSettings { length: 4_000, token_us: 1_000, chunk: 2, ..EngineSettings::default() }
 }
 
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn a_generation_ends_with_an_explicit_count_and_names_its_versions() {
-    within(async {
+fn a_generation_ends_with_a_token_count_and_reports_its_versions() {
+    run_test(async {
         let rig = Rig::engine(AgentSettings::default(), EngineSettings::default());
         let events = rig.run(&generation(1, "hello", 40)).await.unwrap();
         assert_eq!(events[0], Event::Accepted);
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn a_continuation_matches_what_one_attempt_gives() {
-    within(async {
+fn a_continuation_matches_the_output_of_one_attempt() {
+    run_test(async {
         let settings = EngineSettings { length: 400, ..EngineSettings::default() };
         let rig = Rig::engine(AgentSettings::default(), settings);
         let whole = text(&rig.run(&generation(1, "go on", 30)).await.unwrap());
@@ -89,40 +89,39 @@
     });
 }
 
-/// Symptom: a crate gets two labels.
-/// Sequence: the entry sends the call, loses the answer, and another entry sends it again under
-/// another request.
-/// Cause: the printer itself does not recognise a repeated call.
+/// Guards against two labels for one crate. The entry sends the call and loses the answer, and
+/// another entry resends it as another request. The printer itself does not recognise a repeated
+/// call.
 #[test]
 fn a_resend_gets_the_stored_answer_and_does_not_run() {
-    within(async {
+    run_test(async {
         let rig = Rig::service(ServiceSettings::default());
-        let first = label(1, "crate-7", "label");
+        let first = label_call(1, "crate-7", "label");
         let events = rig.run(&first).await.unwrap();
         let Event::Answer(answer) = &events[1] else { panic!("{events:?}") };
-        let again = Work { request: label(2, "", "").request, ..first.clone() };
+        let again = Work { request: label_call(2, "", "").request, ..first.clone() };
         let resent = rig.run(&again).await.unwrap();
         assert_eq!(resent[1], Event::Answer(answer.clone()));
-        assert_eq!(rig.ask(&first, false).await, AttemptState::Done(answer.clone()));
+        assert_eq!(rig.query(&first, false).await, AttemptState::Done(answer.clone()));
         assert_eq!(rig.count(|line| line["event"] == "run"), 1);
 
-        let other = Work { fingerprint: label(3, "", "other").fingerprint, ..again };
-        let refused = rig.run(&Work { request: label(3, "", "").request, ..other }).await;
+        let other = Work { fingerprint: label_call(3, "", "other").fingerprint, ..again };
+        let refused = rig.run(&Work { request: label_call(3, "", "").request, ..other }).await;
         assert_eq!(refused.unwrap_err().code, Code::KeyReused);
         rig.stop().await;
     });
 }
 
-/// Symptom: a label is printed after the entry was told "not run" and printed it elsewhere.
-/// Sequence: the attempt is delayed on a silent connection; the entry asks over a new one and
-/// hears that it never arrived; the delayed attempt arrives.
-/// Cause: the agent did not remember what it had answered.
+/// Guards against a label that is printed after the agent reported "not run" and the entry printed
+/// it at another endpoint. The attempt is delayed on a silent connection, the entry queries its
+/// state over a new connection and is answered that it never arrived, then the delayed attempt
+/// arrives. The agent must record what it answered.
 #[test]
-fn an_attempt_that_was_called_not_run_is_refused_when_it_arrives_late() {
-    within(async {
+fn an_attempt_reported_as_not_run_is_refused_when_it_arrives_late() {
+    run_test(async {
         let rig = Rig::service(ServiceSettings::default());
-        let late = label(1, "crate-8", "label");
-        assert_eq!(rig.ask(&late, true).await, AttemptState::Revoked);
+        let late = label_call(1, "crate-8", "label");
+        assert_eq!(rig.query(&late, true).await, AttemptState::Revoked);
         let refused = rig.run(&late).await.unwrap_err();
         assert_eq!(refused.outcome, Outcome::NotRun);
         assert_eq!(rig.count(|line| line["event"] == "run"), 0);
@@ -130,15 +129,15 @@
     });
 }
 
-/// Symptom: as above, after a restart of the agent in between.
-/// Sequence: the agent that was asked restarts; the delayed attempt reaches its successor.
-/// Cause: the successor does not know what its predecessor answered.
+/// Guards against the same failure after a restart of the agent in between. The agent that answered
+/// the query restarts, and the delayed attempt reaches the new incarnation, which has no record of
+/// the answer.
 #[test]
-fn a_call_for_an_earlier_incarnation_is_neither_run_nor_judged() {
-    within(async {
+fn a_call_for_an_earlier_incarnation_is_not_run_and_its_state_is_unknown() {
+    run_test(async {
         let rig = Rig::service(ServiceSettings::default());
-        let late = Work { incarnation: Incarnation(6), ..label(1, "crate-9", "label") };
-        assert_eq!(rig.ask(&late, false).await, AttemptState::Unknown);
+        let late = Work { incarnation: Incarnation(6), ..label_call(1, "crate-9", "label") };
+        assert_eq!(rig.query(&late, false).await, AttemptState::Unknown);
         assert_eq!(rig.run(&late).await.unwrap_err().outcome, Outcome::NotRun);
         assert_eq!(rig.count(|line| line["event"] == "run"), 0);
         rig.stop().await;
@@ -146,14 +145,14 @@
 }
 
 #[test]
-fn a_call_whose_entry_is_gone_goes_on_and_is_there_for_the_resend() {
-    within(async {
+fn a_call_whose_entry_disconnects_completes_and_is_stored_for_the_resend() {
+    run_test(async {
         let rig = Rig::service(ServiceSettings { delay_ms: 100, ..ServiceSettings::default() });
-        let first = label(1, "crate-10", "label");
+        let first = label_call(1, "crate-10", "label");
         drop(rig.send(&first).await.unwrap());
-        let mut running = rig.handle.figures.clone();
+        let mut running = rig.handle.gate_stats.clone();
         running.wait_for(|figures| figures.running == 0 && figures.stored > 0).await.unwrap();
-        let again = Work { request: label(2, "", "").request, ..first };
+        let again = Work { request: label_call(2, "", "").request, ..first };
         assert!(matches!(rig.run(&again).await.unwrap()[1], Event::Answer(_)));
         assert_eq!(rig.count(|line| line["event"] == "run"), 1);
         rig.stop().await;
@@ -161,14 +160,14 @@
 }
 
 #[test]
-fn a_generation_whose_entry_is_gone_is_stopped_at_the_engine() {
-    within(async {
-        let rig = Rig::engine(AgentSettings::default(), slow());
+fn a_generation_whose_entry_disconnects_is_stopped_at_the_engine() {
+    run_test(async {
+        let rig = Rig::engine(AgentSettings::default(), slow_engine());
         let mut stream = rig.send(&generation(1, "long", 100_000)).await.unwrap();
-        stream.tokens().await;
+        stream.wait_for_tokens().await;
         drop(stream);
-        until(|| rig.count(|line| line["how"] == "stopped") == 1).await;
-        rig.handle.idle().await;
+        wait_until(|| rig.count(|line| line["how"] == "stopped") == 1).await;
+        rig.handle.wait_idle().await;
         let load = chicoryford_agent::engine::load(&rig.client, &rig.endpoint).await.unwrap();
         assert_eq!(load.running, 0);
         rig.stop().await;
@@ -177,12 +176,12 @@
 
 #[test]
 fn a_cancelled_attempt_is_stopped_at_the_engine() {
-    within(async {
-        let rig = Rig::engine(AgentSettings::default(), slow());
+    run_test(async {
+        let rig = Rig::engine(AgentSettings::default(), slow_engine());
         let work = generation(1, "long", 100_000);
         let mut stream = rig.send(&work).await.unwrap();
-        stream.tokens().await;
-        assert_eq!(rig.ask(&work, true).await, AttemptState::Running);
+        stream.wait_for_tokens().await;
+        assert_eq!(rig.query(&work, true).await, AttemptState::Running);
         loop {
             match stream.next().await.unwrap() {
                 Event::Failed(failure) => break assert_eq!(failure.outcome, Outcome::Unknown),
@@ -196,24 +195,24 @@
 }
 
 #[test]
-fn waiting_work_starts_by_class_and_drops_when_doomed() {
-    within(async {
+fn queued_work_starts_by_class_and_is_dropped_after_its_deadline() {
+    run_test(async {
         let agent = AgentSettings { slots: 1, ..AgentSettings::default() };
-        let rig = Rig::engine(agent, slow());
+        let rig = Rig::engine(agent, slow_engine());
         let first = generation(1, "long", 100_000);
-        let mut held = rig.send(&first).await.unwrap();
-        held.tokens().await;
+        let mut running = rig.send(&first).await.unwrap();
+        running.wait_for_tokens().await;
         let batch = Work { class: Class::Batch, ..generation(2, "b", 2) };
         let mut batch = rig.send(&batch).await.unwrap();
         let urgent = Work { class: Class::Urgent, ..generation(3, "u", 2) };
         let mut urgent = rig.send(&urgent).await.unwrap();
-        let doomed = Work { budget_ms: 30, ..generation(4, "d", 2) };
-        let doomed = rig.run(&doomed).await.unwrap();
-        let Some(Event::Failed(failure)) = doomed.last() else { panic!("{doomed:?}") };
+        let late = Work { budget_ms: 30, ..generation(4, "d", 2) };
+        let late = rig.run(&late).await.unwrap();
+        let Some(Event::Failed(failure)) = late.last() else { panic!("{late:?}") };
         assert_eq!((failure.code, failure.outcome), (Code::DeadlinePassed, Outcome::NotRun));
-        rig.ask(&first, true).await;
-        urgent.tokens().await;
-        batch.tokens().await;
+        rig.query(&first, true).await;
+        urgent.wait_for_tokens().await;
+        batch.wait_for_tokens().await;
         let starts = rig.records.kept();
         let starts = starts.iter().filter(|line| line["event"] == "start");
         let order: Vec<String> =
@@ -224,19 +223,19 @@
 }
 
 #[test]
-fn a_planned_stop_refuses_new_work_and_cuts_nothing() {
-    within(async {
+fn a_planned_stop_refuses_new_work_and_interrupts_none() {
+    run_test(async {
         let settings = EngineSettings { length: 4_000, ..EngineSettings::default() };
         let rig = Rig::engine(AgentSettings::default(), settings);
         let mut stream = rig.send(&generation(1, "long", 60)).await.unwrap();
-        stream.tokens().await;
+        stream.wait_for_tokens().await;
         let target = StopTarget::Endpoint("engine-1".into());
         let reason = "new disk".to_owned();
         let stop = Stop { target, deadline_ms: 60_000, reason, accepted: Unix(0) };
         let mut config = Config::default();
         config.stops.insert(StopId::from("stop-1"), stop);
         rig.config.send_replace(config.into());
-        until(|| rig.members.own().endpoint.is_some_and(|endpoint| endpoint.draining)).await;
+        wait_until(|| rig.members.own().endpoint.is_some_and(|endpoint| endpoint.draining)).await;
         let refused = rig.run(&generation(2, "new", 10)).await.unwrap_err();
         assert_eq!((refused.code, refused.outcome), (Code::Draining, Outcome::NotRun));
         let mut last = None;
@@ -246,15 +245,15 @@
         assert!(matches!(last, Some(Event::Finished(_))));
 
         rig.config.send_replace(Config::default().into());
-        until(|| !rig.handle.figures.borrow().draining).await;
+        wait_until(|| !rig.handle.gate_stats.borrow().draining).await;
         rig.run(&generation(3, "again", 10)).await.unwrap();
         rig.stop().await;
     });
 }
 
 #[test]
-fn reports_stream_with_growing_numbers() {
-    within(async {
+fn reports_are_streamed_with_increasing_numbers() {
+    run_test(async {
         let rig = Rig::engine(AgentSettings::default(), EngineSettings::default());
         let url = rig.client.url(&rig.address, paths::REPORTS);
         let mut reports = rig.client.post(&url).send().await.unwrap();
@@ -276,11 +275,11 @@
 
 #[test]
 fn the_dump_shows_the_gate_and_the_fence() {
-    within(async {
+    run_test(async {
         let rig = Rig::engine(AgentSettings::default(), EngineSettings::default());
         rig.run(&generation(1, "hello", 4)).await.unwrap();
-        rig.handle.gate.send(ToGate::Drain(true)).await.unwrap_or_else(|_| panic!("gate"));
-        until(|| rig.handle.figures.borrow().draining).await;
+        rig.handle.gate.send(GateMessage::Drain(true)).await.unwrap_or_else(|_| panic!("gate"));
+        wait_until(|| rig.handle.gate_stats.borrow().draining).await;
         let dump = rig.kernel.dumps.take().await;
         assert_eq!(dump["agent"]["endpoint"], "engine-1");
         assert_eq!(dump["agent"]["gate"]["promises"], 0);
