--- a/components/agent/src/run/generate.rs
+++ b/components/agent/src/run/generate.rs
@@ -103,7 +103,8 @@
     loop {
         tokio::select! {
             biased;
-            Ok(_) = signal.wait_for(|signal| *signal == Signal::Cancel) => return NextEvent::Cancelled,
+            Ok(_) = signal.wait_for(|signal| *signal == Signal::Cancel)
+                => return NextEvent::Cancelled,
             part = chunks.next() => return NextEvent::Part(part),
             () = sleep_until(*deadline) => return NextEvent::DeadlinePassed,
             () = sleep_until(last_progress + TOKEN_TIMEOUT) => return NextEvent::Silent,
--- a/components/config/examples/measure-config.rs
+++ b/components/config/examples/measure-config.rs
@@ -1,14 +1,15 @@
-//! Measures the messages of following, the disk, and the judgement of what is in force.
+//! Measures the messages between followers and parents, saving to disk, and the evaluation of what
+//! is in force.
 //!
-//! `cargo run --release -p chicoryford-config --example measure-config`
+//! Run with `cargo run --release -p chicoryford-config --example measure-config`
 
 use std::time::Instant;
 
 use chicoryford_config::children::Children;
-use chicoryford_config::disk::Disk;
-use chicoryford_config::in_force::judge;
-use chicoryford_config::message::Follow;
-use chicoryford_config::message::Followed;
+use chicoryford_config::config_file::ConfigFile;
+use chicoryford_config::in_force::evaluate;
+use chicoryford_config::message::FollowReply;
+use chicoryford_config::message::FollowRequest;
 use chicoryford_config::message::Report;
 use chicoryford_config::store::Store;
 use chicoryford_types::Change;
@@ -44,19 +45,20 @@
     Change::Template(Box::new(Versioned { version: revision, template }))
 }
 
-fn follow(name: String, below: &Children) -> Follow {
+fn follow(name: String, below: &Children) -> FollowRequest {
     let node = Node(name);
     let subtree = below.subtree(Millis(0));
-    Follow { node, incarnation: START, at: at(5_000), wait_ms: 6_000, digest: None, subtree }
+    FollowRequest { node, incarnation: START, at: at(5_000), wait_ms: 6_000, digest: None, subtree }
 }
 
 fn main() {
     let mut store = Store::default();
     let start = Instant::now();
     for revision in 1..=5_000 {
-        // The rest of the process holds the configuration before, which is left as it is.
-        let _held = store.config();
-        store.push(at(revision), change(revision));
+        // The rest of the process still references the previous configuration, which is copied on
+        // write.
+        let _previous = store.config();
+        store.apply(at(revision), change(revision));
     }
     let us = start.elapsed().as_micros() / 5_000;
     println!("push templates=100 us={us}");
@@ -64,30 +66,30 @@
     let agent = follow("agent-0001".to_owned(), &Children::default());
     let mut below = Children::default();
     for number in 0..5 {
-        below.hear(&follow(format!("agent-{number:04}"), &Children::default()), Millis(0));
+        below.record(&follow(format!("agent-{number:04}"), &Children::default()), Millis(0));
     }
     let entry = follow("entry-001".to_owned(), &below);
     println!("question below=0 bytes={}", encode(&agent));
     println!("question below=5 bytes={}", encode(&entry));
-    let nothing = Followed { at: at(5_000), delta: None, repair: false };
+    let nothing = FollowReply { at: at(5_000), delta: None, repair: false };
     println!("answer changes=0 bytes={}", encode(&nothing));
     for missed in [1, 10, 100, 1_000] {
         let delta = Some(store.delta_since(at(5_000 - missed)));
         println!(
             "answer changes={missed} bytes={}",
-            encode(&Followed { delta, ..nothing.clone() })
+            encode(&FollowReply { delta, ..nothing.clone() })
         );
     }
 
     let folder = std::env::temp_dir().join(format!("measure-config-{}", std::process::id()));
-    let (disk, config) = (Disk::new(&folder), store.config());
+    let (file, config) = (ConfigFile::new(&folder), store.config());
     let start = Instant::now();
     for _ in 0..100 {
-        disk.save(&config).expect("the temporary folder can be written");
+        file.save(&config).expect("the temporary folder can be written");
     }
     let us = start.elapsed().as_micros() / 100;
     println!("save templates=100 bytes={} us={us}", encode(config.as_ref()));
-    std::fs::remove_dir_all(&folder).expect("it was made here");
+    std::fs::remove_dir_all(&folder).expect("the folder was created above");
 
     let name = |number: u32| Node(format!("process-{number:04}"));
     let reports: Vec<_> = (0..1_990)
@@ -99,11 +101,11 @@
     });
     let members = Members { known: known.collect() };
     let start = Instant::now();
-    let judged = judge(at(5_000), &members, &reports);
+    let in_force = evaluate(at(5_000), &members, &reports);
     let us = start.elapsed().as_micros();
     let bytes = encode(&reports);
     println!(
         "in_force processes={} everywhere={} us={us} bytes={bytes}",
-        judged.processes, judged.everywhere
+        in_force.processes, in_force.everywhere
     );
 }
--- a/components/config/src/error.rs
+++ b/components/config/src/error.rs
@@ -1,13 +1,13 @@
-//! Why configuration could not be started.
+//! The error of starting this component.
 
 use chicoryford_kernel::duty::DutyError;
 use chicoryford_kernel::registry::MissingService;
 use thiserror::Error;
 
-/// Configuration could not be started.
+/// The follower duty could not be started.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// Membership or the caller must be offered first.
+    /// Membership or the caller has not been registered.
     #[error(transparent)]
     Missing(#[from] MissingService),
     /// The follower's thread could not be started.
--- a/components/config/src/feed.rs
+++ b/components/config/src/feed.rs
@@ -1,4 +1,4 @@
-//! How a control process puts changes into its own process as its replica applies them.
+//! Passes the changes that a control process's replica applies to the other parts of the process.
 
 use std::sync::Arc;
 
@@ -6,29 +6,29 @@
 use chicoryford_types::Config;
 use chicoryford_types::Position;
 
-use crate::shared::Shared;
+use crate::shared::SharedState;
 
-/// The name under which [`Feed`] is offered.
+/// The name under which [`Feed`] is registered.
 pub const FEED: &str = "feed";
 
-/// Takes the changes that a replica of the log applies. What lies behind the configuration in
-/// force is ignored, so a replica that replays its log after a restart may feed all of it.
+/// Accepts the changes that a replica of the log applies. Changes up to the position in force are
+/// ignored, so a replica that replays its log after a restart may push the whole log.
 #[derive(Clone)]
-pub struct Feed(Arc<Shared>);
+pub struct Feed(Arc<SharedState>);
 
 impl Feed {
-    /// Feeds what the other threads of the process share.
-    pub fn new(shared: Arc<Shared>) -> Self {
+    /// Creates a feed into the state shared by the threads of the process.
+    pub fn new(shared: Arc<SharedState>) -> Self {
         Self(shared)
     }
 
-    /// Puts a change in force in this process and tells the followers.
+    /// Puts a change in force in this process and notifies the followers.
     pub fn push(&self, at: Position, change: Change) {
-        self.0.change(|store| store.push(at, change));
+        self.0.update(|store| store.apply(at, change));
     }
 
-    /// Puts a whole configuration in force, after a snapshot was installed.
+    /// Puts a whole configuration in force after the replica installed a snapshot.
     pub fn reset(&self, config: Config) {
-        self.0.change(|store| store.reset(config));
+        self.0.update(|store| store.replace(config));
     }
 }
--- a/components/config/src/follower.rs
+++ b/components/config/src/follower.rs
@@ -1,4 +1,4 @@
-//! The follower duty: asks a parent for what is new, again and again.
+//! The follower duty: follows a parent by long polling and reports the subtree to it.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -20,42 +20,43 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-use crate::disk::Disk;
+use crate::config_file::ConfigFile;
 use crate::error::StartError;
 use crate::feed::FEED;
 use crate::feed::Feed;
 use crate::handle::Handle;
 use crate::handle::SERVICE;
-use crate::message::Follow;
-use crate::message::Followed;
-use crate::parents::Passed;
-use crate::parents::choose;
+use crate::message::FollowReply;
+use crate::message::FollowRequest;
+use crate::parents::SkippedParents;
+use crate::parents::choose_parent;
 use crate::proposer::PROPOSER;
 use crate::proposer::Proposer;
 use crate::random::generator;
-use crate::shared::SHARED;
-use crate::shared::Shared;
-use crate::standing;
-use crate::store::Absorbed;
+use crate::shared::SHARED_STATE;
+use crate::shared::SharedState;
+use crate::status;
+use crate::store::DeltaResult;
 use crate::store::Store;
 
-/// Milliseconds for which a parent may hold its answer back for news. A silent parent is noticed
-/// after this and [`MARGIN_MS`], half of the time in which a change must be everywhere.
-pub const WAIT_MS: u64 = 6_000;
-/// Milliseconds that an answer may take beyond the wait.
-pub const MARGIN_MS: u64 = 2_000;
-/// Milliseconds for which a parent that failed is passed over, at least, and at most twice.
-const PASS_MS: u64 = 2_000;
-/// Milliseconds between two looks for a parent when there is none.
-const ALONE_MS: u64 = 200;
-/// Milliseconds for which news from below are gathered before they are passed on.
-const GATHER_MS: u64 = 50;
-/// Milliseconds between two comparisons of the whole configuration with the parent's, at least,
-/// and at most twice.
-const COMPARE_MS: u64 = 60_000;
+/// Milliseconds for which a parent may wait for a change before it replies. A silent parent is
+/// detected after this plus [`REPLY_MARGIN_MS`], which is half of the time in which a change must
+/// be in force everywhere.
+pub const LONG_POLL_MS: u64 = 6_000;
+/// Milliseconds that a reply may take in addition to the wait.
+pub const REPLY_MARGIN_MS: u64 = 2_000;
+/// Milliseconds for which a parent that failed is skipped; jitter adds up to the same time again.
+const SKIP_MS: u64 = 2_000;
+/// Milliseconds between two searches for a parent while there is none.
+const NO_PARENT_RETRY_MS: u64 = 200;
+/// Milliseconds for which changes in the subtree are collected before they are reported.
+const REPORT_DELAY_MS: u64 = 50;
+/// Milliseconds between two comparisons of the whole configuration with the parent's; jitter adds
+/// up to the same time again.
+const DIGEST_INTERVAL_MS: u64 = 60_000;
 
-/// Starts the follower duty and offers [`Handle`], [`Feed`] and [`Proposer`]. Membership and the
-/// caller must be offered before.
+/// Starts the follower duty and registers [`Handle`], [`Feed`] and [`Proposer`]. Membership and the
+/// caller must be registered before.
 ///
 /// # Errors
 ///
@@ -64,31 +65,32 @@
     let proposer = Proposer::find(kernel)?;
     let caller = kernel.registry.find::<Caller>(CALLER)?;
     let members = kernel.registry.find::<Membership>(chicoryford_membership::SERVICE)?;
-    let disk = settings.data.as_deref().map(Disk::new);
-    let shared = Arc::new(Shared::new(Store::new(load(disk.as_ref()))));
+    let file = settings.data.as_deref().map(ConfigFile::new);
+    let shared = Arc::new(SharedState::new(Store::new(load(file.as_ref()))));
     kernel.registry.offer(SERVICE, Handle::new(shared.watch()));
     kernel.registry.offer(FEED, Feed::new(shared.clone()));
     let quorum = proposer.quorum();
     kernel.registry.offer(PROPOSER, proposer);
-    kernel.registry.offer(SHARED, shared.clone());
-    let (held, clock, is_control) = (shared.clone(), kernel.clone(), settings.control.is_some());
+    kernel.registry.offer(SHARED_STATE, shared.clone());
+    let (dumped, clock, is_control) = (shared.clone(), kernel.clone(), settings.control.is_some());
     kernel.dumps.add("config", move || {
-        let part = standing::dump(&held, &quorum, is_control, clock.now());
+        let part = status::dump(&dumped, &quorum, is_control, clock.now());
         async move { part }
     });
     kernel.duty("follower", move |kernel| async move {
         let random = RefCell::new(generator(&members.own()));
         let client = caller.client();
-        let follower = Follower { client, kernel, members, shared, disk, random };
+        let follower = Follower { client, kernel, members, shared, file, random };
         follower.run().await;
     })?;
     Ok(())
 }
 
-/// Reads what this process had in force before it restarted. A damaged file is not believed:
-/// the process then begins with nothing, says so, and is given a snapshot by its parent.
-fn load(disk: Option<&Disk>) -> Config {
-    match disk.map(Disk::load) {
+/// Loads the configuration that this process had in force before it restarted. If the file is
+/// damaged, the error is logged and the process starts with an empty configuration, until its
+/// parent sends a snapshot.
+fn load(file: Option<&ConfigFile>) -> Config {
+    match file.map(ConfigFile::load) {
         Some(Ok(Some(config))) => {
             tracing::info!(event = "config_loaded", at = %config.at);
             config
@@ -105,8 +107,8 @@
     client: Client,
     kernel: Kernel,
     members: Arc<Membership>,
-    shared: Arc<Shared>,
-    disk: Option<Disk>,
+    shared: Arc<SharedState>,
+    file: Option<ConfigFile>,
     random: RefCell<SmallRng>,
 }
 
@@ -115,7 +117,7 @@
         let phases = self.kernel.phases.clone();
         let is_control = self.members.own().roles.control;
         let work = async {
-            if is_control { self.save_what_is_fed().await } else { self.follow_and_report().await }
+            if is_control { self.save_fed_config().await } else { self.follow_and_report().await }
         };
         tokio::select! {
             () = phases.reached(Phase::Stopping) => {}
@@ -123,11 +125,12 @@
         }
     }
 
-    /// A control process is fed by its own replica and follows nobody; only its disk is left.
-    async fn save_what_is_fed(&self) {
-        let mut news = self.shared.watch();
-        while news.changed().await.is_ok() {
-            let config = news.borrow_and_update().clone();
+    /// Saves each new configuration of a control process. It receives the configuration from its
+    /// own replica and follows no parent.
+    async fn save_fed_config(&self) {
+        let mut changes = self.shared.watch();
+        while changes.changed().await.is_ok() {
+            let config = changes.borrow_and_update().clone();
             self.save(&config);
         }
     }
@@ -137,61 +140,63 @@
     }
 
     async fn follow(&self) {
-        let mut passed = Passed::default();
-        let mut compare = self.kernel.now() + self.jitter(COMPARE_MS);
+        let mut skipped = SkippedParents::default();
+        let mut next_comparison = self.kernel.now() + self.jitter(DIGEST_INTERVAL_MS);
         loop {
             let (own, view) = (self.members.own(), self.members.view());
             let now = self.kernel.now();
-            passed.trim(now);
-            let parent = choose(&own, &view, &passed, now);
-            self.note_parent(parent);
-            self.note_isolation(now);
+            skipped.remove_expired(now);
+            let parent = choose_parent(&own, &view, &skipped, now);
+            self.record_parent(parent);
+            self.record_isolation(now);
             let Some(parent) = parent else {
-                actix_rt::time::sleep(Duration::from_millis(ALONE_MS)).await;
+                actix_rt::time::sleep(Duration::from_millis(NO_PARENT_RETRY_MS)).await;
                 continue;
             };
-            let is_due = now >= compare;
+            let is_due = now >= next_comparison;
             if is_due {
-                compare = now + self.jitter(COMPARE_MS);
+                next_comparison = now + self.jitter(DIGEST_INTERVAL_MS);
             }
             let digest = is_due.then(|| self.shared.store().digest());
-            let follow = Follow { digest, ..self.question(&own, WAIT_MS) };
-            let asked = tokio::select! {
-                asked = self.ask(parent, &follow, WAIT_MS + MARGIN_MS) => asked.map(Some),
-                () = self.parent_gone(parent) => Ok(None),
+            let request = FollowRequest { digest, ..self.request(&own, LONG_POLL_MS) };
+            let replied = tokio::select! {
+                reply = self.send_request(parent, &request, LONG_POLL_MS + REPLY_MARGIN_MS)
+                    => reply.map(Some),
+                () = self.wait_for_parent_loss(parent) => Ok(None),
             };
-            let pass_ms = asked.as_ref().err().map_or(PASS_MS, pass_ms);
-            let fault = match asked {
-                Ok(Some(answer)) => self.take(answer, &follow),
-                Ok(None) => Some("it is gone".to_owned()),
+            let skip_ms = replied.as_ref().err().map_or(SKIP_MS, skip_ms);
+            let fault = match replied {
+                Ok(Some(reply)) => self.handle_reply(reply, &request),
+                Ok(None) => Some("membership reports it as lost".to_owned()),
                 Err(error) => Some(error.to_string()),
             };
             if let Some(fault) = fault {
                 tracing::debug!(event = "parent_left", parent = %parent.node, fault);
                 self.kernel.metrics.count("config.parents_left", 1);
-                self.shared.standing().left += 1;
-                passed.pass(parent.node.clone(), self.kernel.now() + self.jitter(pass_ms));
+                self.shared.status().parents_left += 1;
+                skipped.skip(parent.node.clone(), self.kernel.now() + self.jitter(skip_ms));
             }
         }
     }
 
-    /// Passes news from below on to the parent, while the question for news waits there.
+    /// Reports changes in the subtree to the parent, while the long poll is pending there.
     async fn report(&self) {
-        let mut below = self.shared.watch_below();
-        while below.changed().await.is_ok() {
-            actix_rt::time::sleep(Duration::from_millis(GATHER_MS)).await;
-            below.mark_unchanged();
-            let parent = self.shared.standing().parent.clone();
+        let mut subtree = self.shared.watch_subtree();
+        while subtree.changed().await.is_ok() {
+            actix_rt::time::sleep(Duration::from_millis(REPORT_DELAY_MS)).await;
+            subtree.mark_unchanged();
+            let parent = self.shared.status().parent.clone();
             if let Some(parent) = parent {
-                let follow = self.question(&self.members.own(), 0);
-                // If it is lost, the next question carries the same and more.
-                let _ = self.ask(&parent, &follow, MARGIN_MS).await;
+                let request = self.request(&self.members.own(), 0);
+                // If this request is lost, the next one contains the same information.
+                let _ = self.send_request(&parent, &request, REPLY_MARGIN_MS).await;
             }
         }
     }
 
-    fn question(&self, own: &Member, wait_ms: u64) -> Follow {
-        Follow {
+    /// Creates a request without a digest.
+    fn request(&self, own: &Member, wait_ms: u64) -> FollowRequest {
+        FollowRequest {
             node: own.node.clone(),
             incarnation: own.incarnation,
             at: self.shared.store().at(),
@@ -201,38 +206,38 @@
         }
     }
 
-    async fn ask(
+    async fn send_request(
         &self,
         parent: &Member,
-        follow: &Follow,
-        patience_ms: u64,
-    ) -> Result<Followed, CallError> {
-        let patience = Duration::from_millis(patience_ms);
-        self.client.call(&parent.address, paths::FOLLOW, follow, patience).await
+        request: &FollowRequest,
+        timeout_ms: u64,
+    ) -> Result<FollowReply, CallError> {
+        let timeout = Duration::from_millis(timeout_ms);
+        self.client.call(&parent.address, paths::FOLLOW, request, timeout).await
     }
 
-    /// Waits until membership takes the parent for gone, which is long before a silent
-    /// connection to it would time out.
-    async fn parent_gone(&self, parent: &Member) {
+    /// Waits until membership reports the parent as lost, which is long before a request on a
+    /// silent connection times out.
+    async fn wait_for_parent_loss(&self, parent: &Member) {
         let mut view = self.members.watch();
-        let is_there = |member: &Member| {
+        let is_parent = |member: &Member| {
             member.node == parent.node && member.incarnation == parent.incarnation
         };
-        if view.wait_for(|view| !view.present().any(is_there)).await.is_err() {
+        if view.wait_for(|view| !view.present().any(is_parent)).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Takes an answer in; returns what is wrong with the parent, if anything is.
-    fn take(&self, answer: Followed, follow: &Follow) -> Option<String> {
-        self.shared.standing().heard = Some(self.kernel.now());
-        if answer.at < follow.at {
-            // It would give this process nothing new, perhaps for long: it may be the one that
-            // is cut off. Another parent is asked, and nothing here goes back.
-            return Some(format!("it stands at {}, behind {}", answer.at, follow.at));
+    /// Applies a reply. Returns the reason for abandoning the parent, if there is one.
+    fn handle_reply(&self, reply: FollowReply, request: &FollowRequest) -> Option<String> {
+        self.shared.status().last_reply = Some(self.kernel.now());
+        if reply.at < request.at {
+            // The parent may be partitioned and have nothing new for a long time. Another parent is
+            // chosen, and the configuration here is not changed.
+            return Some(format!("it is at {}, behind {}", reply.at, request.at));
         }
-        let delta = answer.delta?;
-        if answer.repair {
+        let delta = reply.delta?;
+        if reply.repair {
             return self.repair(delta);
         }
         let next = self.shared.store().preview(&delta);
@@ -240,22 +245,23 @@
             self.save(&next);
         }
         let is_snapshot = matches!(delta, Delta::Snapshot(_));
-        self.kernel.metrics.gauge("config.revision", answer.at.revision.0);
-        let mut absorbed = Absorbed::Nothing;
-        self.shared.change(|store| {
-            absorbed = store.absorb(delta);
-            absorbed == Absorbed::Moved
+        self.kernel.metrics.gauge("config.revision", reply.at.revision.0);
+        let mut result = DeltaResult::Unchanged;
+        self.shared.update(|store| {
+            result = store.apply_delta(delta);
+            result == DeltaResult::Advanced
         });
-        let mut standing = self.shared.standing();
-        standing.deltas += u64::from(!is_snapshot);
-        standing.snapshots += u64::from(is_snapshot);
-        (absorbed == Absorbed::Gap).then(|| "its changes do not join on".to_owned())
+        let mut status = self.shared.status();
+        status.deltas += u64::from(!is_snapshot);
+        status.snapshots += u64::from(is_snapshot);
+        (result == DeltaResult::Gap)
+            .then(|| "its changes do not follow the current position".to_owned())
     }
 
     fn repair(&self, delta: Delta) -> Option<String> {
         let Delta::Snapshot(config) = delta else { return None };
         let at = config.at;
-        if self.shared.change(|store| store.repair(*config)) {
+        if self.shared.update(|store| store.repair(*config)) {
             tracing::error!(event = "config_repaired", %at);
             let config = self.shared.store().config();
             self.save(&config);
@@ -263,47 +269,51 @@
         None
     }
 
-    /// Saves configuration. If the disk fails, the process goes on in memory and says so: to
-    /// refuse the change would leave it with an older configuration than all others.
+    /// Saves a configuration. If the disk fails, the error is logged and the process continues with
+    /// the configuration in memory: refusing the change would leave it with an older configuration
+    /// than all other processes.
     fn save(&self, config: &Config) {
-        let Some(disk) = &self.disk else { return };
-        let unsaved = disk.save(config).err().map(|error| error.to_string());
-        if let Some(error) = &unsaved {
+        let Some(file) = &self.file else { return };
+        let save_error = file.save(config).err().map(|error| error.to_string());
+        if let Some(error) = &save_error {
             tracing::error!(event = "config_not_saved", at = %config.at, error);
         }
-        self.shared.standing().unsaved = unsaved;
+        self.shared.status().save_error = save_error;
     }
 
-    fn note_parent(&self, parent: Option<&Member>) {
-        let mut standing = self.shared.standing();
-        if standing.parent.as_ref().map(|known| &known.node) != parent.map(|parent| &parent.node) {
+    /// Records the current parent and logs a change of it.
+    fn record_parent(&self, parent: Option<&Member>) {
+        let mut status = self.shared.status();
+        if status.parent.as_ref().map(|known| &known.node) != parent.map(|parent| &parent.node) {
             let name = parent.map(|parent| parent.node.as_str());
             tracing::debug!(event = "parent_chosen", parent = name);
         }
-        standing.parent = parent.cloned();
+        status.parent = parent.cloned();
     }
 
-    /// Logs when this process becomes isolated, and when it no longer is.
-    fn note_isolation(&self, now: Millis) {
-        let mut standing = self.shared.standing();
-        let is_isolated = standing.is_isolated(now);
-        if is_isolated != standing.was_isolated {
+    /// Logs when this process becomes isolated and when it is no longer isolated.
+    fn record_isolation(&self, now: Millis) {
+        let mut status = self.shared.status();
+        let is_isolated = status.is_isolated(now);
+        if is_isolated != status.was_isolated {
             let at = self.shared.store().at();
             tracing::warn!(event = "isolation_changed", is_isolated, %at);
             self.kernel.metrics.gauge("config.isolated", u64::from(is_isolated));
         }
-        standing.was_isolated = is_isolated;
+        status.was_isolated = is_isolated;
     }
 
+    /// Returns a random time between `ms` and twice `ms`.
     fn jitter(&self, ms: u64) -> u64 {
         ms + self.random.borrow_mut().random_range(0..=ms)
     }
 }
 
-/// Tells for how long a parent is passed over; one that has all its children says so itself.
-fn pass_ms(error: &CallError) -> u64 {
+/// Returns the milliseconds for which a parent is skipped. A parent with no room for children sends
+/// the time in its reply.
+fn skip_ms(error: &CallError) -> u64 {
     match error {
-        CallError::Failure(failure) => failure.retry_ms.unwrap_or(PASS_MS).max(PASS_MS),
-        CallError::NotSent { .. } | CallError::Lost { .. } => PASS_MS,
+        CallError::Failure(failure) => failure.retry_ms.unwrap_or(SKIP_MS).max(SKIP_MS),
+        CallError::NotSent { .. } | CallError::Lost { .. } => SKIP_MS,
     }
 }
--- a/components/config/src/handle.rs
+++ b/components/config/src/handle.rs
@@ -1,11 +1,11 @@
-//! How the other services of a process see accepted configuration.
+//! Access to the accepted configuration for the other services of a process.
 
 use std::sync::Arc;
 
 use chicoryford_types::Config;
 use tokio::sync::watch;
 
-/// The name under which [`Handle`] is offered.
+/// The name under which [`Handle`] is registered.
 pub const SERVICE: &str = "config";
 
 /// The configuration in force at this process.
@@ -15,17 +15,17 @@
 }
 
 impl Handle {
-    /// Reads what the follower duty writes.
+    /// Creates a handle that reads the configuration published by the follower duty.
     pub fn new(current: watch::Receiver<Arc<Config>>) -> Self {
         Self { current }
     }
 
-    /// Gives the configuration in force.
+    /// Returns the configuration in force.
     pub fn current(&self) -> Arc<Config> {
         self.current.borrow().clone()
     }
 
-    /// Gives a receiver that tells when the configuration changes.
+    /// Returns a receiver that is notified when the configuration changes.
     pub fn watch(&self) -> watch::Receiver<Arc<Config>> {
         self.current.clone()
     }
--- a/components/config/src/in_force.rs
+++ b/components/config/src/in_force.rs
@@ -1,4 +1,4 @@
-//! Who has which configuration in force.
+//! Determines at which processes a configuration is in force.
 
 use std::collections::BTreeMap;
 
@@ -11,28 +11,29 @@
 use crate::children::keep_latest;
 use crate::message::Report;
 
-/// Laggards named at most.
-const NAMED: usize = 100;
+/// The maximum number of lagging processes that are named.
+const MAX_NAMED: usize = 100;
 
-/// Whether configuration up to a position is in force everywhere.
+/// Whether the configuration up to a position is in force everywhere.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct InForce {
     /// The position in question.
     pub at: Position,
-    /// Whether every process that is alive has reached it.
+    /// Whether every present process has reached it.
     pub everywhere: bool,
-    /// Processes that have not, or of which nothing is known.
+    /// Processes that have not reached it or have not reported.
     pub lagging: Vec<Node>,
-    /// How many have not; `lagging` may name fewer.
+    /// The number of such processes; `lagging` may name fewer.
     pub behind: usize,
-    /// How many processes are alive.
+    /// The number of present processes.
     pub processes: usize,
 }
 
-/// Judges whether `at` is in force at all members that are alive, by what they reported.
+/// Determines from the reports whether `at` is in force at all present members.
 ///
-/// A report of an earlier start of a process does not count: without a disk it begins anew.
-pub fn judge(at: Position, members: &Members, reports: &[Report]) -> InForce {
+/// A report from an earlier start of a process is ignored, because a process without a disk
+/// restarts with an empty configuration.
+pub fn evaluate(at: Position, members: &Members, reports: &[Report]) -> InForce {
     let mut latest = BTreeMap::new();
     for report in reports {
         keep_latest(&mut latest, report);
@@ -45,7 +46,7 @@
     InForce {
         at,
         everywhere: behind.is_empty(),
-        lagging: behind.iter().map(|member| member.node.clone()).take(NAMED).collect(),
+        lagging: behind.iter().map(|member| member.node.clone()).take(MAX_NAMED).collect(),
         behind: behind.len(),
         processes: reached.len() + behind.len(),
     }
--- a/components/config/src/lib.rs
+++ b/components/config/src/lib.rs
@@ -1,10 +1,11 @@
-//! Carries accepted configuration to every process and counts who has it.
+//! Distributes accepted configuration to every process and tracks which processes have it in force.
 //!
-//! Control processes feed what their replica applies; every other process follows a parent by
-//! long polling, keeps what it has on its disk, and never goes back (docs/CONFIGURATION.md).
+//! A control process takes the configuration from the changes that its replica applies. Every other
+//! process follows a parent by long polling. A process stores its configuration on disk and never
+//! returns to an older revision (docs/CONFIGURATION.md).
 
 pub mod children;
-pub mod disk;
+pub mod config_file;
 pub mod error;
 pub mod feed;
 pub mod follower;
@@ -17,7 +18,7 @@
 pub mod random;
 pub mod routes;
 pub mod shared;
-pub mod standing;
+pub mod status;
 pub mod store;
 
 pub use error::StartError;
--- a/components/config/src/message.rs
+++ b/components/config/src/message.rs
@@ -1,4 +1,4 @@
-//! What followers and parents tell each other.
+//! The messages between followers and parents.
 
 use chicoryford_types::Delta;
 use chicoryford_types::Digest;
@@ -8,48 +8,49 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Reports of a subtree that travel in one message at most; those furthest behind go first. It
-/// leaves room for all processes of the target size, because one that is not named counts as
-/// lagging.
-pub const REPORTS: usize = 4_096;
+/// The maximum number of reports of a subtree in one message; the reports furthest behind are sent.
+/// The limit covers all processes of a cluster of the target size, because a process that is not
+/// named counts as lagging.
+pub const MAX_SUBTREE_REPORTS: usize = 4_096;
 
-/// A follower asks for configuration beyond what it has, and acknowledges that by asking.
+/// A follower's request for the configuration beyond its position. The request also acknowledges
+/// that position.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
-pub struct Follow {
+pub struct FollowRequest {
     /// The follower.
     pub node: Node,
-    /// Its start: one that restarted without a disk stands lower than before.
+    /// The start of the process. After a restart without a disk its position is lower than before.
     pub incarnation: Incarnation,
-    /// What it has in force.
+    /// The position it has in force.
     pub at: Position,
-    /// How long the parent may hold the answer back for news, in milliseconds; zero for a
-    /// question that only carries the subtree.
+    /// How long the parent may wait for a change before it replies, in milliseconds; zero for a
+    /// request that only transmits the subtree.
     pub wait_ms: u64,
-    /// The digest of its whole configuration, now and then, to notice a damaged copy.
+    /// The digest of its whole configuration, sent occasionally to detect a damaged copy.
     pub digest: Option<Digest>,
-    /// What the processes below it have in force.
+    /// What the processes below the follower have in force.
     pub subtree: Subtree,
 }
 
-/// What a parent answers.
+/// A parent's reply to [`FollowRequest`].
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-pub struct Followed {
-    /// What the parent has in force.
+pub struct FollowReply {
+    /// The position that the parent has in force.
     pub at: Position,
-    /// What the follower lacks; none if nothing.
+    /// The changes that the follower is missing; `None` if there are none.
     pub delta: Option<Delta>,
-    /// Whether `delta` is of the follower's own position and replaces a damaged copy.
+    /// Whether `delta` is a snapshot at the follower's own position that replaces a damaged copy.
     pub repair: bool,
 }
 
 /// What the processes below a follower have in force.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Subtree {
-    /// How many there are.
+    /// The number of these processes.
     pub processes: u32,
-    /// The lowest position of any; none if there are none.
+    /// The lowest position of any of them; `None` if there are none.
     pub lowest: Option<Position>,
-    /// Their reports, furthest behind first, at most [`REPORTS`].
+    /// Their reports, furthest behind first, at most [`MAX_SUBTREE_REPORTS`].
     pub reports: Vec<Report>,
 }
 
@@ -58,8 +59,8 @@
 pub struct Report {
     /// The process.
     pub node: Node,
-    /// Its start.
+    /// The start of the process.
     pub incarnation: Incarnation,
-    /// What it has in force.
+    /// The position it has in force.
     pub at: Position,
 }
--- a/components/config/src/proposer.rs
+++ b/components/config/src/proposer.rs
@@ -26,65 +26,66 @@
 use rand::seq::SliceRandom;
 
 use crate::parents::distance;
-use crate::quorum::Quorum;
+use crate::quorum::QuorumStatus;
 use crate::random::generator;
 
-/// The name under which [`Proposer`] is offered.
+/// The name under which [`Proposer`] is registered.
 pub const PROPOSER: &str = "proposer";
 
-/// The longest wait for one control process before another is tried. A process that was cut off
-/// silently never answers, and the whole timeout would be spent on it.
-const TRY: Duration = Duration::from_secs(1);
+/// The longest wait for one control process before another is tried. A silently partitioned process
+/// never answers, and the whole timeout would be spent on it.
+const MAX_TRY_TIMEOUT: Duration = Duration::from_secs(1);
 /// The shortest wait for one control process.
-const LEAST: Duration = Duration::from_millis(300);
-/// Milliseconds between two rounds over all control processes, at most.
-const ROUND_MS: u64 = 200;
-/// When a caller may come back after no control process took its command, in milliseconds.
-const RETRY_MS: u64 = 500;
-/// The time between two looks for a leader.
-const LOOK: Duration = Duration::from_millis(250);
-/// How long a look may take.
-const LOOKS: Duration = Duration::from_millis(700);
+const MIN_TRY_TIMEOUT: Duration = Duration::from_millis(300);
+/// The longest pause between two rounds over all control processes, in milliseconds.
+const MAX_ROUND_PAUSE_MS: u64 = 200;
+/// The retry delay given to a caller if no control process accepted its command, in milliseconds.
+const RETRY_AFTER_MS: u64 = 500;
+/// The time between two probes for a leader.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// The timeout of one probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The recipe from which each thread makes its own [`ProposerClient`].
+/// Creates a [`ProposerClient`] for each thread.
 #[derive(Clone)]
 pub struct Proposer {
     caller: Arc<Caller>,
     members: Arc<Membership>,
-    quorum: Arc<Quorum>,
+    quorum: Arc<QuorumStatus>,
 }
 
-/// Proposes commands; it stays on one thread.
+/// Proposes commands to the control processes. A client is used on one thread only.
 #[derive(Clone)]
 pub struct ProposerClient {
     client: Client,
     members: Arc<Membership>,
-    quorum: Arc<Quorum>,
-    last: RefCell<Option<Node>>,
+    quorum: Arc<QuorumStatus>,
+    last_responder: RefCell<Option<Node>>,
     random: RefCell<SmallRng>,
 }
 
-/// Whether a command is given up once it is known that there is no majority.
+/// Whether a command is given up as soon as the loss of the majority is detected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Mode {
-    /// Somebody waits for the answer, who is better told to come back.
-    Prompt,
-    /// Nobody waits; it is tried until the timeout.
-    Patient,
+    /// A caller waits for the answer and can retry later.
+    FailFast,
+    /// No caller waits; the command is proposed until the timeout.
+    UntilTimeout,
 }
 
 impl Proposer {
-    /// Proposes as this process, to the control processes among `members`.
+    /// Creates a proposer that sends commands as this process to the control processes among
+    /// `members`.
     pub fn new(caller: Arc<Caller>, members: Arc<Membership>) -> Self {
         Self { caller, members, quorum: Arc::default() }
     }
 
-    /// Finds the one that is offered in the kernel, so that all threads know alike whether there
-    /// is a majority, or makes one.
+    /// Returns the proposer that is registered in the kernel, so that all threads share the status
+    /// of the majority, or creates one if none is registered.
     ///
     /// # Errors
     ///
-    /// [`MissingService`] if the caller or membership is not offered yet.
+    /// [`MissingService`] if the caller or membership is not registered yet.
     pub fn find(kernel: &Kernel) -> Result<Self, MissingService> {
         if let Ok(offered) = kernel.registry.find::<Self>(PROPOSER) {
             return Ok((*offered).clone());
@@ -94,18 +95,18 @@
         Ok(Self::new(caller, members))
     }
 
-    /// Gives what this process knows of the majority.
-    pub fn quorum(&self) -> Arc<Quorum> {
+    /// Returns the status of the majority as observed by this process.
+    pub fn quorum(&self) -> Arc<QuorumStatus> {
         self.quorum.clone()
     }
 
-    /// Makes this thread's client; keep it, because it keeps connections open.
+    /// Creates a client for this thread. Reuse it, because it keeps connections open.
     pub fn client(&self) -> ProposerClient {
         ProposerClient {
             client: self.caller.client(),
             members: self.members.clone(),
             quorum: self.quorum.clone(),
-            last: RefCell::default(),
+            last_responder: RefCell::default(),
             random: RefCell::new(generator(&self.members.own())),
         }
     }
@@ -114,20 +115,26 @@
 impl ProposerClient {
     /// Proposes a command and waits until it is committed and applied.
     ///
-    /// All commands may be sent again after a lost answer, so another control process is tried
-    /// whatever became of the first try. It is given up after half of `timeout`, so that whoever
-    /// asked learns it in time to act on it, and as soon as it is known that there is no majority
-    /// (docs/REGIONS.md).
+    /// All commands are idempotent and may be resent after a lost answer, so another control
+    /// process is tried whatever the result of the first try. The command is given up after half of
+    /// `timeout`, so that the caller is informed in time to react, and as soon as the loss of the
+    /// majority is detected (docs/REGIONS.md).
     ///
     /// # Errors
     ///
-    /// A failure with [`Code::NoQuorum`] once it is given up; its outcome is "not run" only if no
-    /// try can have arrived. Any other failure is the control process's own.
+    /// A failure with [`Code::NoQuorum`] if the command is given up; its outcome is "not run" only
+    /// if no try can have reached a control process. Any other failure is the control process's
+    /// reply.
     pub async fn propose(&self, command: &Command, timeout: Duration) -> Result<Reply, Failure> {
-        self.run(command, (timeout / 2).max(LEAST).min(timeout), Mode::Prompt).await
+        self.propose_with_mode(
+            command,
+            (timeout / 2).max(MIN_TRY_TIMEOUT).min(timeout),
+            Mode::FailFast,
+        )
+        .await
     }
 
-    /// Proposes a command for which nobody waits, until `timeout`.
+    /// Proposes a command for which no caller waits, until `timeout`, even without a majority.
     ///
     /// # Errors
     ///
@@ -137,93 +144,100 @@
         command: &Command,
         timeout: Duration,
     ) -> Result<Reply, Failure> {
-        self.run(command, timeout, Mode::Patient).await
+        self.propose_with_mode(command, timeout, Mode::UntilTimeout).await
     }
 
-    async fn run(
+    async fn propose_with_mode(
         &self,
         command: &Command,
         timeout: Duration,
         mode: Mode,
     ) -> Result<Reply, Failure> {
         let started = Instant::now();
-        let mut lost = false;
+        let mut may_have_run = false;
         loop {
             for (node, address) in self.candidates() {
-                let left = self.left(started, timeout, mode);
-                if left.is_zero() {
-                    return Err(no_quorum(lost));
+                let remaining = self.remaining(started, timeout, mode);
+                if remaining.is_zero() {
+                    return Err(no_quorum(may_have_run));
                 }
-                let patience = left.min(TRY.min(timeout / 3).max(LEAST));
-                match self.attempt(&address, command, patience).await {
+                let try_timeout =
+                    remaining.min(MAX_TRY_TIMEOUT.min(timeout / 3).max(MIN_TRY_TIMEOUT));
+                match self.attempt(&address, command, try_timeout).await {
                     Ok(reply) => {
-                        self.last.replace(Some(node));
-                        self.quorum.found();
+                        self.last_responder.replace(Some(node));
+                        self.quorum.record_available();
                         return Ok(reply);
                     }
                     Err(error) if is_final(&error) => return Err(error.into_failure()),
-                    Err(error) => lost |= may_have_arrived(&error),
+                    Err(error) => may_have_run |= may_have_arrived(&error),
                 }
-                self.last.replace(None);
-                self.doubt();
+                self.last_responder.replace(None);
+                self.probe_after_failure();
             }
-            let left = self.left(started, timeout, mode);
-            if left.is_zero() {
-                return Err(no_quorum(lost));
+            let remaining = self.remaining(started, timeout, mode);
+            if remaining.is_zero() {
+                return Err(no_quorum(may_have_run));
             }
-            let pause = self.random.borrow_mut().random_range(ROUND_MS / 4..=ROUND_MS);
-            actix_rt::time::sleep(Duration::from_millis(pause).min(left)).await;
+            let pause =
+                self.random.borrow_mut().random_range(MAX_ROUND_PAUSE_MS / 4..=MAX_ROUND_PAUSE_MS);
+            actix_rt::time::sleep(Duration::from_millis(pause).min(remaining)).await;
         }
     }
 
-    /// Gives the time after which a command is given up.
-    fn left(&self, started: Instant, timeout: Duration, mode: Mode) -> Duration {
+    /// Returns the time until a command is given up.
+    fn remaining(&self, started: Instant, timeout: Duration, mode: Mode) -> Duration {
         let now = Instant::now();
-        let left = timeout.saturating_sub(now - started);
-        let patience = self.quorum.patience(now).filter(|_| mode == Mode::Prompt);
-        patience.map_or(left, |patience| patience.min(left))
+        let remaining = timeout.saturating_sub(now - started);
+        let grace = self.quorum.remaining_grace(now).filter(|_| mode == Mode::FailFast);
+        grace.map_or(remaining, |grace| grace.min(remaining))
     }
 
-    /// Looks from now on whether there is a leader, if nobody does yet.
-    fn doubt(&self) {
-        if self.quorum.doubt(Instant::now()) {
-            let held = self.clone();
-            actix_rt::spawn(async move { held.watch().await });
+    /// Records a failed try, and starts probing for a leader if no thread does yet.
+    fn probe_after_failure(&self) {
+        if self.quorum.record_failure(Instant::now()) {
+            let client = self.clone();
+            actix_rt::spawn(async move { client.probe_until_leader().await });
         }
     }
 
-    /// Looks for a leader until there is one.
-    async fn watch(&self) {
+    /// Probes for a leader until there is one.
+    async fn probe_until_leader(&self) {
         let mut logged = false;
         while !self.has_leader().await {
             let now = Instant::now();
-            self.quorum.looked(now);
+            self.quorum.record_failed_probe(now);
             if !logged && self.quorum.is_missing(now) {
                 tracing::warn!(event = "majority_out_of_reach");
                 logged = true;
             }
-            actix_rt::time::sleep(LOOK).await;
+            actix_rt::time::sleep(PROBE_INTERVAL).await;
         }
-        self.quorum.found();
+        self.quorum.record_available();
         if logged {
             tracing::info!(event = "majority_reached_again");
         }
     }
 
-    /// Asks all control processes at once to renew a session that nobody has. Only a leader whose
-    /// lease holds answers that, so the answer proves a majority and costs no entry of the log.
+    /// Asks all control processes concurrently to renew a session that does not exist. Only a
+    /// leader with a valid lease answers, so an answer proves that there is a majority, without an
+    /// entry in the log.
     async fn has_leader(&self) -> bool {
-        let question =
-            SessionRenewal { node: self.members.own().node, ..SessionRenewal::default() };
-        let question = &question;
+        let request = SessionRenewal { node: self.members.own().node, ..SessionRenewal::default() };
+        let request = &request;
         let candidates = self.candidates();
-        let mut asked: FuturesUnordered<_> = candidates
+        let mut requests: FuturesUnordered<_> = candidates
             .iter()
             .map(|(_, address)| {
-                self.client.call::<_, SessionRenewalReply>(address, paths::RENEW, question, LOOKS)
+                self.client.call::<_, SessionRenewalReply>(
+                    address,
+                    paths::RENEW,
+                    request,
+                    PROBE_TIMEOUT,
+                )
             })
             .collect();
-        while let Some(answer) = asked.next().await {
+        while let Some(answer) = requests.next().await {
             if answer.is_ok() {
                 return true;
             }
@@ -235,16 +249,17 @@
         &self,
         address: &str,
         command: &Command,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Reply, CallError> {
-        let called = self.client.call(address, paths::PROPOSE, command, patience).await;
+        let called = self.client.call(address, paths::PROPOSE, command, timeout).await;
         match called? {
             Reply::Failed(failure) => Err(CallError::Failure(failure)),
             reply => Ok(reply),
         }
     }
 
-    /// Lists control processes: the one that answered last, this very process, then the nearest.
+    /// Lists the control processes in the order in which they are tried: the one that answered
+    /// last, this process, then the others by distance.
     fn candidates(&self) -> Vec<(Node, String)> {
         let view = self.members.view();
         let own = self.members.own();
@@ -253,7 +268,7 @@
             controls.push(&own);
         }
         controls.shuffle(&mut *self.random.borrow_mut());
-        let last = self.last.borrow();
+        let last = self.last_responder.borrow();
         controls.sort_by_key(|member| {
             let is_last = last.as_ref() == Some(&member.node);
             (!is_last, member.node != own.node, distance(&own, member))
@@ -262,7 +277,7 @@
     }
 }
 
-/// Tells whether another control process would answer alike.
+/// Returns whether every control process would give the same answer.
 fn is_final(error: &CallError) -> bool {
     match error {
         CallError::NotSent { .. } | CallError::Lost { .. } => false,
@@ -281,12 +296,12 @@
     }
 }
 
-fn no_quorum(lost: bool) -> Failure {
-    let detail = "no control process took the command in time";
-    let failure = if lost {
+fn no_quorum(may_have_run: bool) -> Failure {
+    let detail = "no control process accepted the command in time";
+    let failure = if may_have_run {
         Failure::unknown(Code::NoQuorum, detail)
     } else {
         Failure::not_run(Code::NoQuorum, detail)
     };
-    failure.retry_after(RETRY_MS)
+    failure.retry_after(RETRY_AFTER_MS)
 }
--- a/components/config/src/quorum.rs
+++ b/components/config/src/quorum.rs
@@ -1,71 +1,72 @@
-//! Whether the control processes have a majority, as far as this process can tell.
+//! Tracks whether the control processes have a majority, as observed by this process.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
 use std::time::Duration;
 use std::time::Instant;
 
-/// How long no control process may take commands before proposals are refused at once. An
-/// election takes one to two election timeouts, and a call that meets one is better late than
-/// refused; what lasts longer is an outage.
-pub const GIVE_UP: Duration = Duration::from_secs(2);
-/// How long a look at the control processes is believed.
-const BELIEVED: Duration = Duration::from_secs(3);
+/// How long no control process has to accept a command before proposals are refused at once. An
+/// election takes one to two election timeouts, and a call during an election should be delayed
+/// rather than refused. A longer interruption is an outage.
+pub const QUORUM_LOSS_GRACE: Duration = Duration::from_secs(2);
+/// How long the result of a probe of the control processes is valid.
+const PROBE_VALIDITY: Duration = Duration::from_secs(3);
 
 /// Whether the control processes have a majority, shared by all threads of a process.
 ///
-/// Without it every call that needs the majority finds out for itself, for as long as its own
-/// timeout: callers hear late that nothing was done, and meanwhile their calls fill the entry's
-/// places. With it the first ones find out, and all others are refused at once.
+/// Without this, every call that needs the majority would wait for its own timeout: callers would
+/// be informed late that nothing was done, and their calls would use up the entry's capacity. With
+/// it, the first calls detect the loss, and all others are refused at once.
 #[derive(Debug, Default)]
-pub struct Quorum(Mutex<State>);
+pub struct QuorumStatus(Mutex<State>);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct State {
-    /// Since when no command was taken, while this is looked into.
-    missing: Option<Instant>,
-    /// When the control processes were last looked at.
-    looked: Option<Instant>,
+    /// Since when no command has been accepted, while the control processes are probed.
+    missing_since: Option<Instant>,
+    /// When the control processes were last probed.
+    last_probe: Option<Instant>,
 }
 
-impl Quorum {
-    /// Notes that a control process took a command, or that its leader answered a look.
-    pub fn found(&self) {
+impl QuorumStatus {
+    /// Records that a control process accepted a command, or that the leader answered a probe.
+    pub fn record_available(&self) {
         *self.state() = State::default();
     }
 
-    /// Notes that a control process did not take a command. Returns whether the caller must look
-    /// at all of them from now on: one that is silent says nothing about the majority.
+    /// Records that a control process did not accept a command. Returns whether the caller must
+    /// start probing all of them, because one silent process says nothing about the majority.
     #[must_use]
-    pub fn doubt(&self, now: Instant) -> bool {
+    pub fn record_failure(&self, now: Instant) -> bool {
         let mut state = self.state();
-        let is_watched = state.looked.is_some_and(|looked| now - looked < BELIEVED);
-        if is_watched {
+        let is_probed = state.last_probe.is_some_and(|last| now - last < PROBE_VALIDITY);
+        if is_probed {
             return false;
         }
-        *state = State { missing: Some(now), looked: Some(now) };
+        *state = State { missing_since: Some(now), last_probe: Some(now) };
         true
     }
 
-    /// Notes that a look found no leader that holds a majority.
-    pub fn looked(&self, now: Instant) {
-        self.state().looked = Some(now);
+    /// Records that a probe found no leader with a majority.
+    pub fn record_failed_probe(&self, now: Instant) {
+        self.state().last_probe = Some(now);
     }
 
-    /// Gives the time after which proposals are refused; none while nothing is in doubt.
+    /// Returns the time until proposals are refused; `None` while the majority is available.
     ///
-    /// It counts only as long as somebody goes on looking. If the thread that looks ended,
-    /// nobody would notice that the majority is back, and all would be refused for ever.
-    pub fn patience(&self, now: Instant) -> Option<Duration> {
+    /// The loss counts only while the control processes are being probed. If the probing thread has
+    /// ended, the return of the majority would not be detected, and all proposals would be refused
+    /// forever.
+    pub fn remaining_grace(&self, now: Instant) -> Option<Duration> {
         let state = *self.state();
-        let looked = state.looked.is_some_and(|looked| now - looked < BELIEVED);
-        let missing = state.missing.filter(|_| looked)?;
-        Some(GIVE_UP.saturating_sub(now - missing))
+        let is_probed = state.last_probe.is_some_and(|last| now - last < PROBE_VALIDITY);
+        let missing_since = state.missing_since.filter(|_| is_probed)?;
+        Some(QUORUM_LOSS_GRACE.saturating_sub(now - missing_since))
     }
 
-    /// Tells whether proposals are refused at once.
+    /// Returns whether proposals are refused at once.
     pub fn is_missing(&self, now: Instant) -> bool {
-        self.patience(now).is_some_and(|left| left.is_zero())
+        self.remaining_grace(now).is_some_and(|left| left.is_zero())
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
--- a/components/config/src/routes.rs
+++ b/components/config/src/routes.rs
@@ -1,4 +1,4 @@
-//! What a process answers about configuration.
+//! The HTTP routes for configuration.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -26,109 +26,112 @@
 use chicoryford_wire::reply;
 use futures_util::future::join_all;
 
-use crate::children::Heard;
-use crate::follower::WAIT_MS;
-use crate::in_force::judge;
-use crate::message::Follow;
-use crate::message::Followed;
+use crate::children::FollowOutcome;
+use crate::follower::LONG_POLL_MS;
+use crate::in_force::evaluate;
+use crate::message::FollowReply;
+use crate::message::FollowRequest;
 use crate::message::Report;
-use crate::shared::SHARED;
-use crate::shared::Shared;
+use crate::shared::SHARED_STATE;
+use crate::shared::SharedState;
 
-/// When a follower that a parent has no room for may come back, in milliseconds.
-const FULL_MS: u64 = 10_000;
-/// How long the other control processes may take to tell what their followers have.
-const CENSUS: Duration = Duration::from_secs(1);
+/// The retry delay given to a follower for which a parent has no room, in milliseconds.
+const FULL_RETRY_AFTER_MS: u64 = 10_000;
+/// The timeout for requesting the reports of the other control processes.
+const REPORTS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Adds the paths by which children follow and operators ask. [`crate::start`] must run before.
+/// Adds the routes for followers and operators. [`crate::start`] must run before.
 ///
 /// # Errors
 ///
-/// [`MissingService`] if it did not.
+/// [`MissingService`] if it has not run.
 pub fn routes(
     routes: &mut Routes,
     kernel: &Kernel,
     settings: &Settings,
 ) -> Result<(), MissingService> {
     let _ = settings;
-    let desk = Rc::new(Desk {
+    let handlers = Rc::new(ConfigRoutes {
         kernel: kernel.clone(),
-        shared: Arc::clone(kernel.registry.find::<Arc<Shared>>(SHARED)?.as_ref()),
+        shared: Arc::clone(kernel.registry.find::<Arc<SharedState>>(SHARED_STATE)?.as_ref()),
         members: kernel.registry.find::<Membership>(chicoryford_membership::SERVICE)?,
         client: kernel.registry.find::<Caller>(CALLER)?.client(),
     });
-    let held = desk.clone();
+    let shared_handlers = handlers.clone();
     routes.add(paths::FOLLOW, &[Kind::Process], move |call| {
-        let desk = held.clone();
-        async move { desk.follow(&call).await.unwrap_or_else(|f| reply::peer_failure(&f)) }
+        let handlers = shared_handlers.clone();
+        async move { handlers.follow(&call).await.unwrap_or_else(|f| reply::peer_failure(&f)) }
     });
-    let held = desk.clone();
+    let shared_handlers = handlers.clone();
     routes.add(paths::SUBTREE, &[Kind::Process], move |_| {
-        let desk = held.clone();
-        async move { reply::msgpack(&desk.reports()) }
+        let handlers = shared_handlers.clone();
+        async move { reply::msgpack(&handlers.reports()) }
     });
-    let held = desk.clone();
+    let shared_handlers = handlers.clone();
     routes.add(paths::CONFIG, &[Kind::Operator, Kind::Process], move |_| {
-        let desk = held.clone();
-        async move { reply::json(200, desk.shared.store().config().as_ref()) }
+        let handlers = shared_handlers.clone();
+        async move { reply::json(200, handlers.shared.store().config().as_ref()) }
     });
     routes.add(paths::IN_FORCE, &[Kind::Operator, Kind::Process], move |call| {
-        let desk = desk.clone();
-        async move { desk.in_force(&call).await.unwrap_or_else(|f| reply::failure(&f)) }
+        let handlers = handlers.clone();
+        async move { handlers.in_force(&call).await.unwrap_or_else(|f| reply::failure(&f)) }
     });
     Ok(())
 }
 
-struct Desk {
+/// The state of the route handlers.
+struct ConfigRoutes {
     kernel: Kernel,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     members: Arc<Membership>,
     client: Client,
 }
 
-impl Desk {
+impl ConfigRoutes {
     async fn follow(&self, call: &Call) -> Result<Reply, Failure> {
-        let follow = call.msgpack::<Follow>()?;
-        if self.shared.hear(&follow, self.kernel.now()) == Heard::Full {
-            let failure = Failure::not_run(Code::Overloaded, "this parent has all its children");
-            return Err(failure.retry_after(FULL_MS));
+        let request = call.msgpack::<FollowRequest>()?;
+        if self.shared.record_follower(&request, self.kernel.now()) == FollowOutcome::Full {
+            let failure =
+                Failure::not_run(Code::Overloaded, "this parent has no room for another follower");
+            return Err(failure.retry_after(FULL_RETRY_AFTER_MS));
         }
-        if let Some(answer) = self.compare(&follow) {
-            return Ok(reply::msgpack(&answer));
+        if let Some(repair) = self.check_digest(&request) {
+            return Ok(reply::msgpack(&repair));
         }
-        self.wait_for_news(&follow).await;
+        self.wait_for_change(&request).await;
         let store = self.shared.store();
-        let delta = (store.at() > follow.at).then(|| store.delta_since(follow.at));
-        Ok(reply::msgpack(&Followed { at: store.at(), delta, repair: false }))
+        let delta = (store.at() > request.at).then(|| store.delta_since(request.at));
+        Ok(reply::msgpack(&FollowReply { at: store.at(), delta, repair: false }))
     }
 
-    /// Compares the whole configuration with a follower's at the same position. Copies of one
-    /// position that differ mean that a change was lost or damaged on the way, which no later
-    /// change would mend; the follower is given the parent's.
-    fn compare(&self, follow: &Follow) -> Option<Followed> {
-        let digest = follow.digest?;
+    /// Compares the whole configuration with a follower's at the same position. If they differ, a
+    /// change was lost or damaged in transit, which no later change would correct, so the reply
+    /// replaces the follower's copy by the parent's.
+    fn check_digest(&self, request: &FollowRequest) -> Option<FollowReply> {
+        let digest = request.digest?;
         let mut store = self.shared.store();
         let (at, own) = (store.at(), store.digest());
-        if at != follow.at || own == digest {
+        if at != request.at || own == digest {
             return None;
         }
-        tracing::error!(event = "config_differs", %at, child = %follow.node);
+        tracing::error!(event = "config_differs", %at, child = %request.node);
         let delta = Some(Delta::Snapshot(Box::new((*store.config()).clone())));
-        Some(Followed { at, delta, repair: true })
+        Some(FollowReply { at, delta, repair: true })
     }
 
-    /// Waits for something that the follower lacks. One that is ahead is answered at once, so
-    /// that it can turn to another parent.
-    async fn wait_for_news(&self, follow: &Follow) {
-        let mut news = self.shared.watch();
-        let wait = Duration::from_millis(follow.wait_ms.min(WAIT_MS));
+    /// Waits until the position differs from the follower's. A follower that is ahead is answered
+    /// at once, so that it can choose another parent.
+    async fn wait_for_change(&self, request: &FollowRequest) {
+        let mut changes = self.shared.watch();
+        let wait = Duration::from_millis(request.wait_ms.min(LONG_POLL_MS));
         tokio::select! {
-            _ = news.wait_for(|config| config.at != follow.at) => {}
+            _ = changes.wait_for(|config| config.at != request.at) => {}
             () = actix_rt::time::sleep(wait) => {}
             () = self.kernel.phases.reached(Phase::Stopping) => {}
         }
     }
 
+    /// Returns the reports of this process and of the processes below it.
     fn reports(&self) -> Vec<Report> {
         let own = self.members.own();
         let at = self.shared.store().at();
@@ -137,28 +140,30 @@
         reports
     }
 
-    /// Judges over the reports of all control processes, among whom the others are divided.
+    /// Evaluates the reports of all control processes, which together cover all other processes.
     async fn in_force(&self, call: &Call) -> Result<Reply, Failure> {
-        let wanted = wanted_position(&call.query)?;
+        let requested = parse_position(&call.query)?;
         let (view, own) = (self.members.view(), self.members.own());
         let controls = view.present().filter(|m| m.roles.control && m.node != own.node);
-        let asked = controls.map(|control| self.ask_reports(&control.address));
-        let mut reports: Vec<_> = join_all(asked).await.into_iter().flatten().collect();
+        let requests = controls.map(|control| self.fetch_reports(&control.address));
+        let mut reports: Vec<_> = join_all(requests).await.into_iter().flatten().collect();
         reports.extend(self.reports());
         let newest = reports.iter().map(|report| report.at).max().unwrap_or_default();
-        Ok(reply::json(200, &judge(wanted.unwrap_or(newest), &view, &reports)))
+        Ok(reply::json(200, &evaluate(requested.unwrap_or(newest), &view, &reports)))
     }
 
-    /// Asks one control process; one that is silent leaves its followers among the lagging.
-    async fn ask_reports(&self, address: &str) -> Vec<Report> {
-        let asked = self.client.call::<(), Vec<Report>>(address, paths::SUBTREE, &(), CENSUS);
-        asked.await.unwrap_or_default()
+    /// Requests the reports of one control process. If it does not answer, its followers count as
+    /// lagging.
+    async fn fetch_reports(&self, address: &str) -> Vec<Report> {
+        let request =
+            self.client.call::<(), Vec<Report>>(address, paths::SUBTREE, &(), REPORTS_TIMEOUT);
+        request.await.unwrap_or_default()
     }
 }
 
-/// Reads the position asked about from a query `at=<epoch>.<revision>`; none if it asks about
-/// the newest.
-fn wanted_position(query: &str) -> Result<Option<Position>, Failure> {
+/// Parses the position in a query `at=<epoch>.<revision>`. Returns `None` if the query has none,
+/// which requests the newest position.
+fn parse_position(query: &str) -> Result<Option<Position>, Failure> {
     let Some(text) = query.split('&').find_map(|pair| pair.strip_prefix("at=")) else {
         return Ok(None);
     };
@@ -166,7 +171,7 @@
         .split_once('.')
         .and_then(|(epoch, revision)| Some((epoch.parse().ok()?, revision.parse().ok()?)));
     let (epoch, revision) = numbers.ok_or_else(|| {
-        Failure::not_run(Code::BadRequest, "a position reads at=<epoch>.<revision>")
+        Failure::not_run(Code::BadRequest, "a position must have the form at=<epoch>.<revision>")
     })?;
     Ok(Some(Position { epoch: Epoch(epoch), revision: Revision(revision) }))
 }
--- a/components/config/src/shared.rs
+++ b/components/config/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the follower duty, the feed and the HTTP threads of a process share.
+//! The state shared by the follower duty, the feed and the HTTP threads of a process.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -9,46 +9,47 @@
 use tokio::sync::watch;
 
 use crate::children::Children;
-use crate::children::Heard;
-use crate::message::Follow;
-use crate::standing::Standing;
+use crate::children::FollowOutcome;
+use crate::message::FollowRequest;
+use crate::status::FollowerStatus;
 use crate::store::Store;
 
-/// The name under which [`Shared`] is offered to the HTTP threads.
-pub const SHARED: &str = "config_shared";
+/// The name under which [`SharedState`] is registered for the HTTP threads.
+pub const SHARED_STATE: &str = "config_shared";
 
-/// What the follower duty, the feed and the HTTP threads share. The locks are held for the time
-/// of one decision, never over input or output.
-pub struct Shared {
+/// The state shared by the follower duty, the feed and the HTTP threads. Locks are held only for
+/// one decision, never during input or output.
+pub struct SharedState {
     store: Mutex<Store>,
     children: Mutex<Children>,
     current: watch::Sender<Arc<Config>>,
-    below: watch::Sender<u64>,
-    standing: Mutex<Standing>,
+    subtree_changes: watch::Sender<u64>,
+    status: Mutex<FollowerStatus>,
 }
 
-impl Shared {
-    /// Starts from what the disk held.
+impl SharedState {
+    /// Creates the state with the configuration loaded from disk.
     pub fn new(store: Store) -> Self {
         let current = watch::Sender::new(store.config());
         Self {
             store: Mutex::new(store),
             children: Mutex::default(),
             current,
-            below: watch::Sender::new(0),
-            standing: Mutex::default(),
+            subtree_changes: watch::Sender::new(0),
+            status: Mutex::default(),
         }
     }
 
-    /// Changes the store and tells all who watch if `change` says that it moved.
-    pub fn change(&self, change: impl FnOnce(&mut Store) -> bool) -> bool {
+    /// Updates the store, and notifies the receivers if `update` returns that the configuration
+    /// changed. Returns whether it did.
+    pub fn update(&self, update: impl FnOnce(&mut Store) -> bool) -> bool {
         let mut store = self.store();
-        let moved = change(&mut store);
-        if moved {
-            // Sent under the lock, so that no older configuration is sent after a newer one.
+        let is_changed = update(&mut store);
+        if is_changed {
+            // Sent while the lock is held, so that no older configuration follows a newer one.
             self.current.send_replace(store.config());
         }
-        moved
+        is_changed
     }
 
     /// Locks the store.
@@ -61,26 +62,26 @@
         self.children.lock().expect("no duty panics while it holds this lock")
     }
 
-    /// Takes a follower's question in, and tells the follower duty if it brought news.
-    pub fn hear(&self, follow: &Follow, now: Millis) -> Heard {
-        let heard = self.children().hear(follow, now);
-        if heard == Heard::News {
-            self.below.send_modify(|count| *count += 1);
+    /// Records a follower's request, and notifies the follower duty if the subtree changed.
+    pub fn record_follower(&self, request: &FollowRequest, now: Millis) -> FollowOutcome {
+        let outcome = self.children().record(request, now);
+        if outcome == FollowOutcome::Changed {
+            self.subtree_changes.send_modify(|count| *count += 1);
         }
-        heard
+        outcome
     }
 
-    /// Locks what is known of this process's own parent.
-    pub fn standing(&self) -> MutexGuard<'_, Standing> {
-        self.standing.lock().expect("no duty panics while it holds this lock")
+    /// Locks the status of the follower.
+    pub fn status(&self) -> MutexGuard<'_, FollowerStatus> {
+        self.status.lock().expect("no duty panics while it holds this lock")
     }
 
-    /// Gives a receiver that tells when something changed below this process.
-    pub fn watch_below(&self) -> watch::Receiver<u64> {
-        self.below.subscribe()
+    /// Returns a receiver that is notified when the subtree below this process changes.
+    pub fn watch_subtree(&self) -> watch::Receiver<u64> {
+        self.subtree_changes.subscribe()
     }
 
-    /// Gives a receiver that tells when the configuration changes.
+    /// Returns a receiver that is notified when the configuration changes.
     pub fn watch(&self) -> watch::Receiver<Arc<Config>> {
         self.current.subscribe()
     }
--- a/components/config/src/store.rs
+++ b/components/config/src/store.rs
@@ -1,4 +1,4 @@
-//! The configuration that a process has, and the changes that led to it.
+//! The configuration of a process and its recent changes.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use chicoryford_types::Digest;
 use chicoryford_types::Position;
 
-/// The configuration that a process has. It only ever moves forward.
+/// The configuration of a process. Its position only ever increases.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     config: Arc<Config>,
@@ -17,36 +17,37 @@
     digest: Option<Digest>,
 }
 
-/// What taking in a delta led to.
+/// The result of applying a delta.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Absorbed {
-    /// The configuration moved forward.
-    Moved,
-    /// Nothing new was in it.
-    Nothing,
-    /// It starts at a position at which this process does not stand; a snapshot is needed.
+pub enum DeltaResult {
+    /// The configuration advanced.
+    Advanced,
+    /// The delta contained nothing new.
+    Unchanged,
+    /// The delta starts after the position of this process, so that changes are missing between
+    /// them.
     Gap,
 }
 
 impl Store {
-    /// Starts from what the disk held.
+    /// Creates a store with the configuration loaded from disk.
     pub fn new(config: Config) -> Self {
         let recent = RecentChanges::starting_at(config.at);
         Self { config: Arc::new(config), recent, digest: None }
     }
 
-    /// Gives the configuration.
+    /// Returns the configuration.
     pub fn config(&self) -> Arc<Config> {
         self.config.clone()
     }
 
-    /// Gives the position.
+    /// Returns the position.
     pub fn at(&self) -> Position {
         self.config.at
     }
 
-    /// Applies one change; returns whether it lay ahead.
-    pub fn push(&mut self, at: Position, change: Change) -> bool {
+    /// Applies one change. Returns whether it was ahead of the current position.
+    pub fn apply(&mut self, at: Position, change: Change) -> bool {
         if at <= self.config.at {
             return false;
         }
@@ -56,11 +57,11 @@
         true
     }
 
-    /// Takes a whole configuration over; returns whether it lay ahead.
+    /// Replaces the configuration if the new one is ahead. Returns whether it was.
     ///
-    /// A replica that starts again feeds the snapshot on its disk first, which may lie behind
-    /// what this process had in force before it stopped; that is left alone.
-    pub fn reset(&mut self, config: Config) -> bool {
+    /// A restarted replica first feeds the snapshot on its disk, which may be behind what this
+    /// process had in force before it stopped. Such a snapshot is ignored.
+    pub fn replace(&mut self, config: Config) -> bool {
         if config.at <= self.config.at {
             return false;
         }
@@ -68,8 +69,8 @@
         true
     }
 
-    /// Takes over a configuration of the same position whose content differs, by which a copy
-    /// that was damaged is repaired; returns whether it was taken.
+    /// Replaces a damaged copy by a configuration with the same position and different content.
+    /// Returns whether it was replaced.
     pub fn repair(&mut self, config: Config) -> bool {
         if config.at != self.config.at || config == *self.config {
             return false;
@@ -78,8 +79,8 @@
         true
     }
 
-    /// Gives the configuration that [`Store::absorb`] would lead to, none if it would not move;
-    /// it is saved before it is put in force.
+    /// Returns the configuration that [`Store::apply_delta`] would produce, so that it can be saved
+    /// before it is put in force; `None` if the delta would not advance it.
     pub fn preview(&self, delta: &Delta) -> Option<Config> {
         match delta {
             Delta::Snapshot(config) => (config.at > self.config.at).then(|| (**config).clone()),
@@ -94,28 +95,28 @@
         }
     }
 
-    /// Takes in what a parent answered.
-    pub fn absorb(&mut self, delta: Delta) -> Absorbed {
-        let moved = match delta {
-            Delta::Snapshot(config) => self.reset(*config),
-            Delta::Changes { from, .. } if from > self.config.at => return Absorbed::Gap,
+    /// Applies the delta of a parent's reply.
+    pub fn apply_delta(&mut self, delta: Delta) -> DeltaResult {
+        let advanced = match delta {
+            Delta::Snapshot(config) => self.replace(*config),
+            Delta::Changes { from, .. } if from > self.config.at => return DeltaResult::Gap,
             Delta::Changes { changes, .. } => {
-                let mut moved = false;
+                let mut advanced = false;
                 for (at, change) in changes {
-                    moved |= self.push(at, change);
+                    advanced |= self.apply(at, change);
                 }
-                moved
+                advanced
             }
         };
-        if moved { Absorbed::Moved } else { Absorbed::Nothing }
+        if advanced { DeltaResult::Advanced } else { DeltaResult::Unchanged }
     }
 
-    /// Gives what a child at `from` needs.
+    /// Returns the delta that a child at position `from` needs.
     pub fn delta_since(&self, from: Position) -> Delta {
         self.recent.delta(&self.config, from)
     }
 
-    /// Gives the digest of the whole configuration, by which two copies are compared.
+    /// Returns the digest of the whole configuration, which is used to compare two copies.
     pub fn digest(&mut self) -> Digest {
         let config = &self.config;
         *self.digest.get_or_insert_with(|| {
--- a/components/config/tests/loopback.rs
+++ b/components/config/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! A control process, an entry and an agent over loopback.
+//! Configuration distributed between a control process, an entry and an agent over loopback.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -38,7 +38,7 @@
 use chicoryford_wire::server::serve;
 use tokio::sync::watch;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
 /// The view of members that all processes of the test share.
 type View = Arc<watch::Sender<Arc<Members>>>;
@@ -68,9 +68,9 @@
     kernel.registry.offer(CALLER, Caller { token: Some("secret".to_owned()), tls: None });
     chicoryford_config::start(&kernel, &settings).unwrap();
     let (stop, mut stopped) = watch::channel(false);
-    let (told, address) = mpsc::channel();
+    let (address_sender, address) = mpsc::channel();
     let path = keys();
-    let held = kernel.clone();
+    let serving_kernel = kernel.clone();
     let thread = thread::spawn(move || {
         actix_rt::System::new().block_on(async move {
             let keys = Arc::new(Keys::load(&path).unwrap());
@@ -78,11 +78,11 @@
             let any = "127.0.0.1:0".parse().unwrap();
             let running = serve(any, &bounds, keys, None, move || {
                 let mut routes = Routes::default();
-                chicoryford_config::routes(&mut routes, &held, &settings).unwrap();
+                chicoryford_config::routes(&mut routes, &serving_kernel, &settings).unwrap();
                 routes
             });
             let running = running.unwrap();
-            told.send(running.address.to_string()).unwrap();
+            address_sender.send(running.address.to_string()).unwrap();
             stopped.wait_for(|stop| *stop).await.unwrap();
             running.handle.stop(false).await;
         });
@@ -114,7 +114,7 @@
         self.kernel.registry.find::<Handle>(chicoryford_config::SERVICE).unwrap().current().at
     }
 
-    /// Asks this process until exactly `lagging` lag, or until patience ends.
+    /// Queries this process until exactly `lagging` are lagging, or until [`MAX_WAIT`] has passed.
     fn in_force(&self, at: Position, lagging: &[Node]) -> InForce {
         let client = Caller { token: Some("secret".to_owned()), tls: None };
         let address = self.member.address.clone();
@@ -125,11 +125,11 @@
             loop {
                 let url = client.url(&address, paths::IN_FORCE);
                 let mut answer = client.get(&url).send().await.unwrap();
-                let judged: InForce =
+                let in_force: InForce =
                     serde_json::from_slice(&answer.body().await.unwrap()).unwrap();
-                let is_so = judged.at == at && judged.lagging == lagging;
-                if is_so || started.elapsed() > PATIENCE {
-                    return judged;
+                let is_expected = in_force.at == at && in_force.lagging == lagging;
+                if is_expected || started.elapsed() > MAX_WAIT {
+                    return in_force;
                 }
                 actix_rt::time::sleep(Duration::from_millis(20)).await;
             }
@@ -142,11 +142,10 @@
 }
 
 #[test]
-fn a_change_is_in_force_everywhere_and_a_restarted_agent_does_not_go_back() {
-    // Symptom: after a restart an agent serves by an older configuration than before.
-    // Sequence: agent and entry follow; the agent is down for 300 changes; it starts again while
-    // the only parent that it finds lies behind it.
-    // Cause: it must start from its disk and refuse what lies behind; later it must catch up.
+fn a_change_is_in_force_everywhere_and_a_restarted_agent_does_not_regress() {
+    // Guards against an agent that uses an older configuration after a restart. The agent is down
+    // for 300 changes and restarts while another control process is behind it. It must start with
+    // the configuration on its disk, ignore what is behind it, and catch up later.
     let view = Arc::new(watch::Sender::new(Arc::new(Members::default())));
     let folder = tempfile::tempdir().unwrap();
     let data = Some(folder.path().to_owned());
@@ -157,9 +156,9 @@
     for revision in 1..=5 {
         control.feed(3, revision);
     }
-    let judged = control.in_force(at(3, 5), &[]);
-    assert!(judged.everywhere, "{judged:?}");
-    assert_eq!((judged.at, judged.processes), (at(3, 5), 3));
+    let in_force = control.in_force(at(3, 5), &[]);
+    assert!(in_force.everywhere, "{in_force:?}");
+    assert_eq!((in_force.at, in_force.processes), (at(3, 5), 3));
     assert_eq!(agent.at(), at(3, 5));
 
     agent.stop();
--- a/components/config/tests/proposer.rs
+++ b/components/config/tests/proposer.rs
@@ -1,4 +1,4 @@
-//! Commands find a control process that takes them.
+//! Proposing commands to the control processes.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -28,7 +28,7 @@
 use chicoryford_wire::server::serve;
 use tokio::sync::watch;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
 fn keys() -> Arc<Keys> {
     let file = tempfile::NamedTempFile::new().unwrap();
@@ -36,7 +36,7 @@
     Arc::new(Keys::load(file.path()).unwrap())
 }
 
-/// Runs a control process that answers each proposal by what `answer` gives for its number.
+/// Runs a control process that answers each proposal with the result of `answer` for its number.
 fn control(answer: fn(u32) -> Result<Reply, Failure>) -> Running {
     let bounds = Bounds { workers: 1, ..Bounds::default() };
     let any = "127.0.0.1:0".parse().unwrap();
@@ -75,9 +75,9 @@
 
 #[test]
 fn tries_others_while_there_is_no_leader() {
-    // Symptom: an operator's change fails though a majority of control processes works.
-    // Sequence: one control process is dead, one has no quorum for a while.
-    // Cause: neither answer tells anything about the others; all must be tried until the timeout.
+    // Guards against a change of an operator that fails although a majority of the control
+    // processes works. One control process is dead, and one temporarily has no quorum. Neither
+    // failure says anything about the others, so all must be tried until the timeout.
     actix_rt::System::new().block_on(async {
         let running = control(|number| match number {
             1 => Err(Failure::not_run(Code::NoQuorum, "an election runs")),
@@ -86,35 +86,35 @@
         });
         let dead = "127.0.0.1:1".to_owned();
         let client = client(&[dead, running.address.to_string()]);
-        assert_eq!(client.propose(&Command::Nothing, PATIENCE).await, Ok(Reply::Done));
+        assert_eq!(client.propose(&Command::Nothing, MAX_WAIT).await, Ok(Reply::Done));
         running.handle.stop(false).await;
     });
 }
 
 #[test]
-fn says_not_run_only_if_no_try_can_have_arrived() {
+fn reports_not_run_only_if_no_try_can_have_arrived() {
     actix_rt::System::new().block_on(async {
         let short = Duration::from_millis(400);
-        let nobody = client(&["127.0.0.1:1".to_owned()]);
-        let failure = nobody.propose(&Command::Nothing, short).await.unwrap_err();
+        let unreachable = client(&["127.0.0.1:1".to_owned()]);
+        let failure = unreachable.propose(&Command::Nothing, short).await.unwrap_err();
         assert_eq!((failure.code, failure.outcome), (Code::NoQuorum, Outcome::NotRun));
         let running = control(|_| Err(Failure::unknown(Code::NoQuorum, "the leader was lost")));
-        let lost = client(&[running.address.to_string()]);
-        let failure = lost.propose(&Command::Nothing, short).await.unwrap_err();
+        let uncertain = client(&[running.address.to_string()]);
+        let failure = uncertain.propose(&Command::Nothing, short).await.unwrap_err();
         assert_eq!((failure.code, failure.outcome), (Code::NoQuorum, Outcome::Unknown));
         running.handle.stop(false).await;
     });
 }
 
 #[test]
-fn errors_at_once_on_what_no_control_process_would_take() {
+fn fails_at_once_on_a_command_that_every_control_process_would_refuse() {
     actix_rt::System::new().block_on(async {
         let running = control(|number| match number {
             1 => Err(Failure::not_run(Code::BadRequest, "malformed")),
             _ => Ok(Reply::Done),
         });
         let client = client(&[running.address.to_string()]);
-        let failure = client.propose(&Command::Nothing, PATIENCE).await.unwrap_err();
+        let failure = client.propose(&Command::Nothing, MAX_WAIT).await.unwrap_err();
         assert_eq!(failure.code, Code::BadRequest);
         running.handle.stop(false).await;
     });
--- a/components/config/tests/store.rs
+++ b/components/config/tests/store.rs
@@ -1,11 +1,11 @@
-//! What a process holds only ever moves forward, by changes or by a snapshot.
+//! The configuration of a process advances by changes or snapshots and never regresses.
 
 use std::fs;
 
-use chicoryford_config::disk::Disk;
-use chicoryford_config::disk::DiskError;
-use chicoryford_config::disk::FILE;
-use chicoryford_config::store::Absorbed;
+use chicoryford_config::config_file::ConfigFile;
+use chicoryford_config::config_file::ConfigFileError;
+use chicoryford_config::config_file::FILE_NAME;
+use chicoryford_config::store::DeltaResult;
 use chicoryford_config::store::Store;
 use chicoryford_state::recent::MAX_RECENT_CHANGES;
 use chicoryford_types::Change;
@@ -31,91 +31,91 @@
 fn parent(changes: u64, workspaces: u64) -> Store {
     let mut store = Store::default();
     for revision in 1..=changes {
-        assert!(store.push(at(1, revision), change(revision, workspaces)));
+        assert!(store.apply(at(1, revision), change(revision, workspaces)));
     }
     store
 }
 
 #[test]
 fn can_restart_after_hundreds_of_missed_changes() {
-    // Symptom: a restarted process is given hundreds of changes one by one, or none at all.
-    // Sequence: it saves at revision 10, is down for 700 changes of 20 templates, starts again.
-    // Cause: the parent must send the last change of each template, joined on to revision 10.
+    // Guards against a restarted process that receives hundreds of changes one by one, or none. It
+    // saves at revision 10, is down for 700 changes of 20 templates, and restarts. The parent must
+    // send the last change of each template, as a delta from revision 10.
     let folder = tempfile::tempdir().unwrap();
-    let disk = Disk::new(folder.path());
-    disk.save(&parent(10, 20).config()).unwrap();
+    let file = ConfigFile::new(folder.path());
+    file.save(&parent(10, 20).config()).unwrap();
     let parent = parent(710, 20);
 
-    let mut child = Store::new(disk.load().unwrap().unwrap());
+    let mut child = Store::new(file.load().unwrap().unwrap());
     let delta = parent.delta_since(child.at());
     let Delta::Changes { changes, .. } = &delta else { panic!("a snapshot for a short gap") };
     assert_eq!(changes.len(), 20);
     assert_eq!(child.preview(&delta).as_ref(), Some(parent.config().as_ref()));
-    assert_eq!(child.absorb(delta), Absorbed::Moved);
+    assert_eq!(child.apply_delta(delta), DeltaResult::Advanced);
     assert_eq!(child.config(), parent.config());
 }
 
 #[test]
-fn can_catch_up_by_snapshot_when_changes_are_no_longer_kept() {
+fn can_catch_up_by_snapshot_when_the_changes_are_no_longer_stored() {
     let parent = parent(MAX_RECENT_CHANGES as u64 + 20, 5);
     let mut child = Store::default();
     let delta = parent.delta_since(child.at());
     assert!(matches!(delta, Delta::Snapshot(_)));
-    assert_eq!(child.absorb(delta), Absorbed::Moved);
+    assert_eq!(child.apply_delta(delta), DeltaResult::Advanced);
     assert_eq!(child.config(), parent.config());
 }
 
 #[test]
-fn never_goes_back_for_a_parent_that_is_behind() {
-    // Symptom: a template that was replaced minutes ago is in force again at one process.
-    // Sequence: its parent dies; the next parent was cut off and still stands at an earlier
-    // revision, or at a higher revision of an earlier epoch.
-    // Cause: the answer of a parent that lies behind must be ignored, snapshot or changes.
+fn never_regresses_for_a_parent_that_is_behind() {
+    // Guards against a template that was replaced minutes ago and is in force again at one process.
+    // Its parent dies, and the next parent was partitioned and is still at an earlier revision, or
+    // at a higher revision of an earlier epoch. The reply of a parent that is behind must be
+    // ignored, whether it contains a snapshot or changes.
     let mut child = Store::default();
-    child.push(at(2, 5), change(5, 3));
+    child.apply(at(2, 5), change(5, 3));
     let before = child.config();
     for old in [parent(4, 3), parent(9, 3)] {
-        assert_eq!(child.absorb(old.delta_since(Position::default())), Absorbed::Nothing);
+        assert_eq!(child.apply_delta(old.delta_since(Position::default())), DeltaResult::Unchanged);
         assert_eq!(
-            child.absorb(Delta::Snapshot(Box::new((*old.config()).clone()))),
-            Absorbed::Nothing
+            child.apply_delta(Delta::Snapshot(Box::new((*old.config()).clone()))),
+            DeltaResult::Unchanged
         );
-        assert!(!child.reset((*old.config()).clone()));
+        assert!(!child.replace((*old.config()).clone()));
         assert_eq!(child.config(), before);
     }
 }
 
 #[test]
-fn errors_on_changes_that_do_not_join_on() {
+fn fails_on_changes_that_do_not_follow_the_current_position() {
     let mut child = Store::default();
     let delta = parent(9, 3).delta_since(at(1, 4));
     assert_eq!(child.preview(&delta), None);
-    assert_eq!(child.absorb(delta), Absorbed::Gap);
+    assert_eq!(child.apply_delta(delta), DeltaResult::Gap);
     assert_eq!(child.at(), Position::default());
 }
 
 #[test]
-fn errors_on_a_torn_or_damaged_file_and_keeps_the_last_on_a_failed_save() {
-    // Symptom: a process starts with a configuration that was never accepted.
-    // Sequence: the VM loses power while the file is written, or the disk flips a bit.
-    // Cause: the file's checksum must cover every byte; a save must not touch the last one.
+fn fails_on_an_incomplete_or_damaged_file_and_keeps_the_previous_file_on_a_failed_save() {
+    // Guards against a process that starts with a configuration that was never accepted. The VM
+    // loses power while the file is written, or the disk flips a bit. The checksum must cover every
+    // byte of the file, and a failed save must not change the previous file.
     let folder = tempfile::tempdir().unwrap();
-    let disk = Disk::new(folder.path());
-    assert!(matches!(disk.load(), Ok(None)));
+    let file = ConfigFile::new(folder.path());
+    assert!(matches!(file.load(), Ok(None)));
     let config = parent(5, 3).config();
-    disk.save(&config).unwrap();
-    let path = folder.path().join(FILE);
-    let whole = fs::read(&path).unwrap();
-    for place in 0..whole.len() {
-        let mut damaged = whole.clone();
-        damaged[place] ^= 1;
+    file.save(&config).unwrap();
+    let path = folder.path().join(FILE_NAME);
+    let original = fs::read(&path).unwrap();
+    for offset in 0..original.len() {
+        let mut damaged = original.clone();
+        damaged[offset] ^= 1;
         fs::write(&path, &damaged).unwrap();
-        assert!(matches!(disk.load(), Err(DiskError::Damaged(_))), "byte {place}");
-        fs::write(&path, &whole[..place]).unwrap();
-        assert!(matches!(disk.load(), Err(DiskError::Damaged(_))), "cut at {place}");
+        assert!(matches!(file.load(), Err(ConfigFileError::Damaged(_))), "byte {offset}");
+        fs::write(&path, &original[..offset]).unwrap();
+        assert!(matches!(file.load(), Err(ConfigFileError::Damaged(_))), "cut at {offset}");
     }
-    fs::write(&path, &whole).unwrap();
+    fs::write(&path, &original).unwrap();
     fs::create_dir(folder.path().join("config.new")).unwrap();
-    assert!(matches!(disk.save(&Config::default()), Err(DiskError::Write(..))));
-    assert_eq!(disk.load().unwrap().as_ref(), Some(config.as_ref()));
+    assert!(matches!(file.save(&Config::default()), Err(ConfigFileError::Write(..))));
+    assert_eq!(file.load().unwrap().as_ref(), Some(config.as_ref()));
 }
