--- a/components/agent/src/monitor.rs
+++ b/components/agent/src/monitor.rs
@@ -42,7 +42,7 @@
 const CRASH_REPORT_TIMEOUT: Duration = Duration::from_secs(10);
 /// The maximum number of attempts to report a crash. If there is no majority for longer, the report
 /// is lost, and the content is reported only if it is in progress at another crash.
-const MAX_CRASH_REPORTS: u32 = 30;
+const MAX_CRASH_REPORT_ATTEMPTS: u32 = 30;
 
 /// The monitor duty.
 pub struct Monitor {
@@ -254,7 +254,7 @@
 }
 
 async fn propose_crash(proposer: ProposerClient, command: Command) {
-    for _ in 0..MAX_CRASH_REPORTS {
+    for _ in 0..MAX_CRASH_REPORT_ATTEMPTS {
         match proposer.propose_until_timeout(&command, CRASH_REPORT_TIMEOUT).await {
             Ok(reply) => return tracing::info!(event = "crash_told", ?reply),
             Err(error) => tracing::warn!(event = "crash_untold", %error),
--- a/components/config/src/routes.rs
+++ b/components/config/src/routes.rs
@@ -57,19 +57,19 @@
         members: kernel.registry.find::<Membership>(chicoryford_membership::SERVICE)?,
         client: kernel.registry.find::<Caller>(CALLER)?.client(),
     });
-    let shared_handlers = handlers.clone();
+    let route_handlers = handlers.clone();
     routes.add(paths::FOLLOW, &[Kind::Process], move |call| {
-        let handlers = shared_handlers.clone();
+        let handlers = route_handlers.clone();
         async move { handlers.follow(&call).await.unwrap_or_else(|f| reply::peer_failure(&f)) }
     });
-    let shared_handlers = handlers.clone();
+    let route_handlers = handlers.clone();
     routes.add(paths::SUBTREE, &[Kind::Process], move |_| {
-        let handlers = shared_handlers.clone();
+        let handlers = route_handlers.clone();
         async move { reply::msgpack(&handlers.reports()) }
     });
-    let shared_handlers = handlers.clone();
+    let route_handlers = handlers.clone();
     routes.add(paths::CONFIG, &[Kind::Operator, Kind::Process], move |_| {
-        let handlers = shared_handlers.clone();
+        let handlers = route_handlers.clone();
         async move { reply::json(200, handlers.shared.store().config().as_ref()) }
     });
     routes.add(paths::IN_FORCE, &[Kind::Operator, Kind::Process], move |call| {
