--- a/components/agreement/src/replica.rs
+++ b/components/agreement/src/replica.rs
@@ -94,7 +94,7 @@
         let base = snapshot.meta.last;
         let entries: Vec<Entry> =
             saved.entries.into_iter().filter(|entry| entry.id.index > base.index).collect();
-        let changes = collect_memberships(&snapshot, &entries);
+        let memberships = collect_memberships(&snapshot, &entries);
         let log = Log::new(base, entries);
         let mut hard = saved.hard;
         if log.last().epoch > hard.epoch {
@@ -110,7 +110,7 @@
             hard,
             log,
             snapshot,
-            memberships: changes,
+            memberships,
             leader: None,
             leader_contact: Millis::default(),
             restart: RestartState::default(),
@@ -420,14 +420,14 @@
 }
 
 fn collect_memberships(snapshot: &Snapshot, entries: &[Entry]) -> Vec<(u64, Membership)> {
-    let mut changes = Vec::new();
+    let mut memberships = Vec::new();
     if !snapshot.meta.members.replicas.is_empty() {
-        changes.push((snapshot.meta.last.index, snapshot.meta.members.clone()));
+        memberships.push((snapshot.meta.last.index, snapshot.meta.members.clone()));
     }
     for entry in entries {
         if let Payload::Members(members) = &entry.payload {
-            changes.push((entry.id.index, members.clone()));
+            memberships.push((entry.id.index, members.clone()));
         }
     }
-    changes
+    memberships
 }
