--- a/components/admission/src/admission.rs
+++ b/components/admission/src/admission.rs
@@ -15,24 +15,24 @@
 use rand::rngs::SmallRng;
 use serde::Serialize;
 
-use crate::ask::Action;
-use crate::ask::Done;
-use crate::ask::Refused;
-use crate::ask::Room;
-use crate::feasible::Feasible;
-use crate::queue::Fair;
-use crate::queue::Key;
-use crate::queue::Line;
+use crate::duration_quantile::DurationQuantile;
+use crate::queue::ClassQueue;
+use crate::queue::FairClock;
+use crate::queue::QueueKey;
+use crate::request::Action;
+use crate::request::Capacity;
+use crate::request::Completion;
+use crate::request::Refusal;
 use crate::settings::Settings;
 use crate::shares::Lease;
-use crate::workspace::Used;
+use crate::workspace::WorkspaceUsage;
 
 /// Starts that samples can be owed at most; more would let them crowd out callers later.
-const CREDIT: f32 = 8.0;
+const MAX_CREDIT: f32 = 8.0;
 /// Refused requests that are remembered, to check that none of them runs.
-const REMEMBERED: usize = 1_024;
+const REMEMBERED_REFUSALS: usize = 1_024;
 /// The least milliseconds after which a refused caller is told to come back.
-pub(crate) const COME_BACK: u64 = 100;
+pub(crate) const MIN_RETRY_MS: u64 = 100;
 
 /// What admission counts, for metrics and state dumps.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
@@ -65,39 +65,39 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Gate {
-    pub(crate) lines: [Line; 3],
-    pub(crate) feasible: Feasible,
-    pub(crate) service_ms: f32,
+pub(crate) struct ModelQueue {
+    pub(crate) queues: [ClassQueue; 3],
+    pub(crate) durations: DurationQuantile,
+    pub(crate) mean_service_ms: f32,
 }
 
 /// Where a waiting request is found.
 #[derive(Clone, Debug)]
-pub(crate) struct Spot {
+pub(crate) struct QueuePosition {
     pub(crate) model: Model,
     pub(crate) class: Class,
-    pub(crate) key: Key,
+    pub(crate) key: QueueKey,
 }
 
 /// Admits the requests of one entry.
 #[derive(Clone, Debug)]
 pub struct Admission {
     pub(crate) settings: Settings,
-    pub(crate) workspaces: HashMap<Workspace, Used>,
+    pub(crate) workspaces: HashMap<Workspace, WorkspaceUsage>,
     pub(crate) running: HashMap<RequestId, Running>,
     pub(crate) rng: SmallRng,
     pub(crate) counts: Counts,
     pub(crate) hedges: u32,
-    pub(crate) fair: Fair,
+    pub(crate) fair_clock: FairClock,
     /// Starts that waiting samples are owed. Models may share engines, so it counts over all.
-    pub(crate) credit: f32,
+    pub(crate) batch_credit: f32,
     /// Samples that wait.
-    pub(crate) samples: usize,
-    pub(crate) gates: HashMap<Model, Gate>,
-    pub(crate) spots: HashMap<RequestId, Spot>,
+    pub(crate) batch_waiting: usize,
+    pub(crate) models: HashMap<Model, ModelQueue>,
+    pub(crate) positions: HashMap<RequestId, QueuePosition>,
     /// Answers to requests that gave way to others, until the next poll.
-    pub(crate) dropped: Vec<Action>,
-    refused: VecDeque<RequestId>,
+    pub(crate) displaced: Vec<Action>,
+    recent_refusals: VecDeque<RequestId>,
 }
 
 impl Admission {
@@ -110,13 +110,13 @@
             rng: SmallRng::seed_from_u64(seed),
             counts: Counts::default(),
             hedges: 0,
-            fair: Fair::default(),
-            credit: 0.0,
-            samples: 0,
-            gates: HashMap::new(),
-            spots: HashMap::new(),
-            dropped: Vec::new(),
-            refused: VecDeque::new(),
+            fair_clock: FairClock::default(),
+            batch_credit: 0.0,
+            batch_waiting: 0,
+            models: HashMap::new(),
+            positions: HashMap::new(),
+            displaced: Vec::new(),
+            recent_refusals: VecDeque::new(),
         }
     }
 
@@ -130,7 +130,8 @@
         lease: Lease,
     ) {
         let burst = self.settings.retry_burst;
-        let used = self.workspaces.entry(workspace.clone()).or_insert_with(|| Used::new(burst));
+        let used =
+            self.workspaces.entry(workspace.clone()).or_insert_with(|| WorkspaceUsage::new(burst));
         used.limits = limits;
         used.retries = retries;
         used.weight = weight;
@@ -140,13 +141,13 @@
     /// Gives how many requests a workspace asked for since this was last called, refused ones
     /// included, by which its limits are shared out anew.
     pub fn take_demand(&mut self, workspace: &Workspace) -> u64 {
-        self.workspaces.get_mut(workspace).map_or(0, |used| std::mem::take(&mut used.asked))
+        self.workspaces.get_mut(workspace).map_or(0, |used| std::mem::take(&mut used.requested))
     }
 
     /// Takes in that a request that was started ended.
-    pub fn finished(&mut self, _now: Millis, id: RequestId, done: Done) {
+    pub fn finished(&mut self, _now: Millis, id: RequestId, done: Completion) {
         let Some(running) = self.running.remove(&id) else {
-            self.promise_broken("finished_was_running");
+            self.report_violation("finished_was_running");
             return;
         };
         self.release(&running.workspace);
@@ -159,21 +160,22 @@
             let earned = used.retries.percent as f32 / 100.0;
             used.retry_tokens = (used.retry_tokens + earned).min(burst);
         }
-        if let Some(gate) = self.gates.get_mut(&running.model) {
-            gate.feasible.learn(running.expected_ms, done.ms, share);
+        if let Some(gate) = self.models.get_mut(&running.model) {
+            gate.durations.record(running.expected_ms, done.ms, share);
             let ms = done.ms as f32;
-            gate.service_ms +=
-                if gate.service_ms == 0.0 { ms } else { 0.05 * (ms - gate.service_ms) };
+            gate.mean_service_ms +=
+                if gate.mean_service_ms == 0.0 { ms } else { 0.05 * (ms - gate.mean_service_ms) };
         }
     }
 
     /// Takes out a request whose caller went away. Returns whether it was waiting.
     pub fn cancelled(&mut self, id: RequestId) -> bool {
-        let Some(spot) = self.spots.remove(&id) else {
+        let Some(spot) = self.positions.remove(&id) else {
             return false;
         };
-        self.samples -= usize::from(spot.class == Class::Batch);
-        let line = self.gates.get_mut(&spot.model).map(|gate| &mut gate.lines[index(spot.class)]);
+        self.batch_waiting -= usize::from(spot.class == Class::Batch);
+        let line =
+            self.models.get_mut(&spot.model).map(|gate| &mut gate.queues[class_index(spot.class)]);
         if let Some(waiting) = line.and_then(|line| line.remove(spot.key)) {
             self.release(&waiting.workspace);
         }
@@ -182,7 +184,7 @@
 
     /// Counts the requests that wait.
     pub fn waiting(&self) -> usize {
-        self.spots.len()
+        self.positions.len()
     }
 
     /// Counts the requests that run.
@@ -195,9 +197,9 @@
         self.counts
     }
 
-    pub(crate) fn promise_broken(&mut self, promise: &'static str) {
+    pub(crate) fn report_violation(&mut self, invariant: &'static str) {
         self.counts.broken += 1;
-        tracing::error!(event = "promise_broken", component = "admission", promise);
+        tracing::error!(event = "promise_broken", component = "admission", promise = invariant);
     }
 
     pub(crate) fn start(
@@ -209,33 +211,33 @@
         expected_ms: u64,
     ) {
         self.counts.started += 1;
-        if self.refused.contains(&id) {
-            self.promise_broken("refused_never_runs");
+        if self.recent_refusals.contains(&id) {
+            self.report_violation("refused_never_runs");
         }
         let running = Running { workspace: workspace.clone(), model: model.clone(), expected_ms };
         if self.running.insert(id, running).is_some() {
-            self.promise_broken("started_once");
+            self.report_violation("started_once");
         }
         if class == Class::Batch {
-            self.credit = (self.credit - 1.0).max(0.0);
-        } else if self.samples > 0 {
-            self.credit = (self.credit + self.settings.batch_floor).min(CREDIT);
+            self.batch_credit = (self.batch_credit - 1.0).max(0.0);
+        } else if self.batch_waiting > 0 {
+            self.batch_credit = (self.batch_credit + self.settings.batch_floor).min(MAX_CREDIT);
         }
     }
 
-    pub(crate) fn refuse(&mut self, id: RequestId, refused: Refused) -> Refused {
+    pub(crate) fn refuse(&mut self, id: RequestId, refused: Refusal) -> Refusal {
         match refused.code {
             Code::LimitReached => self.counts.limited += 1,
             Code::Overloaded => self.counts.overloaded += 1,
             _ => self.counts.too_late += 1,
         }
         if self.running.contains_key(&id) {
-            self.promise_broken("refused_does_not_run");
+            self.report_violation("refused_does_not_run");
         }
-        if self.refused.len() == REMEMBERED {
-            self.refused.pop_front();
+        if self.recent_refusals.len() == REMEMBERED_REFUSALS {
+            self.recent_refusals.pop_front();
         }
-        self.refused.push_back(id);
+        self.recent_refusals.push_back(id);
         refused
     }
 
@@ -243,21 +245,21 @@
     pub(crate) fn release(&mut self, workspace: &Workspace) {
         let Some(used) = self.workspaces.get_mut(workspace) else { return };
         if used.running == 0 {
-            self.promise_broken("running_not_negative");
+            self.report_violation("running_not_negative");
             return;
         }
         used.running -= 1;
     }
 
     /// Estimates when a refused caller may find room: when what waits now has started.
-    pub(crate) fn come_back(&self, model: &Model, room: Room) -> u64 {
-        let Some(gate) = self.gates.get(model) else { return COME_BACK };
-        let ahead: usize = gate.lines.iter().map(Line::len).sum();
-        let ms = gate.service_ms * (ahead + 1) as f32 / room.slots.max(1) as f32;
-        (ms as u64).max(COME_BACK)
+    pub(crate) fn retry_after_ms(&self, model: &Model, room: Capacity) -> u64 {
+        let Some(gate) = self.models.get(model) else { return MIN_RETRY_MS };
+        let ahead: usize = gate.queues.iter().map(ClassQueue::len).sum();
+        let ms = gate.mean_service_ms * (ahead + 1) as f32 / room.slots.max(1) as f32;
+        (ms as u64).max(MIN_RETRY_MS)
     }
 }
 
-pub(crate) fn index(class: Class) -> usize {
+pub(crate) fn class_index(class: Class) -> usize {
     class as usize
 }
--- a/components/admission/src/feasible.rs
+++ b/components/admission/src/duration_quantile.rs
@@ -1,7 +1,7 @@
 //! Whether a request can still make its deadline, by what finished requests took.
 
 /// The step of the running quantile.
-const STEP: f32 = 0.02;
+const MIN_STEP: f32 = 0.02;
 
 /// The share of the expected duration below which only few attempts finish.
 ///
@@ -9,29 +9,29 @@
 /// would refuse many that make it. A running quantile of actual over expected durations tells how
 /// little time still leaves a chance, without storing durations (stochastic approximation).
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Feasible {
+pub struct DurationQuantile {
     ratio: f32,
-    seen: u32,
+    count: u32,
 }
 
-impl Default for Feasible {
+impl Default for DurationQuantile {
     fn default() -> Self {
-        Self { ratio: 0.5, seen: 0 }
+        Self { ratio: 0.5, count: 0 }
     }
 }
 
-impl Feasible {
+impl DurationQuantile {
     /// Learns from an attempt that ran to its end; `share` of them shall lie below the quantile.
-    pub fn learn(&mut self, expected_ms: u64, ms: u64, share: f32) {
+    pub fn record(&mut self, expected_ms: u64, ms: u64, share: f32) {
         let actual = ms as f32 / expected_ms.max(1) as f32;
-        self.seen = self.seen.saturating_add(1);
-        let step = STEP.max(0.2 / self.seen as f32);
+        self.count = self.count.saturating_add(1);
+        let step = MIN_STEP.max(0.2 / self.count as f32);
         let below = if actual < self.ratio { 1.0 } else { 0.0 };
         self.ratio = (self.ratio + step * (share - below)).clamp(0.01, 2.0);
     }
 
     /// Gives the least milliseconds in which an attempt has a chance.
-    pub fn least_ms(&self, expected_ms: u64) -> u64 {
+    pub fn min_ms(&self, expected_ms: u64) -> u64 {
         (expected_ms as f32 * self.ratio) as u64
     }
 }
--- a/components/admission/src/hedge.rs
+++ b/components/admission/src/hedge.rs
@@ -1,26 +1,26 @@
 //! Hedging: a second attempt of a group's last samples.
 
 use crate::admission::Admission;
-use crate::ask::Room;
+use crate::request::Capacity;
 
 /// A sample that its group may soon wait for.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Straggler {
     /// Samples of the group.
-    pub group: u32,
+    pub group_size: u32,
     /// Of those, the ones that have not finished.
-    pub left: u32,
+    pub unfinished: u32,
     /// Milliseconds since its attempt started.
-    pub ran_ms: u64,
+    pub elapsed_ms: u64,
     /// Milliseconds in which it was expected to finish.
     pub expected_ms: u64,
     /// Milliseconds in which another attempt is expected to finish.
-    pub again_ms: u64,
+    pub second_ms: u64,
     /// Milliseconds that it is expected still to take where it runs, by the tokens it has still
     /// to produce and its present rate.
-    pub rest_ms: u64,
+    pub remaining_ms: u64,
     /// The room of the model's endpoints.
-    pub room: Room,
+    pub capacity: Capacity,
 }
 
 impl Admission {
@@ -33,26 +33,27 @@
     /// when endpoints are nearly full.
     pub fn may_hedge(&mut self, straggler: &Straggler) -> bool {
         let settings = &self.settings;
-        let last = (straggler.group as f32 * settings.hedge_last).ceil() as u32;
-        let few = straggler.left <= last.max(1);
-        let late = straggler.ran_ms as f32 > straggler.expected_ms as f32 * settings.hedge_after;
-        let gains = straggler.again_ms.saturating_mul(2) < straggler.rest_ms;
-        let room = (straggler.room.load as f32)
-            < straggler.room.slots as f32 * settings.hedge_load.min(settings.batch_share);
+        let last = (straggler.group_size as f32 * settings.hedge_last).ceil() as u32;
+        let few = straggler.unfinished <= last.max(1);
+        let late =
+            straggler.elapsed_ms as f32 > straggler.expected_ms as f32 * settings.hedge_after;
+        let gains = straggler.second_ms.saturating_mul(2) < straggler.remaining_ms;
+        let room = (straggler.capacity.load as f32)
+            < straggler.capacity.slots as f32 * settings.hedge_load.min(settings.batch_share);
         let most = (self.running.len() as f32 * settings.hedge_share).ceil() as u32;
         few && late && gains && room && self.hedges < most
     }
 
     /// Counts a second attempt as started.
-    pub fn hedged(&mut self) {
+    pub fn hedge_started(&mut self) {
         self.hedges += 1;
         self.counts.hedges += 1;
     }
 
     /// Counts a second attempt as ended or cancelled.
-    pub fn unhedged(&mut self) {
+    pub fn hedge_ended(&mut self) {
         if self.hedges == 0 {
-            self.promise_broken("hedges_not_negative");
+            self.report_violation("hedges_not_negative");
             return;
         }
         self.hedges -= 1;
--- a/components/admission/src/lib.rs
+++ b/components/admission/src/lib.rs
@@ -5,12 +5,12 @@
 //! comes from a seed.
 
 pub mod admission;
-pub mod ask;
-pub mod door;
-pub mod drain;
-pub mod feasible;
+pub mod admit;
+pub mod dispatch;
+pub mod duration_quantile;
 pub mod hedge;
 pub mod queue;
+pub mod request;
 pub mod retry;
 pub mod settings;
 pub mod shares;
@@ -18,13 +18,13 @@
 
 pub use admission::Admission;
 pub use admission::Counts;
-pub use ask::Action;
-pub use ask::Ask;
-pub use ask::Done;
-pub use ask::Refused;
-pub use ask::Room;
-pub use ask::Verdict;
 pub use hedge::Straggler;
+pub use request::Action;
+pub use request::AdmissionRequest;
+pub use request::Capacity;
+pub use request::Completion;
+pub use request::Decision;
+pub use request::Refusal;
 pub use retry::Retry;
 pub use settings::Protections;
 pub use settings::Settings;
--- a/components/admission/src/ask.rs
+++ b/components/admission/src/request.rs
@@ -10,7 +10,7 @@
 
 /// The room that a model's endpoints have, as the router sees it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Room {
+pub struct Capacity {
     /// Attempts that they may run at once.
     pub slots: u32,
     /// Attempts that they have, those of other entries included.
@@ -19,7 +19,7 @@
 
 /// A request at the door.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct AdmissionRequest<'a> {
     /// The request.
     pub id: RequestId,
     /// On whose behalf.
@@ -33,19 +33,19 @@
     /// Milliseconds in which the router expects it to finish once started.
     pub expected_ms: u64,
     /// The room it would start into.
-    pub room: Room,
+    pub capacity: Capacity,
 }
 
 /// Why a request was refused, and when to come back. It did not run and will not.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Refused {
+pub struct Refusal {
     /// The code that the caller gets.
     pub code: Code,
     /// When to come back, in milliseconds from now.
     pub retry_ms: u64,
 }
 
-impl Refused {
+impl Refusal {
     /// Makes the failure that travels to the caller.
     pub fn failure(self, detail: &str) -> Failure {
         Failure::not_run(self.code, detail).retry_after(self.retry_ms)
@@ -54,13 +54,13 @@
 
 /// What becomes of a request at the door.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum Decision {
     /// It starts now.
     Admit,
     /// It waits; [`crate::Admission::poll`] will tell what becomes of it.
     Wait,
     /// It does not run.
-    Refuse(Refused),
+    Refuse(Refusal),
 }
 
 /// What becomes of a request that waited.
@@ -69,12 +69,12 @@
     /// It starts now.
     Run(RequestId),
     /// It does not run.
-    Refuse(RequestId, Refused),
+    Refuse(RequestId, Refusal),
 }
 
 /// How an admitted request ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Done {
+pub struct Completion {
     /// Whether the whole answer was given.
     pub ok: bool,
     /// Milliseconds from its start.
--- a/components/admission/src/retry.rs
+++ b/components/admission/src/retry.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 use crate::admission::Admission;
-use crate::workspace::Used;
+use crate::workspace::WorkspaceUsage;
 
 /// An attempt that failed and might be tried again.
 #[derive(Clone, Copy, Debug)]
@@ -18,7 +18,7 @@
     /// What became of the last one.
     pub outcome: Outcome,
     /// Whether the request may run more than once.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// When its answer is worthless.
     pub deadline: Millis,
     /// Milliseconds in which another attempt is expected to finish.
@@ -33,11 +33,13 @@
     /// is a share of the successes of the same workspace. Only the entry retries, and agents and
     /// clients' libraries never do, so budgets do not multiply over layers.
     pub fn may_retry(&mut self, now: Millis, retry: &Retry<'_>) -> Option<u64> {
-        let safe = retry.outcome == Outcome::NotRun || retry.repeatable;
+        let safe = retry.outcome == Outcome::NotRun || retry.idempotent;
         let budget = self.settings.protections.budget;
         let burst = self.settings.retry_burst;
-        let used =
-            self.workspaces.entry(retry.workspace.clone()).or_insert_with(|| Used::new(burst));
+        let used = self
+            .workspaces
+            .entry(retry.workspace.clone())
+            .or_insert_with(|| WorkspaceUsage::new(burst));
         if !safe || retry.attempts >= used.retries.attempts {
             return None;
         }
@@ -55,7 +57,7 @@
         let broken = used.retry_tokens < 0.0;
         self.counts.retries += 1;
         if broken {
-            self.promise_broken("retries_within_budget");
+            self.report_violation("retries_within_budget");
         }
         Some(delay)
     }
--- a/components/admission/src/shares.rs
+++ b/components/admission/src/shares.rs
@@ -33,7 +33,7 @@
 ///
 /// This holds without any message: all entries know the members. While two entries see different
 /// members, for the seconds that news takes, the shares may add up to more.
-pub fn even(limit: u32, entries: u32, rank: u32) -> u32 {
+pub fn even_share(limit: u32, entries: u32, rank: u32) -> u32 {
     let entries = entries.max(1);
     limit / entries + u32::from(rank < limit % entries)
 }
@@ -41,7 +41,7 @@
 /// Splits a limit by demand: each entry gets what it asked for if all fit, and else none gets
 /// more than the others that still want more (max-min fairness). What is left is split evenly,
 /// so that a demand that moves to another entry finds room there before the next period.
-pub fn allot(limit: u32, demands: &[u64]) -> Vec<u32> {
+pub fn split_by_demand(limit: u32, demands: &[u64]) -> Vec<u32> {
     let mut given = vec![0_u32; demands.len()];
     let mut left = limit;
     let mut order: Vec<usize> = (0..demands.len()).collect();
@@ -54,7 +54,7 @@
     }
     let entries = demands.len() as u32;
     for (rank, share) in given.iter_mut().enumerate() {
-        *share += even(left, entries, rank as u32);
+        *share += even_share(left, entries, rank as u32);
     }
     given
 }
--- a/components/admission/src/workspace.rs
+++ b/components/admission/src/workspace.rs
@@ -8,7 +8,7 @@
 
 /// One workspace at this entry.
 #[derive(Clone, Debug, Default)]
-pub struct Used {
+pub struct WorkspaceUsage {
     /// The workspace's limits, over all entries.
     pub limits: Limits,
     /// How often its requests are tried again.
@@ -21,18 +21,18 @@
     pub running: u32,
     /// Requests asked for, admitted or not, since the last lease; counted before the gate, since
     /// refusals would otherwise hide the demand just when it is greatest (docs/ADMISSION.md).
-    pub asked: u64,
+    pub requested: u64,
     /// Retries saved up.
     pub retry_tokens: f32,
     rate_tokens: f32,
-    filled: Option<Millis>,
+    refilled_at: Option<Millis>,
 }
 
-impl Used {
+impl WorkspaceUsage {
     /// Makes a workspace's use, with `retries` saved up from the start so that the first failures
     /// after a start may be tried again.
-    pub fn new(retries: f32) -> Self {
-        Self { retry_tokens: retries, weight: 1, lease: Lease::unset(), ..Self::default() }
+    pub fn new(burst: f32) -> Self {
+        Self { retry_tokens: burst, weight: 1, lease: Lease::unset(), ..Self::default() }
     }
 
     /// Takes one request's worth of rate, or gives the milliseconds until there is one.
@@ -40,9 +40,9 @@
         let rate = self.lease.rate;
         let burst = rate.max(1.0);
         // The bucket starts full: the first callers after a start have used nothing yet.
-        let grown = self.filled.map_or(burst, |at| now.since(at) as f32 * rate / 1_000.0);
+        let grown = self.refilled_at.map_or(burst, |at| now.since(at) as f32 * rate / 1_000.0);
         self.rate_tokens = (self.rate_tokens + grown).min(burst);
-        self.filled = Some(now);
+        self.refilled_at = Some(now);
         if self.rate_tokens >= 1.0 {
             self.rate_tokens -= 1.0;
             return Ok(());
--- a/components/admission/tests/random.rs
+++ b/components/admission/tests/random.rs
@@ -6,14 +6,14 @@
 
 use chicoryford_admission::Action;
 use chicoryford_admission::Admission;
-use chicoryford_admission::Ask;
-use chicoryford_admission::Done;
+use chicoryford_admission::AdmissionRequest;
+use chicoryford_admission::Capacity;
+use chicoryford_admission::Completion;
+use chicoryford_admission::Decision;
 use chicoryford_admission::Lease;
 use chicoryford_admission::Protections;
 use chicoryford_admission::Retry;
-use chicoryford_admission::Room;
 use chicoryford_admission::Settings;
-use chicoryford_admission::Verdict;
 use chicoryford_types::Class;
 use chicoryford_types::Millis;
 use chicoryford_types::Model;
@@ -79,22 +79,22 @@
             let id = RequestId(seed, step);
             let class = CLASSES[draw.below(3) as usize];
             classes.insert(id, class);
-            let ask = Ask {
+            let ask = AdmissionRequest {
                 id,
                 workspace: &spaces[draw.below(3) as usize],
                 model: &model,
                 class,
                 deadline: now + 500 + draw.below(4_000),
                 expected_ms: 1_000,
-                room: Room { slots: SLOTS, load: running.len() as u32 },
+                capacity: Capacity { slots: SLOTS, load: running.len() as u32 },
             };
             match admission.admit(now, &ask) {
-                Verdict::Admit => {
+                Decision::Admit => {
                     seen.run(id, class);
                     running.push(id);
                 }
-                Verdict::Wait => {}
-                Verdict::Refuse(_) => {
+                Decision::Wait => {}
+                Decision::Refuse(_) => {
                     seen.refused.insert(id);
                 }
             }
@@ -108,7 +108,7 @@
                     workspace: &spaces[0],
                     attempts: 1,
                     outcome: Outcome::Unknown,
-                    repeatable: true,
+                    idempotent: true,
                     deadline: now + 60_000,
                     expected_ms: 100,
                 };
@@ -116,11 +116,11 @@
                     seen.retries += 1;
                 }
                 seen.finished += u64::from(ok);
-                admission.finished(now, id, Done { ok, ms: 200 + draw.below(1_600) });
+                admission.finished(now, id, Completion { ok, ms: 200 + draw.below(1_600) });
             }
         }
         let load = running.len() as u32;
-        for action in admission.poll(now, |_| Room { slots: SLOTS, load }) {
+        for action in admission.poll(now, |_| Capacity { slots: SLOTS, load }) {
             match action {
                 Action::Run(id) => {
                     seen.run(id, classes[&id]);
--- a/components/bodies/src/auditor.rs
+++ b/components/bodies/src/auditor.rs
@@ -1,7 +1,7 @@
 //! When an entry asks the ledger about bodies.
 
 use chicoryford_ledger::Audit;
-use chicoryford_ledger::Audited;
+use chicoryford_ledger::AuditReply;
 use chicoryford_ledger::Holder;
 use chicoryford_ledger::StepKey;
 use chicoryford_types::Millis;
@@ -55,7 +55,7 @@
 
     /// Asks again with the next renewal if a question got lost or an answer names work: there may
     /// be more than fits into one.
-    pub fn answered(&mut self, audited: Option<&Audited>) {
+    pub fn answered(&mut self, audited: Option<&AuditReply>) {
         if audited.is_none_or(|audited| !audited.lacking.is_empty()) {
             self.looked = None;
         }
--- a/components/bodies/src/place.rs
+++ b/components/bodies/src/place.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use chicoryford_ledger::BodyName;
-use chicoryford_ledger::HOLDERS;
+use chicoryford_ledger::HOLDERS_PER_BODY;
 use chicoryford_types::DataCentre;
 use chicoryford_types::Fingerprint;
 use chicoryford_types::Node;
@@ -25,7 +25,7 @@
 /// Tells whether a body belongs into the ledger: it is small, or there are too few processes to
 /// hold it safely.
 pub fn is_inline(size: usize, candidates: usize) -> bool {
-    size <= INLINE || candidates < HOLDERS
+    size <= INLINE || candidates < HOLDERS_PER_BODY
 }
 
 /// Lists the processes that should hold a body beside those that do, best first.
--- a/components/bodies/src/store.rs
+++ b/components/bodies/src/store.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use chicoryford_ledger::BodyName;
 use chicoryford_ledger::StepKey;
-use chicoryford_ledger::audit::Wanted;
+use chicoryford_ledger::audit::NeededGroups;
 use chicoryford_types::Digest;
 use chicoryford_types::Millis;
 use thiserror::Error;
@@ -92,8 +92,9 @@
 
     /// Drops the bodies that the ledger has no use for, of the steps that it was asked about.
     /// Returns how many there were.
-    pub fn retain(&mut self, wanted: &[Wanted], now: Millis) -> usize {
-        let wanted: BTreeMap<&StepKey, &Wanted> = wanted.iter().map(|w| (&w.key, w)).collect();
+    pub fn retain(&mut self, wanted: &[NeededGroups], now: Millis) -> usize {
+        let wanted: BTreeMap<&StepKey, &NeededGroups> =
+            wanted.iter().map(|w| (&w.key, w)).collect();
         let is_idle = |name: &BodyName, held: &Held| {
             let step = wanted.get(&name.key);
             now.since(held.since) >= YOUNG && step.is_some_and(|step| !step.has(name.group))
--- a/components/bodies/tests/world/mod.rs
+++ b/components/bodies/tests/world/mod.rs
@@ -14,13 +14,13 @@
 use chicoryford_ledger::BodyName;
 use chicoryford_ledger::GroupSpec;
 use chicoryford_ledger::Holder;
-use chicoryford_ledger::Lacking;
 use chicoryford_ledger::Ledger;
 use chicoryford_ledger::LedgerCommand;
 use chicoryford_ledger::LedgerReply;
 use chicoryford_ledger::Record;
 use chicoryford_ledger::StepKey;
 use chicoryford_ledger::StepSpec;
+use chicoryford_ledger::UnderReplicated;
 use chicoryford_types::Cursor;
 use chicoryford_types::DataCentre;
 use chicoryford_types::Digest;
@@ -96,7 +96,12 @@
 
 impl Default for Rules {
     fn default() -> Self {
-        Self { repair: true, verify: true, copies: chicoryford_ledger::HOLDERS, incarnations: true }
+        Self {
+            repair: true,
+            verify: true,
+            copies: chicoryford_ledger::HOLDERS_PER_BODY,
+            incarnations: true,
+        }
     }
 }
 
@@ -314,7 +319,7 @@
         if !is_inline(bytes.len(), self.candidates().len()) {
             let mut holders = self.put(&name, &bytes, &[], copies);
             if holders.len() == copies {
-                if copies < chicoryford_ledger::HOLDERS {
+                if copies < chicoryford_ledger::HOLDERS_PER_BODY {
                     // The mutation must get past the ledger's own check.
                     holders.push(Holder { node: Node::from("nobody"), ..Holder::default() });
                 }
@@ -371,18 +376,18 @@
             return 0;
         }
         let present: Vec<Holder> = self.present().into_iter().map(|i| self.holder(i)).collect();
-        let scarce = chicoryford_ledger::HOLDERS.saturating_sub(present.len());
+        let scarce = chicoryford_ledger::HOLDERS_PER_BODY.saturating_sub(present.len());
         let audit = Audit { session: 1, present: present.clone(), ..Audit::default() };
-        let missing = |lacking: &Lacking| {
+        let missing = |lacking: &UnderReplicated| {
             let left = lacking.from.iter().filter(|holder| present.contains(holder)).count();
-            chicoryford_ledger::HOLDERS - left
+            chicoryford_ledger::HOLDERS_PER_BODY - left
         };
         let short = self.ledger.audit(&audit).lacking.iter().map(missing).max();
         short.unwrap_or_default().max(scarce)
     }
 
-    fn mend(&mut self, lacking: Lacking, present: &[Holder]) -> Result<(), String> {
-        let Lacking { name, from, .. } = lacking;
+    fn mend(&mut self, lacking: UnderReplicated, present: &[Holder]) -> Result<(), String> {
+        let UnderReplicated { name, from, .. } = lacking;
         let Some(bytes) = self.read(&name, &from) else {
             return Err(format!("no holder has {name:?} any more"));
         };
@@ -475,7 +480,7 @@
                 break;
             }
         }
-        let broken = self.ledger.broken;
+        let broken = self.ledger.violations;
         let is_done = self.step != last && broken == 0;
         is_done.then_some(()).ok_or(format!("the step did not end; {broken} promises broken"))
     }
--- a/components/control/src/orders/duty.rs
+++ b/components/control/src/orders/duty.rs
@@ -144,13 +144,13 @@
         let now = self.kernel.now();
         let mut actions = Vec::new();
         for event in events {
-            planner.take(event, now, &mut actions);
+            planner.apply(event, now, &mut actions);
         }
         planner.plan(now, &mut actions);
         let mut orders = Vec::new();
         for action in actions {
             match action {
-                Action::Give { endpoint, order } => orders.push((endpoint, order)),
+                Action::SendOrder { endpoint, order } => orders.push((endpoint, order)),
                 Action::GiveUp { endpoint, model, version, reason } => {
                     tracing::error!(event = "sampler_given_up", %endpoint, %model, %version, reason);
                     self.kernel.metrics.count("orders.given_up", 1);
--- a/components/control/src/orders/offers.rs
+++ b/components/control/src/orders/offers.rs
@@ -6,15 +6,15 @@
 use chicoryford_types::EndpointKind;
 use chicoryford_types::Member;
 use chicoryford_types::Members;
-use chicoryford_weights::Offer;
+use chicoryford_weights::SamplerStatus;
 
 /// The samplers, each with the address of its agent.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Samplers(pub BTreeMap<Endpoint, (Offer, String)>);
+pub struct Samplers(pub BTreeMap<Endpoint, (SamplerStatus, String)>);
 
 impl Samplers {
     /// Lists what they offer.
-    pub fn offers(&self) -> Vec<Offer> {
+    pub fn offers(&self) -> Vec<SamplerStatus> {
         self.0.values().map(|(offer, _)| offer.clone()).collect()
     }
 
@@ -33,20 +33,20 @@
     let mut found = Samplers::default();
     for member in members.present() {
         let Some(offer) = offer(member) else { continue };
-        let held = found.0.get(&offer.endpoint).map(|(held, _)| (held.incarnation, held.announced));
-        if held.is_none_or(|held| held < (offer.incarnation, offer.announced)) {
+        let held = found.0.get(&offer.endpoint).map(|(held, _)| (held.incarnation, held.sequence));
+        if held.is_none_or(|held| held < (offer.incarnation, offer.sequence)) {
             found.0.insert(offer.endpoint.clone(), (offer, member.address.clone()));
         }
     }
     found
 }
 
-fn offer(member: &Member) -> Option<Offer> {
+fn offer(member: &Member) -> Option<SamplerStatus> {
     let info = member.endpoint.as_ref().filter(|info| info.kind == EndpointKind::Engine)?;
-    Some(Offer {
+    Some(SamplerStatus {
         endpoint: info.name.clone(),
         incarnation: member.incarnation,
-        announced: member.announced,
+        sequence: member.announced,
         data_centre: member.data_centre.clone(),
         models: info.models.clone(),
         ready: info.healthy && !info.draining,
--- a/components/entry/src/bodies/audit.rs
+++ b/components/entry/src/bodies/audit.rs
@@ -7,7 +7,7 @@
 
 use chicoryford_bodies::Auditor;
 use chicoryford_ledger::Audit;
-use chicoryford_ledger::Audited;
+use chicoryford_ledger::AuditReply;
 
 use crate::bodies::repair;
 use crate::bodies::replicate;
@@ -52,7 +52,7 @@
 
     /// Applies the reply to an audit: drops bodies that are no longer needed, and starts to repair
     /// those that lack holders.
-    pub fn apply_reply(&self, context: &Context, audited: Option<&Audited>) {
+    pub fn apply_reply(&self, context: &Context, audited: Option<&AuditReply>) {
         self.auditor.borrow_mut().answered(audited);
         let Some(audited) = audited else { return };
         let dropped = context.bodies.store().retain(&audited.wanted, context.now());
--- a/components/entry/src/bodies/repair.rs
+++ b/components/entry/src/bodies/repair.rs
@@ -2,10 +2,10 @@
 
 use bytes::Bytes;
 use chicoryford_bodies::order;
-use chicoryford_ledger::HOLDERS;
+use chicoryford_ledger::HOLDERS_PER_BODY;
 use chicoryford_ledger::Holder;
-use chicoryford_ledger::Lacking;
 use chicoryford_ledger::LedgerCommand;
+use chicoryford_ledger::UnderReplicated;
 use chicoryford_types::Member;
 use chicoryford_types::Node;
 use futures_util::StreamExt;
@@ -30,7 +30,7 @@
 }
 
 /// Repairs bodies that have too few holders.
-pub async fn repair(context: Context, lacking: Vec<Lacking>) {
+pub async fn repair(context: Context, lacking: Vec<UnderReplicated>) {
     let count = lacking.len();
     let held: Vec<HeldBody> = lacking.iter().map(|l| (l.name.clone(), l.from.clone())).collect();
     let found = fetch::try_fetch(&context, &held).await;
@@ -45,7 +45,7 @@
     context.kernel.metrics.count("entry.bodies.repaired", repaired as i64);
 }
 
-async fn repair_body(context: &Context, lacking: Lacking, body: Option<Bytes>) -> bool {
+async fn repair_body(context: &Context, lacking: UnderReplicated, body: Option<Bytes>) -> bool {
     match body {
         Some(bytes) => copy(context, lacking, &bytes).await,
         None => reopen(context, lacking).await,
@@ -54,14 +54,14 @@
 
 /// Copies a body to other processes and records the new holders. The ledger refuses the change if
 /// another repair was faster.
-async fn copy(context: &Context, lacking: Lacking, bytes: &Bytes) -> bool {
-    let Lacking { name, from, .. } = lacking;
+async fn copy(context: &Context, lacking: UnderReplicated, bytes: &Bytes) -> bool {
+    let UnderReplicated { name, from, .. } = lacking;
     let entries = replicate::eligible_entries(context);
     let is_up = |h: &&Holder| entries.iter().any(|member| holder(member) == **h);
     let mut to: Vec<Holder> = from.iter().filter(is_up).cloned().collect();
     let kept: Vec<Node> = to.iter().map(|holder| holder.node.clone()).collect();
     let queue = order(&name, &replicate::candidates(&entries), &kept);
-    let wanted = HOLDERS.saturating_sub(to.len());
+    let wanted = HOLDERS_PER_BODY.saturating_sub(to.len());
     let added = replicate::put(context, &name, bytes, queue, wanted).await;
     if added.is_empty() {
         return false;
@@ -74,8 +74,8 @@
 /// Reopens a sample whose bytes no holder has, so that it runs again. If a holder is up but does
 /// not respond, the sample is left to the next audit. A sample that is part of a batch cannot run
 /// again (docs/STEPS.md).
-async fn reopen(context: &Context, lacking: Lacking) -> bool {
-    let Lacking { name, from, sealed } = lacking;
+async fn reopen(context: &Context, lacking: UnderReplicated) -> bool {
+    let UnderReplicated { name, from, sealed } = lacking;
     let eligible = eligible_holders(context);
     if sealed || from.iter().any(|holder| eligible.contains(holder)) {
         let (group, number) = (name.group, name.number);
--- a/components/entry/src/bodies/replicate.rs
+++ b/components/entry/src/bodies/replicate.rs
@@ -15,7 +15,7 @@
 use chicoryford_kernel::Phase;
 use chicoryford_ledger::Body;
 use chicoryford_ledger::BodyName;
-use chicoryford_ledger::HOLDERS;
+use chicoryford_ledger::HOLDERS_PER_BODY;
 use chicoryford_ledger::Holder;
 use chicoryford_types::Member;
 use chicoryford_types::Node;
@@ -50,7 +50,7 @@
     admit::check_not_draining(phase, &config, &context.node, &context.data_centre).is_err()
 }
 
-/// Stores a body at [`HOLDERS`] processes before it is recorded in the ledger. The body is kept
+/// Stores a body at [`HOLDERS_PER_BODY`] processes before it is recorded in the ledger. The body is kept
 /// inline in the ledger if it is small or too few processes accept it.
 ///
 /// If the stores of all entries are full, the ledger's own limit refuses the sample. The ledger
@@ -61,8 +61,8 @@
         return Body::Inline(bytes.clone());
     }
     let queue = order(name, &candidates, &[]);
-    let holders = put(context, name, bytes, queue, HOLDERS).await;
-    if holders.len() < HOLDERS {
+    let holders = put(context, name, bytes, queue, HOLDERS_PER_BODY).await;
+    if holders.len() < HOLDERS_PER_BODY {
         tracing::warn!(event = "body_kept_inline", holders = holders.len(), size = bytes.len());
         context.kernel.metrics.count("entry.bodies.inline", 1);
         return Body::Inline(bytes.clone());
--- a/components/entry/src/router/capacity.rs
+++ b/components/entry/src/router/capacity.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use chicoryford_admission::Room;
+use chicoryford_admission::Capacity;
 use chicoryford_routing::Router;
 use chicoryford_types::Millis;
 use chicoryford_types::Model;
@@ -15,18 +15,18 @@
 
 /// The capacity and load of each model when they were last computed.
 #[derive(Clone, Debug, Default)]
-pub struct CapacityCache(HashMap<Model, (Millis, Room)>);
+pub struct CapacityCache(HashMap<Model, (Millis, Capacity)>);
 
 impl CapacityCache {
     /// Returns the capacity and load of a model.
-    pub fn get(&mut self, routing: &Router, model: &Model, now: Millis) -> Room {
+    pub fn get(&mut self, routing: &Router, model: &Model, now: Millis) -> Capacity {
         if let Some((at, room)) = self.0.get(model)
             && now.since(*at) < CACHE_MS
         {
             return *room;
         }
-        let view = routing.view(now, model, None);
-        let room = Room { slots: view.slots, load: view.load };
+        let view = routing.pool_capacity(now, model, None);
+        let room = Capacity { slots: view.slots, load: view.load };
         self.0.insert(model.clone(), (now, room));
         room
     }
--- a/components/entry/src/router/dump.rs
+++ b/components/entry/src/router/dump.rs
@@ -14,13 +14,13 @@
         endpoints.push(json!({
             "endpoint": pick.endpoint,
             "agent": pick.agent,
-            "running": endpoint.own,
+            "running": endpoint.own_in_flight,
             "slots": endpoint.slots,
-            "others": endpoint.others,
+            "others": endpoint.others_reported,
             "draining": endpoint.draining,
             "healthy": endpoint.healthy,
-            "failures": endpoint.row,
-            "ejected": endpoint.ejected.is_some(),
+            "failures": endpoint.failure_streak,
+            "ejected": endpoint.ejected_until.is_some(),
             "versions": endpoint.versions,
         }));
     }
--- a/components/entry/src/router/duty.rs
+++ b/components/entry/src/router/duty.rs
@@ -10,7 +10,7 @@
 use chicoryford_kernel::Receiver;
 use chicoryford_kernel::duty::DutyError;
 use chicoryford_kernel::ring;
-use chicoryford_routing::Place;
+use chicoryford_routing::Location;
 use chicoryford_settings::Settings;
 use chicoryford_types::Config;
 use chicoryford_types::Members;
@@ -61,7 +61,7 @@
         running: entry.running,
         waiting: entry.waiting,
         subset: entry.subset,
-        place: Place {
+        place: Location {
             node: settings.node.clone(),
             region: settings.region.clone(),
             data_centre: settings.data_centre.clone(),
@@ -154,7 +154,7 @@
                 let allowed = self.state.try_hedge(&late, now);
                 let _ = sender.send(allowed.then(|| HedgePermit::new(self.router.clone())));
             }
-            RouterMessage::HedgeEnded => self.state.admission.unhedged(),
+            RouterMessage::HedgeEnded => self.state.admission.hedge_ended(),
             RouterMessage::Load(report) => self.state.record_load(&report, now),
             RouterMessage::Subset(sender) => {
                 let _ = sender.send(self.state.subset());
--- a/components/entry/src/router/placement.rs
+++ b/components/entry/src/router/placement.rs
@@ -2,8 +2,8 @@
 
 use chicoryford_admission::Straggler;
 use chicoryford_routing::Choice;
-use chicoryford_routing::NoChoice;
-use chicoryford_routing::Seat;
+use chicoryford_routing::EndpointId;
+use chicoryford_routing::NoEndpoint;
 use chicoryford_types::Failure;
 use chicoryford_types::Millis;
 use chicoryford_types::Model;
@@ -26,7 +26,7 @@
 /// An attempt in progress.
 #[derive(Clone, Debug)]
 pub(super) struct RunningAttempt {
-    seat: Seat,
+    seat: EndpointId,
     model: Model,
     pick: Pick,
     started: Millis,
@@ -41,16 +41,16 @@
     /// Returns the refusal, whose outcome is always "not run".
     pub fn choose(&mut self, query: &EndpointQuery, now: Millis) -> Result<PlacedAttempt, Failure> {
         let tokens = self.expected_tokens(query);
-        let avoid: Vec<Seat> =
+        let avoid: Vec<EndpointId> =
             query.avoid.iter().filter_map(|endpoint| self.routing.find(endpoint)).collect();
         let mut chosen = self.query_routing(query, tokens, &avoid, now);
-        if chosen == Err(NoChoice::Excluded) {
+        if chosen == Err(NoEndpoint::Excluded) {
             // An endpoint where an attempt failed is better than none.
             chosen = self.query_routing(query, tokens, &[], now);
         }
         let choice = chosen.map_err(|none| no_endpoint(none, &query.model))?;
-        let Some(target) = self.routing.target(choice.seat) else {
-            return Err(no_endpoint(NoChoice::Unserved, &query.model));
+        let Some(target) = self.routing.target(choice.endpoint) else {
+            return Err(no_endpoint(NoEndpoint::Unserved, &query.model));
         };
         let pick = Pick {
             endpoint: target.endpoint.clone(),
@@ -58,10 +58,10 @@
             address: target.address.clone(),
             incarnation: target.incarnation,
         };
-        self.routing.started(now, choice.seat, tokens, query.prefix);
+        self.routing.started(now, choice.endpoint, tokens, query.prefix);
         self.capacities.started(&query.model);
         self.last_attempt += 1;
-        let (seat, model) = (choice.seat, query.model.clone());
+        let (seat, model) = (choice.endpoint, query.model.clone());
         let running = RunningAttempt { seat, model, pick: pick.clone(), started: now, tokens };
         self.running.insert(self.last_attempt, running);
         Ok((self.last_attempt, pick))
@@ -71,15 +71,15 @@
         &mut self,
         query: &EndpointQuery,
         tokens: u32,
-        exclude: &[Seat],
+        exclude: &[EndpointId],
         now: Millis,
-    ) -> Result<Choice, NoChoice> {
-        let query = chicoryford_routing::Want {
+    ) -> Result<Choice, NoEndpoint> {
+        let query = chicoryford_routing::RouteRequest {
             model: &query.model,
             class: query.class,
             prefix: query.prefix,
-            prompt: query.prompt,
-            tokens,
+            prompt_tokens: query.prompt,
+            output_tokens: tokens,
             floor: query.floor,
             exclude,
             suspect: query.suspect,
@@ -136,24 +136,24 @@
         let mean = self.expected_tokens(&late.query);
         let rest = mean.saturating_sub(late.tokens).max(late.tokens / 4).max(1);
         let query = EndpointQuery { tokens: late.tokens + rest, ..late.query.clone() };
-        let avoid: Vec<Seat> =
+        let avoid: Vec<EndpointId> =
             late.query.avoid.iter().filter_map(|endpoint| self.routing.find(endpoint)).collect();
         let Ok(choice) = self.query_routing(&query, late.tokens + rest, &avoid, now) else {
             return false;
         };
         let token_ms = late.ran_ms / u64::from(late.tokens.max(1));
         let straggler = Straggler {
-            group: late.group,
-            left: late.left,
-            ran_ms: late.ran_ms,
+            group_size: late.group,
+            unfinished: late.left,
+            elapsed_ms: late.ran_ms,
             expected_ms: choice.expected_ms,
-            again_ms: choice.expected_ms,
-            rest_ms: token_ms * u64::from(rest),
-            room: self.capacities.get(&self.routing, &late.query.model, now),
+            second_ms: choice.expected_ms,
+            remaining_ms: token_ms * u64::from(rest),
+            capacity: self.capacities.get(&self.routing, &late.query.model, now),
         };
         let allowed = self.admission.may_hedge(&straggler);
         if allowed {
-            self.admission.hedged();
+            self.admission.hedge_started();
         }
         allowed
     }
@@ -179,6 +179,6 @@
     }
 }
 
-fn no_endpoint(none: NoChoice, model: &Model) -> Failure {
+fn no_endpoint(none: NoEndpoint, model: &Model) -> Failure {
     Failure::not_run(none.code(), format!("{model}: {none}")).retry_after(NO_ENDPOINT_RETRY_MS)
 }
--- a/components/entry/src/router/query.rs
+++ b/components/entry/src/router/query.rs
@@ -1,6 +1,6 @@
 //! Queries to the router and its answers.
 
-use chicoryford_routing::Ending;
+use chicoryford_routing::AttemptOutcome;
 use chicoryford_types::Class;
 use chicoryford_types::Code;
 use chicoryford_types::Endpoint;
@@ -111,12 +111,12 @@
     }
 
     /// Converts to the type used by routing.
-    pub fn ending(&self) -> Ending {
+    pub fn ending(&self) -> AttemptOutcome {
         match self {
-            Self::Ran(_) => Ending::Finished,
-            Self::Leaving | Self::Dropped => Ending::Released,
-            Self::Failed => Ending::Failed,
-            Self::Silent => Ending::Silent,
+            Self::Ran(_) => AttemptOutcome::Finished,
+            Self::Leaving | Self::Dropped => AttemptOutcome::Released,
+            Self::Failed => AttemptOutcome::Failed,
+            Self::Silent => AttemptOutcome::Silent,
         }
     }
 }
--- a/components/entry/src/router/state.rs
+++ b/components/entry/src/router/state.rs
@@ -7,13 +7,13 @@
 
 use chicoryford_admission::Action;
 use chicoryford_admission::Admission;
-use chicoryford_admission::Ask;
-use chicoryford_admission::Done;
+use chicoryford_admission::AdmissionRequest;
+use chicoryford_admission::Completion;
+use chicoryford_admission::Decision as AdmissionVerdict;
 use chicoryford_admission::Lease;
 use chicoryford_admission::Retry;
-use chicoryford_admission::Verdict as AdmissionVerdict;
-use chicoryford_admission::shares::even;
-use chicoryford_routing::Place;
+use chicoryford_admission::shares::even_share;
+use chicoryford_routing::Location;
 use chicoryford_routing::Router;
 use chicoryford_types::Code;
 use chicoryford_types::Config;
@@ -48,7 +48,7 @@
     /// Maximum number of endpoints per model that this entry uses.
     pub subset: usize,
     /// Node, data centre and region of this entry.
-    pub place: Place,
+    pub place: Location,
 }
 
 /// An attempt that was assigned to an endpoint: its identifier at the router, and the endpoint.
@@ -140,7 +140,7 @@
             let limits = template.limits;
             let lease = Lease {
                 rate: limits.rate as f32 / self.entries as f32,
-                running: even(limits.running, self.entries, self.rank),
+                running: even_share(limits.running, self.entries, self.rank),
             };
             let (retries, weight) = (template.retries, template.weight);
             self.admission.observe_workspace(workspace, limits, retries, weight, lease);
@@ -163,14 +163,14 @@
         self.admissions += 1;
         let is_trial = self.admissions.is_multiple_of(TRIAL_INTERVAL);
         let expected_ms = if is_trial { 1 } else { expected_ms };
-        let ask = Ask {
+        let ask = AdmissionRequest {
             id: query.request,
             workspace: &query.workspace,
             model: &query.model,
             class: query.class,
             deadline: query.deadline,
             expected_ms,
-            room: self.capacities.get(&self.routing, &query.model, now),
+            capacity: self.capacities.get(&self.routing, &query.model, now),
         };
         let verdict = self.admission.admit(now, &ask);
         match verdict {
@@ -198,7 +198,7 @@
     /// Removes an admitted request that has ended.
     pub fn request_ended(&mut self, request: RequestId, ran: bool, now: Millis) {
         if let Some(started) = self.started.remove(&request) {
-            let done = Done { ok: ran, ms: now.since(started) };
+            let done = Completion { ok: ran, ms: now.since(started) };
             self.admission.finished(now, request, done);
         }
     }
@@ -238,7 +238,7 @@
             workspace: &retry.workspace,
             attempts: retry.attempts,
             outcome: retry.outcome,
-            repeatable: retry.repeatable,
+            idempotent: retry.repeatable,
             deadline: retry.deadline,
             expected_ms: 0,
         };
--- a/components/entry/tests/router_state.rs
+++ b/components/entry/tests/router_state.rs
@@ -192,7 +192,7 @@
         }
         let idle = (0..ENDPOINTS).all(|n| {
             let seat = run.state.routing.find(&Endpoint(format!("endpoint-{n}")));
-            seat.and_then(|seat| run.state.routing.state(seat)).is_none_or(|state| state.own == 0)
+            seat.and_then(|seat| run.state.routing.state(seat)).is_none_or(|state| state.own_in_flight == 0)
         });
         idle && run.state.admission.running() == 0
     }
--- a/components/experiment/src/bench.rs
+++ b/components/experiment/src/bench.rs
@@ -5,14 +5,14 @@
 use std::time::Instant;
 
 use chicoryford_admission::Admission;
-use chicoryford_admission::Ask;
-use chicoryford_admission::Room;
-use chicoryford_admission::Verdict;
-use chicoryford_routing::Place;
+use chicoryford_admission::AdmissionRequest;
+use chicoryford_admission::Capacity;
+use chicoryford_admission::Decision;
+use chicoryford_routing::Location;
+use chicoryford_routing::RouteRequest;
 use chicoryford_routing::Router;
 use chicoryford_routing::Rule;
 use chicoryford_routing::Settings;
-use chicoryford_routing::Want;
 use chicoryford_types::Class;
 use chicoryford_types::DataCentre;
 use chicoryford_types::Endpoint;
@@ -86,8 +86,8 @@
     println!("the same again, nothing changed: {:?}", started.elapsed());
 }
 
-fn place() -> Place {
-    Place { node: Node::from("entry-0"), ..Place::default() }
+fn place() -> Location {
+    Location { node: Node::from("entry-0"), ..Location::default() }
 }
 
 fn one(rule: Rule, endpoints: usize, subset: usize, flights: usize) {
@@ -105,12 +105,12 @@
         router.started(Millis(2), seats[n % seats.len()], 300, Some(n as u64));
     }
     let mut decide = |n: u64| {
-        let want = Want {
+        let want = RouteRequest {
             model: &model,
             class: Class::Normal,
             prefix: Some(n % 5_000),
-            prompt: 500,
-            tokens: 300,
+            prompt_tokens: 500,
+            output_tokens: 300,
             floor: Some(Version(1)),
             exclude: &[],
             suspect: false,
@@ -140,25 +140,25 @@
         let (limits, retries) = (Default::default(), Default::default());
         admission.observe_workspace(&workspace, limits, retries, 1, lease);
         let model = Model::from("desk-app");
-        let mut ask = |n: u64, room: Room| {
-            let ask = Ask {
+        let mut ask = |n: u64, room: Capacity| {
+            let ask = AdmissionRequest {
                 id: RequestId(1, n),
                 workspace: &workspace,
                 model: &model,
                 class: Class::Normal,
                 deadline: Millis(60_000 + n % 1_000),
                 expected_ms: 1_000,
-                room,
+                capacity: room,
             };
             let verdict = admission.admit(Millis(1), &ask);
-            if verdict == Verdict::Admit {
-                let done = chicoryford_admission::Done { ok: true, ms: 1_000 };
+            if verdict == Decision::Admit {
+                let done = chicoryford_admission::Completion { ok: true, ms: 1_000 };
                 admission.finished(Millis(1), RequestId(1, n), done);
             }
         };
-        let full = Room { slots: 10, load: 10 };
+        let full = Capacity { slots: 10, load: 10 };
         (0..waiting as u64).for_each(|n| ask(n, full));
-        let room = if waiting == 0 { Room { slots: 10, load: 0 } } else { full };
+        let room = if waiting == 0 { Capacity { slots: 10, load: 0 } } else { full };
         let mut n = waiting as u64;
         let mut next = || {
             n += 1;
--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -8,18 +8,18 @@
 
 use chicoryford_admission::Action;
 use chicoryford_admission::Admission;
-use chicoryford_admission::Ask;
-use chicoryford_admission::Done;
+use chicoryford_admission::AdmissionRequest;
+use chicoryford_admission::Capacity;
+use chicoryford_admission::Completion;
+use chicoryford_admission::Decision;
 use chicoryford_admission::Lease;
 use chicoryford_admission::Retry;
-use chicoryford_admission::Room;
-use chicoryford_admission::Verdict;
-use chicoryford_routing::Ending;
-use chicoryford_routing::Place;
+use chicoryford_routing::AttemptOutcome;
+use chicoryford_routing::ChoiceReason;
+use chicoryford_routing::EndpointId;
+use chicoryford_routing::Location;
+use chicoryford_routing::RouteRequest;
 use chicoryford_routing::Router;
-use chicoryford_routing::Seat;
-use chicoryford_routing::Want;
-use chicoryford_routing::Why;
 use chicoryford_types::Millis;
 use chicoryford_types::Model;
 use chicoryford_types::Outcome;
@@ -43,7 +43,7 @@
     /// Which try it is.
     pub attempt: u32,
     /// Where it runs.
-    pub seat: Seat,
+    pub seat: EndpointId,
     /// When it started.
     pub started: u64,
     /// When it was expected to take.
@@ -87,7 +87,8 @@
 impl Entry {
     /// Makes an entry.
     pub fn new(number: usize, arm: Arm, models: &[Model], seed: u64) -> Self {
-        let place = Place { node: format!("entry-{number}").as_str().into(), ..Place::default() };
+        let place =
+            Location { node: format!("entry-{number}").as_str().into(), ..Location::default() };
         let failures = if arm.eject { 3 } else { u32::MAX };
         let settings = chicoryford_routing::Settings {
             rule: arm.rule,
@@ -129,23 +130,23 @@
         };
         let room = self.room(now, request.model);
         let model = self.models[request.model].clone();
-        let ask = Ask {
+        let ask = AdmissionRequest {
             id: request.id,
             workspace: &Workspace(model.0.clone()),
             model: &model,
             class: request.class,
             deadline: Millis(request.deadline),
             expected_ms,
-            room,
+            capacity: room,
         };
         match self.admission.admit(Millis(now), &ask) {
-            Verdict::Admit => {
+            Decision::Admit => {
                 self.launch(now, request, floor, false, &[], world);
             }
-            Verdict::Wait => {
+            Decision::Wait => {
                 self.waiting.insert(request.id, request);
             }
-            Verdict::Refuse(refused) => self.refused(now, request, refused.retry_ms, world),
+            Decision::Refuse(refused) => self.refused(now, request, refused.retry_ms, world),
         }
     }
 
@@ -155,8 +156,8 @@
         let router = &self.router;
         let actions = self.admission.poll(Millis(now), |model| {
             let floor = models.iter().position(|m| m == model).map(|n| floors[n]);
-            let view = router.view(Millis(now), model, floor);
-            Room { slots: view.slots, load: view.load }
+            let view = router.pool_capacity(Millis(now), model, floor);
+            Capacity { slots: view.slots, load: view.load }
         });
         for action in actions {
             match action {
@@ -199,11 +200,11 @@
         let before = flight.request.produced.map_or(0.0, |(tokens, _)| tokens);
         let tokens = (job.tokens - before).max(1.0) as u32;
         let at = Millis(now);
-        self.router.finished(at, flight.seat, Ending::Finished, ms, tokens, 0);
+        self.router.finished(at, flight.seat, AttemptOutcome::Finished, ms, tokens, 0);
         let request = flight.request;
         self.drop_others(now, request.id, world);
         if self.arm.admission {
-            self.admission.finished(at, request.id, Done { ok: true, ms });
+            self.admission.finished(at, request.id, Completion { ok: true, ms });
         }
         if let Some(sample) = request.sample {
             world.done.push((sample, job.version, job.tokens));
@@ -226,7 +227,7 @@
             let same = |f: &Flight| f.request.id == job.id && f.attempt == job.attempt;
             if let Some(n) = self.flights.iter().position(same) {
                 self.keep(n, job, world);
-                self.lose(now, n, Ending::Failed, Outcome::Unknown, world);
+                self.lose(now, n, AttemptOutcome::Failed, Outcome::Unknown, world);
             }
         }
     }
@@ -243,9 +244,9 @@
         world.tally.wasted += f64::from((job.done - before).max(0.0));
     }
 
-    fn room(&self, now: u64, model: usize) -> Room {
-        let view = self.router.view(Millis(now), &self.models[model], None);
-        Room { slots: view.slots, load: view.load }
+    fn room(&self, now: u64, model: usize) -> Capacity {
+        let view = self.router.pool_capacity(Millis(now), &self.models[model], None);
+        Capacity { slots: view.slots, load: view.load }
     }
 
     fn expect(&mut self, now: u64, request: &Request, floor: Version) -> Option<u64> {
@@ -260,7 +261,7 @@
         mut request: Request,
         floor: Version,
         second: bool,
-        tried: &[Seat],
+        tried: &[EndpointId],
         world: &mut World<'_>,
     ) -> bool {
         let at = Millis(now);
@@ -275,15 +276,15 @@
                 }
                 return false;
             };
-            self.router.started(at, choice.seat, request.expected, Some(request.prefix));
+            self.router.started(at, choice.endpoint, request.expected, Some(request.prefix));
             self.next += 1;
             request.attempts += 1;
             let job = world.job(self.number, self.next, &request);
-            if world.engines[choice.seat.0 as usize].push(now, job) {
+            if world.engines[choice.endpoint.0 as usize].push(now, job) {
                 let flight = Flight {
                     request,
                     attempt: self.next,
-                    seat: choice.seat,
+                    seat: choice.endpoint,
                     started: now,
                     expected_ms: choice.expected_ms,
                     heard: now,
@@ -291,20 +292,20 @@
                 };
                 self.flights.push(flight);
                 world.tally.runs += 1;
-                world.tally.hits += u64::from(choice.why == Why::Cached);
+                world.tally.hits += u64::from(choice.reason == ChoiceReason::Cached);
                 return true;
             }
-            let down = world.engines[choice.seat.0 as usize].down > now;
-            let ending = if down { Ending::Failed } else { Ending::Released };
-            self.router.finished(at, choice.seat, ending, 0, 0, request.expected);
-            exclude.push(choice.seat);
+            let down = world.engines[choice.endpoint.0 as usize].down > now;
+            let ending = if down { AttemptOutcome::Failed } else { AttemptOutcome::Released };
+            self.router.finished(at, choice.endpoint, ending, 0, 0, request.expected);
+            exclude.push(choice.endpoint);
         }
     }
 
     /// No endpoint took the request, so that it did not run.
     fn not_placed(&mut self, now: u64, request: Request, world: &mut World<'_>) {
         if self.arm.admission {
-            self.admission.finished(Millis(now), request.id, Done { ok: false, ms: 0 });
+            self.admission.finished(Millis(now), request.id, Completion { ok: false, ms: 0 });
         }
         self.refused(now, request, 300, world);
     }
@@ -326,7 +327,7 @@
         &mut self,
         now: u64,
         n: usize,
-        ending: Ending,
+        ending: AttemptOutcome,
         outcome: Outcome,
         world: &mut World<'_>,
     ) {
@@ -348,7 +349,7 @@
             workspace: &Workspace(self.models[request.model].0.clone()),
             attempts: request.attempts.max(1),
             outcome,
-            repeatable: true,
+            idempotent: true,
             deadline: Millis(request.deadline),
             expected_ms: expected,
         };
@@ -357,7 +358,7 @@
             return;
         }
         if self.arm.admission {
-            self.admission.finished(at, request.id, Done { ok: false, ms });
+            self.admission.finished(at, request.id, Completion { ok: false, ms });
         }
         if request.sample.is_some() {
             let fresh = Request { attempts: 0, ..request };
@@ -372,7 +373,7 @@
             let flight = self.flights.swap_remove(n);
             let ms = now - flight.started;
             let left = flight.request.expected;
-            self.router.finished(Millis(now), flight.seat, Ending::Released, ms, 0, left);
+            self.router.finished(Millis(now), flight.seat, AttemptOutcome::Released, ms, 0, left);
             let engine = &mut world.engines[flight.seat.0 as usize];
             world.tally.wasted += f64::from(engine.cancel(id, flight.attempt));
         }
@@ -383,15 +384,15 @@
     model: &'a Model,
     request: &Request,
     floor: Version,
-    exclude: &'a [Seat],
+    exclude: &'a [EndpointId],
     prefix: bool,
-) -> Want<'a> {
-    Want {
+) -> RouteRequest<'a> {
+    RouteRequest {
         model,
         class: request.class,
         prefix: prefix.then_some(request.prefix),
-        prompt: request.prompt,
-        tokens: request.expected,
+        prompt_tokens: request.prompt,
+        output_tokens: request.expected,
         floor: Some(floor),
         exclude,
         suspect: false,
--- a/components/experiment/src/entry/watch.rs
+++ b/components/experiment/src/entry/watch.rs
@@ -1,8 +1,8 @@
 //! Attempts that went silent, and samples that hold up their group.
 
 use chicoryford_admission::Straggler;
-use chicoryford_routing::Ending;
-use chicoryford_routing::Seat;
+use chicoryford_routing::AttemptOutcome;
+use chicoryford_routing::EndpointId;
 use chicoryford_types::Class;
 use chicoryford_types::Outcome;
 use chicoryford_types::Version;
@@ -36,7 +36,7 @@
                 continue;
             }
             let frozen = world.engines[flight.seat.0 as usize].frozen > now;
-            let ending = if frozen { Ending::Failed } else { Ending::Silent };
+            let ending = if frozen { AttemptOutcome::Failed } else { AttemptOutcome::Silent };
             self.lose(now, n, ending, Outcome::Unknown, world);
         }
         if self.arm.rescue {
@@ -50,7 +50,7 @@
     /// Gives an urgent request that may run twice a second attempt after a second without a
     /// frame, for its deadline may be over before the silence counts as a failure.
     fn rescue(&mut self, now: u64, floors: &[Version], world: &mut World<'_>) {
-        let quiet: Vec<(Request, Seat)> = self
+        let quiet: Vec<(Request, EndpointId)> = self
             .flights
             .iter()
             .filter(|f| f.request.class == Class::Urgent && now - f.heard >= RESCUE_MS)
@@ -86,13 +86,13 @@
             let (done, rate) = world.progress(flight, ran_ms);
             let remaining = (flight.request.expected as f32 * 1.5 - done).max(0.0);
             let straggler = Straggler {
-                group: crate::trainer::SAMPLES as u32,
-                left,
-                ran_ms,
+                group_size: crate::trainer::SAMPLES as u32,
+                unfinished: left,
+                elapsed_ms: ran_ms,
                 expected_ms: flight.expected_ms,
-                again_ms: flight.expected_ms,
-                rest_ms: (remaining / rate.max(0.001)) as u64,
-                room: self.room(now, flight.request.model),
+                second_ms: flight.expected_ms,
+                remaining_ms: (remaining / rate.max(0.001)) as u64,
+                capacity: self.room(now, flight.request.model),
             };
             found = Some((straggler, flight.request.clone(), flight.seat));
             break;
--- a/components/experiment/src/leases.rs
+++ b/components/experiment/src/leases.rs
@@ -1,8 +1,8 @@
 //! Ways to share a workspace's limit over entries: how much of it callers can use when they come
 //! unevenly and move.
 
-use chicoryford_admission::shares::allot;
-use chicoryford_admission::shares::even;
+use chicoryford_admission::shares::even_share;
+use chicoryford_admission::shares::split_by_demand;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -33,7 +33,7 @@
 fn show(name: &str, way: Way, load: u32, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut weights = [1.0_f64; ENTRIES];
-    let mut shares: Vec<u32> = (0..ENTRIES).map(|n| even(LIMIT, 6, n as u32)).collect();
+    let mut shares: Vec<u32> = (0..ENTRIES).map(|n| even_share(LIMIT, 6, n as u32)).collect();
     let (mut used, mut could, mut over) = (0_u64, 0_u64, 0_u64);
     for period in 0..PERIODS {
         if period % MOVES == 0 {
@@ -50,8 +50,8 @@
         over += u64::from(all > u64::from(LIMIT));
         shares = match way {
             Way::Even => shares,
-            Way::After => allot(LIMIT, &admitted),
-            Way::Before => allot(LIMIT, &asked),
+            Way::After => split_by_demand(LIMIT, &admitted),
+            Way::Before => split_by_demand(LIMIT, &asked),
         };
     }
     let share = 100.0 * used as f64 / could as f64;
--- a/components/experiment/src/subsets.rs
+++ b/components/experiment/src/subsets.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-use chicoryford_routing::subset::Site;
-use chicoryford_routing::subset::blend;
-use chicoryford_routing::subset::subset;
+use chicoryford_routing::subset::Candidate;
+use chicoryford_routing::subset::mix_hashes;
+use chicoryford_routing::subset::select_subset;
 use chicoryford_types::DataCentre;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -16,7 +16,7 @@
 const ENDPOINTS: usize = 1_600;
 const SIZE: usize = 48;
 
-type Draw = fn(&str, &[&str], &[Site<'_>]) -> Vec<usize>;
+type Draw = fn(&str, &[&str], &[Candidate<'_>]) -> Vec<usize>;
 
 /// Prints the ways beside each other.
 pub fn run() {
@@ -26,7 +26,7 @@
     );
     show("rounds", rounds);
     show("ranked by hash", ranked);
-    show("ranked, bounded", |own, entries, sites| subset(own, entries, sites, SIZE));
+    show("ranked, bounded", |own, entries, sites| select_subset(own, entries, sites, SIZE));
 }
 
 fn show(name: &str, draw: Draw) {
@@ -34,10 +34,10 @@
     let endpoints: Vec<String> = (0..ENDPOINTS).map(|n| format!("endpoint-{n}")).collect();
     let centres: Vec<DataCentre> = (0..10).map(|n| DataCentre(format!("dc-{n}"))).collect();
     let names: Vec<&str> = entries.iter().map(String::as_str).collect();
-    let sites: Vec<Site<'_>> = endpoints
+    let sites: Vec<Candidate<'_>> = endpoints
         .iter()
         .enumerate()
-        .map(|(n, name)| Site { name, data_centre: &centres[n % 10] })
+        .map(|(n, name)| Candidate { name, data_centre: &centres[n % 10] })
         .collect();
     let started = Instant::now();
     let before = all(draw, &names, &names, &sites);
@@ -57,7 +57,7 @@
     let square: f64 = counts.iter().map(|c| (*c as f64 - mean).powi(2)).sum();
     let spread = (square / ENDPOINTS as f64).sqrt() / mean;
 
-    let fewer: Vec<Site<'_>> =
+    let fewer: Vec<Candidate<'_>> =
         sites.iter().copied().filter(|site| site.name != "endpoint-777").collect();
     let after = all(draw, &names, &names, &fewer);
     let gone = changed(&before, &sites, &after, &fewer, Some("endpoint-777"));
@@ -71,16 +71,16 @@
     );
 }
 
-fn all(draw: Draw, owns: &[&str], names: &[&str], sites: &[Site<'_>]) -> Vec<Vec<usize>> {
+fn all(draw: Draw, owns: &[&str], names: &[&str], sites: &[Candidate<'_>]) -> Vec<Vec<usize>> {
     owns.iter().map(|own| draw(own, names, sites)).collect()
 }
 
 /// Counts the endpoints that entries newly use, over all entries.
 fn changed(
     before: &[Vec<usize>],
-    old: &[Site<'_>],
+    old: &[Candidate<'_>],
     after: &[Vec<usize>],
-    new: &[Site<'_>],
+    new: &[Candidate<'_>],
     gone: Option<&str>,
 ) -> usize {
     let mut count = 0;
@@ -94,7 +94,7 @@
 
 /// Rounds: the endpoints are shuffled anew for each round of entries, and each entry of a round
 /// takes the next ones. Even, but each change of a number moves everything.
-fn rounds(own: &str, entries: &[&str], sites: &[Site<'_>]) -> Vec<usize> {
+fn rounds(own: &str, entries: &[&str], sites: &[Candidate<'_>]) -> Vec<usize> {
     let place = entries.iter().position(|name| *name == own).unwrap_or(0);
     let each = sites.len() / SIZE;
     let mut order: Vec<usize> = (0..sites.len()).collect();
@@ -104,15 +104,18 @@
 }
 
 /// The highest of a hash of both names. Changes little, but is uneven.
-fn ranked(own: &str, _: &[&str], sites: &[Site<'_>]) -> Vec<usize> {
+fn ranked(own: &str, _: &[&str], sites: &[Candidate<'_>]) -> Vec<usize> {
     let hash = |text: &str| {
         text.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| {
             (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
         })
     };
-    let own = blend(hash(own), 1);
-    let mut keys: Vec<(u64, usize)> =
-        sites.iter().enumerate().map(|(n, s)| (blend(own, blend(hash(s.name), 2)), n)).collect();
+    let own = mix_hashes(hash(own), 1);
+    let mut keys: Vec<(u64, usize)> = sites
+        .iter()
+        .enumerate()
+        .map(|(n, s)| (mix_hashes(own, mix_hashes(hash(s.name), 2)), n))
+        .collect();
     keys.select_nth_unstable(SIZE);
     keys.truncate(SIZE);
     keys.into_iter().map(|(_, n)| n).collect()
--- a/components/fleet/src/wait_queue.rs
+++ b/components/fleet/src/wait_queue.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeSet;
 
-use chicoryford_admission::queue::Fair;
+use chicoryford_admission::queue::FairClock;
 use chicoryford_types::Millis;
 use chicoryford_types::Workspace;
 
@@ -27,7 +27,7 @@
 /// Requests that wait for a slot at an endpoint of a service.
 #[derive(Clone, Debug, Default)]
 pub struct WaitQueue {
-    fair: Fair,
+    fair: FairClock,
     waiting: BTreeSet<QueuePosition>,
     last_number: u64,
     paused_until: Millis,
@@ -48,7 +48,7 @@
     /// Adds a request of a workspace.
     pub fn push(&mut self, workspace: &str, rank: u32) -> QueuePosition {
         self.last_number += 1;
-        let tag = self.fair.tag(&Workspace::from(workspace), 1);
+        let tag = self.fair.next_tag(&Workspace::from(workspace), 1);
         let position = QueuePosition { rank, tag, number: self.last_number };
         self.waiting.insert(position);
         position
--- a/components/ledger/src/audit.rs
+++ b/components/ledger/src/audit.rs
@@ -13,13 +13,13 @@
 use crate::command::Body;
 use crate::command::Record;
 use crate::command::StepKey;
-use crate::held::BodyName;
-use crate::held::HOLDERS;
-use crate::held::Holder;
+use crate::holders::BodyName;
+use crate::holders::HOLDERS_PER_BODY;
+use crate::holders::Holder;
 use crate::ledger::Ledger;
 
 /// Bodies named in one answer, or the rest of a group more; a repairer asks again when these are mended.
-pub const LACKING: usize = 256;
+pub const MAX_LACKING: usize = 256;
 
 /// What an entry asks.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
@@ -41,16 +41,16 @@
 /// What the ledger answers.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
-pub struct Audited {
-    /// Bodies that have too few holders, about [`LACKING`] at most.
-    pub lacking: Vec<Lacking>,
+pub struct AuditReply {
+    /// Bodies that have too few holders, about [`MAX_LACKING`] at most.
+    pub lacking: Vec<UnderReplicated>,
     /// For each step asked about, the groups whose bodies are still of use.
-    pub wanted: Vec<Wanted>,
+    pub wanted: Vec<NeededGroups>,
 }
 
 /// A body that has too few holders.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
-pub struct Lacking {
+pub struct UnderReplicated {
     /// The body.
     pub name: BodyName,
     /// Its recorded holders, present or not.
@@ -61,14 +61,14 @@
 
 /// The groups of a step whose bodies are still of use.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
-pub struct Wanted {
+pub struct NeededGroups {
     /// The step.
     pub key: StepKey,
     /// Runs of groups, first and last; none if the step has ended.
     pub groups: Vec<(Group, Group)>,
 }
 
-impl Wanted {
+impl NeededGroups {
     /// Tells whether the bodies of a group are of use.
     pub fn has(&self, group: Group) -> bool {
         self.groups.iter().any(|(first, last)| (*first..=*last).contains(&group))
@@ -84,25 +84,25 @@
 
 impl Ledger {
     /// Answers an entry's questions about bodies.
-    pub fn audit(&self, audit: &Audit) -> Audited {
+    pub fn audit(&self, audit: &Audit) -> AuditReply {
         let lacking = match audit {
             Audit { present, .. } if present.is_empty() => Vec::new(),
-            Audit { leaving: true, .. } => self.leaving(audit),
+            Audit { leaving: true, .. } => self.lacking_without(audit),
             _ => self.lacking(audit),
         };
         let wanted = audit.holds.iter().map(|key| self.wanted(key)).collect();
-        Audited { lacking, wanted }
+        AuditReply { lacking, wanted }
     }
 
     /// Lists bodies that have fewer holders among those present than there could be: those of
     /// the asker's steps, and those in batches of steps that were closed, which nobody owns; of
     /// these its first present holder takes care.
-    fn lacking(&self, audit: &Audit) -> Vec<Lacking> {
+    fn lacking(&self, audit: &Audit) -> Vec<UnderReplicated> {
         let is_first = |record: &Record| {
             let first = holders(record).iter().find(|holder| audit.present.contains(holder));
             first.is_some_and(|first| first.node == audit.node)
         };
-        self.short(audit, |key, record| match self.steps.get(key) {
+        self.under_replicated(audit, |key, record| match self.steps.get(key) {
             Some(step) => step.owner == Some(audit.session),
             None => is_first(record),
         })
@@ -110,15 +110,19 @@
 
     /// Lists bodies that the asker holds and that have too few holders without it, whoever owns
     /// their steps.
-    fn leaving(&self, audit: &Audit) -> Vec<Lacking> {
+    fn lacking_without(&self, audit: &Audit) -> Vec<UnderReplicated> {
         let is_here = |record: &Record| holders(record).iter().any(|h| h.node == audit.node);
-        self.short(audit, |_, record| is_here(record))
+        self.under_replicated(audit, |_, record| is_here(record))
     }
 
     /// Lists bodies that have too few present holders, of those that concern the asker.
-    fn short(&self, audit: &Audit, concerns: impl Fn(&StepKey, &Record) -> bool) -> Vec<Lacking> {
+    fn under_replicated(
+        &self,
+        audit: &Audit,
+        concerns: impl Fn(&StepKey, &Record) -> bool,
+    ) -> Vec<UnderReplicated> {
         let present: BTreeSet<&Holder> = audit.present.iter().collect();
-        let enough = HOLDERS.min(present.len());
+        let enough = HOLDERS_PER_BODY.min(present.len());
         let is_short = |record: &Record| {
             let holders = holders(record);
             let left = holders.iter().filter(|holder| present.contains(holder)).count();
@@ -128,13 +132,13 @@
         let mut short = Vec::new();
         let batches = self.deliveries.values().filter_map(|delivery| delivery.batch.as_ref());
         for (key, group, number, record) in batches.flat_map(|batch| &batch.samples) {
-            if short.len() < LACKING && wanted(key, record) {
+            if short.len() < MAX_LACKING && wanted(key, record) {
                 short.push(lacking((key, *group, *number), record, true));
             }
         }
         for (key, step) in &self.steps {
             for (number, group) in (0..).map(Group).zip(&step.groups) {
-                if short.len() >= LACKING {
+                if short.len() >= MAX_LACKING {
                     return short;
                 }
                 let done = group.done.iter().filter(|(_, record)| wanted(key, record));
@@ -146,8 +150,8 @@
 
     /// Lists the groups of a step that are not acknowledged. A batch outlives the closing of its
     /// step: the trainer may still pull it again.
-    fn wanted(&self, key: &StepKey) -> Wanted {
-        let mut wanted = Wanted { key: key.clone(), ..Wanted::default() };
+    fn wanted(&self, key: &StepKey) -> NeededGroups {
+        let mut wanted = NeededGroups { key: key.clone(), ..NeededGroups::default() };
         let delivery = self.deliveries.get(&key.workspace);
         if let Some(step) = self.steps.get(key) {
             let acked = delivery.map(|delivery| delivery.acked).unwrap_or_default();
@@ -167,10 +171,10 @@
     }
 }
 
-fn lacking(place: (&StepKey, Group, SampleNo), record: &Record, sealed: bool) -> Lacking {
+fn lacking(place: (&StepKey, Group, SampleNo), record: &Record, sealed: bool) -> UnderReplicated {
     let (key, group, number) = place;
     let name = BodyName { key: key.clone(), group, number, digest: record.digest };
-    Lacking { name, from: holders(record).to_vec(), sealed }
+    UnderReplicated { name, from: holders(record).to_vec(), sealed }
 }
 
 fn holders(record: &Record) -> &[Holder] {
--- a/components/ledger/src/command.rs
+++ b/components/ledger/src/command.rs
@@ -14,8 +14,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::held::BodyName;
-use crate::held::Holder;
+use crate::holders::BodyName;
+use crate::holders::Holder;
 
 /// Identifies a step.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
--- a/components/ledger/src/delivery.rs
+++ b/components/ledger/src/delivery.rs
@@ -15,7 +15,7 @@
 use crate::command::StepKey;
 
 /// Ended steps that are remembered by their content, for resent openings.
-pub const ENDED: usize = 64;
+pub const REMEMBERED_STEPS: usize = 64;
 
 /// What is handed to a workspace's trainer.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
@@ -91,9 +91,9 @@
     }
 
     /// Remembers that a step ended, so that a resent opening does not run it again.
-    pub fn end(&mut self, step: Step, digest: Option<Digest>) {
+    pub fn record_end(&mut self, step: Step, digest: Option<Digest>) {
         self.ended.insert(step, digest);
-        if self.ended.len() > ENDED
+        if self.ended.len() > REMEMBERED_STEPS
             && let Some((first, _)) = self.ended.pop_first()
         {
             self.floor = self.floor.max(Some(first));
--- a/components/ledger/src/group.rs
+++ b/components/ledger/src/group.rs
@@ -24,13 +24,13 @@
 
 /// What became of a record that was offered to a group.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Kept {
+pub enum KeepOutcome {
     /// It is recorded.
-    New,
+    Recorded,
     /// The very same one is recorded already: its owner lost the answer and sent it again.
-    Again,
+    AlreadyRecorded,
     /// Another took its place, or the group has all it needs.
-    Late,
+    Duplicate,
 }
 
 impl Group {
@@ -38,16 +38,16 @@
     ///
     /// Hedged and resumed attempts can both finish one sample. The first wins here, where every
     /// replica decides alike; were the second kept, a sample could change after a trainer saw it.
-    pub fn keep(&mut self, number: SampleNo, record: Record, wanted: u32) -> Kept {
+    pub fn keep(&mut self, number: SampleNo, record: Record, wanted: u32) -> KeepOutcome {
         if self.done.get(&number).is_some_and(|first| *first == record) {
-            return Kept::Again;
+            return KeepOutcome::AlreadyRecorded;
         }
         if self.done.contains_key(&number) || self.is_whole(wanted) || self.batch.is_some() {
-            return Kept::Late;
+            return KeepOutcome::Duplicate;
         }
         self.oldest = self.oldest.min(record.oldest()).or(record.oldest());
         self.done.insert(number, record);
-        Kept::New
+        KeepOutcome::Recorded
     }
 
     /// Tells whether as many samples are recorded as are wanted.
@@ -70,7 +70,7 @@
     }
 
     /// Drops one sample, whose place is then free again.
-    pub fn forget(&mut self, number: SampleNo) {
+    pub fn remove(&mut self, number: SampleNo) {
         self.done.remove(&number);
         self.oldest = self.done.values().filter_map(Record::oldest).min();
     }
--- a/components/ledger/src/held.rs
+++ b/components/ledger/src/holders.rs
@@ -17,10 +17,10 @@
 use crate::ledger::Ledger;
 
 /// Processes that hold a body. With three, the loss of any two VMs at once leaves one copy.
-pub const HOLDERS: usize = 3;
+pub const HOLDERS_PER_BODY: usize = 3;
 /// What a held body counts against the ledger's bound, in bytes. The same however many holders
 /// there are, so that moving a body does not change the sum.
-pub const HELD_SIZE: usize = 256;
+pub const HELD_BODY_SIZE: usize = 256;
 
 /// One start of a process that holds bodies. A process that restarted has lost its copies, which
 /// only its incarnation tells.
@@ -47,9 +47,9 @@
 }
 
 /// Tells whether there are `HOLDERS` different processes in the list.
-pub fn is_safe(holders: &[Holder]) -> bool {
+pub fn has_enough_holders(holders: &[Holder]) -> bool {
     let nodes: BTreeSet<&Node> = holders.iter().map(|holder| &holder.node).collect();
-    nodes.len() >= HOLDERS
+    nodes.len() >= HOLDERS_PER_BODY
 }
 
 impl Ledger {
@@ -58,7 +58,7 @@
     /// Two repairers may work at once, the sample may have been run again or acknowledged
     /// meanwhile. Without the comparison the slower one would name holders that have dropped
     /// their copies.
-    pub(crate) fn rehold(
+    pub(crate) fn replace_holders(
         &mut self,
         name: &BodyName,
         from: &[Holder],
@@ -68,7 +68,7 @@
         if nodes.is_empty() || nodes.len() != to.len() {
             return LedgerReply::Undeliverable;
         }
-        let Some(record) = self.recorded(name) else { return LedgerReply::Missing };
+        let Some(record) = self.find_record(name) else { return LedgerReply::Missing };
         match &mut record.body {
             Body::Held(holders) if *holders == to => LedgerReply::Reheld,
             Body::Held(holders) if holders == from => {
@@ -81,7 +81,7 @@
 
     /// Opens the place of a sample whose bytes no holder has any more. One that is in a batch
     /// stays: the trainer may have it, and a batch never changes.
-    pub(crate) fn lose(&mut self, name: &BodyName, from: &[Holder]) -> LedgerReply {
+    pub(crate) fn reopen_lost(&mut self, name: &BodyName, from: &[Holder]) -> LedgerReply {
         let Some(step) = self.steps.get_mut(&name.key) else { return LedgerReply::Missing };
         let group = step.groups.get_mut(name.group.0 as usize);
         let Some(group) = group.filter(|group| group.batch.is_none()) else {
@@ -92,13 +92,13 @@
             return LedgerReply::Moved;
         }
         let size = record.size();
-        group.forget(name.number);
+        group.remove(name.number);
         self.bytes -= size;
         LedgerReply::Reopened
     }
 
     /// Finds a record that waits to be handed out or acknowledged.
-    fn recorded(&mut self, name: &BodyName) -> Option<&mut Record> {
+    fn find_record(&mut self, name: &BodyName) -> Option<&mut Record> {
         let BodyName { key, group, number, digest } = name;
         let open = self.steps.get_mut(key).and_then(|step| step.groups.get_mut(group.0 as usize));
         let open = open.and_then(|group| group.done.get_mut(number));
--- a/components/ledger/src/ledger.rs
+++ b/components/ledger/src/ledger.rs
@@ -18,28 +18,28 @@
 use crate::command::StepKey;
 use crate::command::StepSpec;
 use crate::delivery::Delivery;
-use crate::group::Kept;
+use crate::group::KeepOutcome;
 use crate::record::is_stale;
 use crate::step::Step;
 
 /// Steps that one workspace may have open at once.
-pub const OPEN: usize = 16;
+pub const MAX_OPEN_STEPS: usize = 16;
 /// Workspaces that may have a cursor.
-pub const WORKSPACES: usize = 4_096;
+pub const MAX_WORKSPACES: usize = 4_096;
 /// Samples of one step at most, those beyond what is wanted included.
-pub const SAMPLES: u64 = 1 << 20;
+pub const MAX_STEP_SAMPLES: u64 = 1 << 20;
 /// Bytes of samples that wait to be handed out or acknowledged, at most. Past it only the step
 /// that was opened first may still record, so that it can end and make room.
-pub const BYTES: usize = 128 << 20;
+pub const MAX_SAMPLE_BYTES: usize = 128 << 20;
 /// Orphaned steps named in one answer at most.
-const ORPHANS: usize = 256;
+const MAX_ORPHANS: usize = 256;
 
 /// The exactly-once ledger.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Ledger {
     /// Promises found broken by this replica since it started; zero unless there is a fault.
     #[serde(skip)]
-    pub broken: u64,
+    pub violations: u64,
     pub(crate) steps: BTreeMap<StepKey, Step>,
     pub(crate) deliveries: BTreeMap<Workspace, Delivery>,
     /// Bytes of all samples here, in steps and in batches.
@@ -68,13 +68,13 @@
             LedgerCommand::Close { key } => self.close(&key),
             LedgerCommand::Progress { key } => self.progress(&key),
             LedgerCommand::Orphans => LedgerReply::Orphans(self.orphans()),
-            LedgerCommand::Rehold { name, from, to } => self.rehold(&name, &from, to),
-            LedgerCommand::Lost { name, from } => self.lose(&name, &from),
+            LedgerCommand::Rehold { name, from, to } => self.replace_holders(&name, &from, to),
+            LedgerCommand::Lost { name, from } => self.reopen_lost(&name, &from),
         }
     }
 
     /// Takes back the recorded samples that a newly published version makes too old.
-    pub fn sweep(&mut self, model: &Model, newest: Version) {
+    pub fn drop_stale_samples(&mut self, model: &Model, newest: Version) {
         for step in self.steps.values_mut().filter(|step| step.spec.model == *model) {
             let (_, bytes) = step.drop_stale(newest);
             self.bytes -= bytes;
@@ -93,7 +93,7 @@
     /// Lists steps that no session owns.
     pub fn orphans(&self) -> Vec<StepKey> {
         let orphans = self.steps.iter().filter(|(_, step)| step.owner.is_none());
-        orphans.map(|(key, _)| key.clone()).take(ORPHANS).collect()
+        orphans.map(|(key, _)| key.clone()).take(MAX_ORPHANS).collect()
     }
 
     /// Finds an open step.
@@ -116,9 +116,9 @@
         self.bytes
     }
 
-    pub(crate) fn break_promise(&mut self, promise: &str, workspace: &Workspace) {
-        self.broken += 1;
-        tracing::error!(event = "promise_broken", promise, %workspace);
+    pub(crate) fn report_violation(&mut self, invariant: &str, workspace: &Workspace) {
+        self.violations += 1;
+        tracing::error!(event = "promise_broken", promise = invariant, %workspace);
     }
 
     fn open(&mut self, spec: StepSpec, bound: u64) -> LedgerReply {
@@ -145,9 +145,9 @@
         let open = self.steps.keys().filter(|key| key.workspace == spec.workspace).count();
         let begun = u64::from(spec.samples) + u64::from(spec.extra);
         let knows = self.deliveries.contains_key(&spec.workspace);
-        open < OPEN
-            && begun.saturating_mul(spec.groups.len() as u64) <= SAMPLES
-            && (knows || self.deliveries.len() < WORKSPACES)
+        open < MAX_OPEN_STEPS
+            && begun.saturating_mul(spec.groups.len() as u64) <= MAX_STEP_SAMPLES
+            && (knows || self.deliveries.len() < MAX_WORKSPACES)
     }
 
     fn take(&mut self, key: &StepKey, session: u64) -> LedgerReply {
@@ -169,7 +169,7 @@
         record: Record,
         newest: impl Fn(&Model) -> Version,
     ) -> LedgerReply {
-        let is_full = self.bytes >= BYTES && !self.is_first(key);
+        let is_full = self.bytes >= MAX_SAMPLE_BYTES && !self.is_oldest_step(key);
         let Some(step) = self.steps.get_mut(key) else { return LedgerReply::Missing };
         if step.owner != Some(session) {
             return LedgerReply::Fenced;
@@ -192,16 +192,16 @@
         }
         let size = record.size();
         match group.keep(place.1, record, wanted) {
-            Kept::New => {
+            KeepOutcome::Recorded => {
                 self.bytes += size;
                 LedgerReply::Kept
             }
-            Kept::Again => LedgerReply::Kept,
-            Kept::Late => LedgerReply::Duplicate,
+            KeepOutcome::AlreadyRecorded => LedgerReply::Kept,
+            KeepOutcome::Duplicate => LedgerReply::Duplicate,
         }
     }
 
-    fn is_first(&self, key: &StepKey) -> bool {
+    fn is_oldest_step(&self, key: &StepKey) -> bool {
         let first = self.steps.iter().min_by_key(|(_, step)| step.order);
         first.is_some_and(|(first, _)| first == key)
     }
@@ -238,7 +238,7 @@
         }
         for (key, digest) in finished {
             self.steps.remove(&key);
-            self.deliveries.entry(key.workspace).or_default().end(key.step, Some(digest));
+            self.deliveries.entry(key.workspace).or_default().record_end(key.step, Some(digest));
         }
     }
 
@@ -247,7 +247,7 @@
             Some(step) => {
                 self.bytes -= step.bytes();
                 let delivery = self.deliveries.entry(key.workspace.clone()).or_default();
-                delivery.end(key.step, None);
+                delivery.record_end(key.step, None);
                 LedgerReply::Closed
             }
             None if self.has_ended(key) => LedgerReply::Closed,
--- a/components/ledger/src/pull.rs
+++ b/components/ledger/src/pull.rs
@@ -38,7 +38,7 @@
         if let Some(batch) = &delivery.batch {
             let (reply, is_sealed) = (batch.reply(), batch.is_sealed());
             if !is_sealed {
-                self.break_promise("batch_changed", workspace);
+                self.report_violation("batch_changed", workspace);
             }
             return reply;
         }
@@ -88,7 +88,7 @@
             }
         }
         if doubled {
-            self.break_promise("sample_in_two_batches", workspace);
+            self.report_violation("sample_in_two_batches", workspace);
         }
         samples
     }
@@ -106,7 +106,7 @@
             record.oldest().is_none_or(|oldest| is_stale(oldest, newest, step.bound))
         };
         if samples.iter().any(is_over) {
-            self.break_promise("stale_sample_delivered", workspace);
+            self.report_violation("stale_sample_delivered", workspace);
         }
     }
 }
--- a/components/ledger/src/record.rs
+++ b/components/ledger/src/record.rs
@@ -6,8 +6,8 @@
 
 use crate::command::Body;
 use crate::command::Record;
-use crate::held::HELD_SIZE;
-use crate::held::is_safe;
+use crate::holders::HELD_BODY_SIZE;
+use crate::holders::has_enough_holders;
 
 impl Record {
     /// Gives the oldest version that produced any of the tokens.
@@ -26,7 +26,7 @@
     pub fn is_intact(&self) -> bool {
         match &self.body {
             Body::Inline(bytes) => Digest::of(bytes) == self.digest,
-            Body::Held(holders) => is_safe(holders),
+            Body::Held(holders) => has_enough_holders(holders),
         }
     }
 
@@ -34,7 +34,7 @@
     pub fn size(&self) -> usize {
         match &self.body {
             Body::Inline(bytes) => bytes.len(),
-            Body::Held(_) => HELD_SIZE,
+            Body::Held(_) => HELD_BODY_SIZE,
         }
     }
 }
--- a/components/ledger/tests/bodies.rs
+++ b/components/ledger/tests/bodies.rs
@@ -107,7 +107,7 @@
     assert_eq!(rehold(&mut ledger, [1, 2, 4], [2, 4, 5]), LedgerReply::Reheld);
     let LedgerReply::Batch { samples, .. } = pull(&mut ledger) else { panic!("{first:?}") };
     assert_eq!(samples[0].3.body, Body::Held(holders([2, 4, 5])));
-    assert_eq!(ledger.broken, 0, "other holders are not another batch");
+    assert_eq!(ledger.violations, 0, "other holders are not another batch");
 }
 
 #[test]
--- a/components/ledger/tests/steps.rs
+++ b/components/ledger/tests/steps.rs
@@ -91,7 +91,7 @@
     assert_eq!(progress.done, [(Group(0), SampleNo(1))]);
     assert_eq!(done(&mut ledger, 0, 0, record(8, 2)), LedgerReply::Kept);
     assert_eq!(numbers(&pull(&mut ledger, 1, 8)), [(0, 0), (0, 1)]);
-    assert_eq!(ledger.broken, 0);
+    assert_eq!(ledger.violations, 0);
 }
 
 #[test]
--- a/components/routing/src/view.rs
+++ b/components/routing/src/capacity.rs
@@ -9,7 +9,7 @@
 
 /// The room that a model's endpoints have, as this entry sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct View {
+pub struct PoolCapacity {
     /// Endpoints that could take work now.
     pub endpoints: u32,
     /// Attempts that they may run at once.
@@ -22,15 +22,20 @@
 
 impl Router {
     /// Sums up the endpoints of this entry's subset that could serve a model now.
-    pub fn view(&self, now: Millis, model: &Model, floor: Option<Version>) -> View {
+    pub fn pool_capacity(
+        &self,
+        now: Millis,
+        model: &Model,
+        floor: Option<Version>,
+    ) -> PoolCapacity {
         let Some(pool) = self.pools.get(model) else {
-            return View::default();
+            return PoolCapacity::default();
         };
-        let mut view = View::default();
+        let mut view = PoolCapacity::default();
         let mut load = 0.0;
         let mut slots = 0.0;
         let mut grown = 0.0;
-        for seat in &pool.seats {
+        for seat in &pool.subset {
             let state = &self.states[seat.0 as usize];
             if !self.usable(now, state, model, floor) {
                 continue;
@@ -39,7 +44,7 @@
             view.headroom += state.headroom;
             let here = score::load(now, &self.settings, pool, state);
             load += here;
-            grown += state.own as f32 - state.own_seen as f32;
+            grown += state.own_in_flight as f32 - state.own_reported as f32;
             let limit = if self.settings.adapt { state.limit.get() } else { state.slots as f32 };
             // The resource that runs out first need not be the one that slots stand for: long
             // prompts exhaust prefill, and what passes between engines the link, while memory
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -5,30 +5,30 @@
 use chicoryford_types::Version;
 use rand::Rng;
 
-use crate::cache::Hold;
+use crate::cache::CacheEntry;
+use crate::endpoint::EndpointId;
+use crate::endpoint::EndpointState;
 use crate::pool::Pool;
+use crate::request::Choice;
+use crate::request::ChoiceReason;
+use crate::request::NoEndpoint;
+use crate::request::RouteRequest;
 use crate::router::Router;
 use crate::score;
 use crate::score::Score;
-use crate::seat::Seat;
-use crate::seat::State;
 use crate::settings::Rule;
-use crate::want::Choice;
-use crate::want::NoChoice;
-use crate::want::Want;
-use crate::want::Why;
 
 /// How far a hold is believed after reports were missing, which may have told of its eviction.
-const DOUBTED: f32 = 0.5;
+const GAP_CONFIDENCE: f32 = 0.5;
 /// How far the home of a prefix that nobody is known to hold is preferred, as a share of prefill.
-const HOMELY: f32 = 0.25;
+const HOME_CONFIDENCE: f32 = 0.25;
 /// The load, as a share of the limit, from which probing takes an endpoint for a loaded one.
-const HOT: f32 = 0.8;
+const HIGH_LOAD_SHARE: f32 = 0.8;
 
 #[derive(Clone, Copy)]
-struct Best {
-    seat: Seat,
-    why: Why,
+struct ScoredEndpoint {
+    endpoint: EndpointId,
+    reason: ChoiceReason,
     score: Score,
     rank: f32,
 }
@@ -38,55 +38,66 @@
     ///
     /// # Errors
     ///
-    /// [`NoChoice`] tells why no endpoint will do.
-    pub fn choose(&mut self, now: Millis, want: &Want<'_>) -> Result<Choice, NoChoice> {
+    /// [`NoEndpoint`] tells why no endpoint will do.
+    pub fn choose(&mut self, now: Millis, want: &RouteRequest<'_>) -> Result<Choice, NoEndpoint> {
         let Some(pool) = self.pools.get_mut(want.model) else {
             self.counts.none += 1;
-            return Err(NoChoice::Unserved);
+            return Err(NoEndpoint::Unserved);
         };
-        let turn = pool.turn;
-        pool.turn = pool.turn.wrapping_add(1);
+        let turn = pool.next_turn;
+        pool.next_turn = pool.next_turn.wrapping_add(1);
         let start = self.rng.random_range(0..usize::MAX);
-        let best = self.pick(now, want, turn, start);
+        let best = self.select(now, want, turn, start);
         let Some(best) = best else {
             self.counts.none += 1;
-            return Err(self.explain(now, want));
+            return Err(self.failure_reason(now, want));
         };
         self.counts.chosen += 1;
-        self.counts.cached += u64::from(best.why == Why::Cached);
-        self.counts.outside += u64::from(best.why == Why::Outside);
-        self.check(now, want, best.seat);
-        Ok(Choice { seat: best.seat, why: best.why, expected_ms: best.score.finish_ms as u64 })
+        self.counts.cached += u64::from(best.reason == ChoiceReason::Cached);
+        self.counts.outside += u64::from(best.reason == ChoiceReason::Outside);
+        self.check_invariants(now, want, best.endpoint);
+        Ok(Choice {
+            endpoint: best.endpoint,
+            reason: best.reason,
+            expected_ms: best.score.finish_ms as u64,
+        })
     }
 
-    fn pick(&mut self, now: Millis, want: &Want<'_>, turn: usize, start: usize) -> Option<Best> {
+    fn select(
+        &mut self,
+        now: Millis,
+        want: &RouteRequest<'_>,
+        turn: usize,
+        start: usize,
+    ) -> Option<ScoredEndpoint> {
         if want.suspect
-            && let Some(best) = self.apart(now, want)
+            && let Some(best) = self.isolated(now, want)
         {
             return Some(best);
         }
         let best = match self.settings.rule {
-            Rule::RoundRobin => self.first(now, want, turn),
-            Rule::Random => self.first(now, want, start),
-            Rule::LeastInFlight => self.least(now, want, start),
-            Rule::TwoChoices => self.drawn(now, want, 2, |score| score.share),
-            Rule::Probing => self.drawn(now, want, self.settings.draws, probing),
-            Rule::LeastFinish => self.finish(now, want),
+            Rule::RoundRobin => self.first_eligible(now, want, turn),
+            Rule::Random => self.first_eligible(now, want, start),
+            Rule::LeastInFlight => self.least_in_flight(now, want, start),
+            Rule::TwoChoices => self.best_of_random(now, want, 2, |score| score.load_share),
+            Rule::Probing => self.best_of_random(now, want, self.settings.draws, probing_rank),
+            Rule::LeastFinish => self.least_finish(now, want),
         };
-        best.or_else(|| self.first(now, want, start)).or_else(|| self.outside(now, want, start))
+        best.or_else(|| self.first_eligible(now, want, start))
+            .or_else(|| self.outside_subset(now, want, start))
     }
 
     /// Tells whether an endpoint could serve a model now.
     pub(crate) fn usable(
         &self,
         now: Millis,
-        state: &State,
+        state: &EndpointState,
         model: &Model,
         floor: Option<Version>,
     ) -> bool {
         let on = &self.settings.protections;
         let leaves = on.drain && state.draining;
-        let ejected = on.eject && state.ejected.is_some_and(|until| now < until);
+        let ejected = on.eject && state.ejected_until.is_some_and(|until| now < until);
         if !state.present || !state.healthy || leaves || ejected {
             return false;
         }
@@ -97,52 +108,69 @@
         }
     }
 
-    fn eligible(&self, now: Millis, want: &Want<'_>, seat: Seat) -> bool {
+    fn eligible(&self, now: Millis, want: &RouteRequest<'_>, seat: EndpointId) -> bool {
         let excluded = self.settings.protections.exclude && want.exclude.contains(&seat);
-        !excluded && self.usable(now, self.at(seat), want.model, want.floor)
+        !excluded && self.usable(now, self.state_of(seat), want.model, want.floor)
     }
 
-    fn at(&self, seat: Seat) -> &State {
+    fn state_of(&self, seat: EndpointId) -> &EndpointState {
         &self.states[seat.0 as usize]
     }
 
-    fn scored(&self, now: Millis, want: &Want<'_>, pool: &Pool, seat: Seat, cached: f32) -> Score {
-        score::score(now, &self.settings, pool, self.at(seat), want, cached)
+    fn score(
+        &self,
+        now: Millis,
+        want: &RouteRequest<'_>,
+        pool: &Pool,
+        seat: EndpointId,
+        cached: f32,
+    ) -> Score {
+        score::score(now, &self.settings, pool, self.state_of(seat), want, cached)
     }
 
     /// Gives the first that will do, from a place on.
-    fn first(&self, now: Millis, want: &Want<'_>, from: usize) -> Option<Best> {
+    fn first_eligible(
+        &self,
+        now: Millis,
+        want: &RouteRequest<'_>,
+        from: usize,
+    ) -> Option<ScoredEndpoint> {
         let pool = self.pools.get(want.model)?;
-        let len = pool.seats.len();
+        let len = pool.subset.len();
         let seat = (0..len)
-            .map(|n| pool.seats[(from % len + n) % len])
+            .map(|n| pool.subset[(from % len + n) % len])
             .find(|seat| self.eligible(now, want, *seat))?;
-        let score = self.scored(now, want, pool, seat, 0.0);
-        Some(Best { seat, why: Why::Best, score, rank: score.rank })
+        let score = self.score(now, want, pool, seat, 0.0);
+        Some(ScoredEndpoint { endpoint: seat, reason: ChoiceReason::Best, score, rank: score.rank })
     }
 
     /// Gives the one with the fewest own attempts in flight.
-    fn least(&self, now: Millis, want: &Want<'_>, from: usize) -> Option<Best> {
+    fn least_in_flight(
+        &self,
+        now: Millis,
+        want: &RouteRequest<'_>,
+        from: usize,
+    ) -> Option<ScoredEndpoint> {
         let pool = self.pools.get(want.model)?;
-        let len = pool.seats.len();
+        let len = pool.subset.len();
         let seat = (0..len)
-            .map(|n| pool.seats[(from % len + n) % len])
+            .map(|n| pool.subset[(from % len + n) % len])
             .filter(|seat| self.eligible(now, want, *seat))
-            .min_by_key(|seat| self.at(*seat).own)?;
-        let score = self.scored(now, want, pool, seat, 0.0);
-        Some(Best { seat, why: Why::Best, score, rank: score.rank })
+            .min_by_key(|seat| self.state_of(*seat).own_in_flight)?;
+        let score = self.score(now, want, pool, seat, 0.0);
+        Some(ScoredEndpoint { endpoint: seat, reason: ChoiceReason::Best, score, rank: score.rank })
     }
 
     /// Gives the best of a few drawn at random.
-    fn drawn(
+    fn best_of_random(
         &mut self,
         now: Millis,
-        want: &Want<'_>,
+        want: &RouteRequest<'_>,
         draws: usize,
         rank: impl Fn(&Score) -> f32,
-    ) -> Option<Best> {
-        let len = self.pools.get(want.model)?.seats.len();
-        let mut best: Option<Best> = None;
+    ) -> Option<ScoredEndpoint> {
+        let len = self.pools.get(want.model)?.subset.len();
+        let mut best: Option<ScoredEndpoint> = None;
         let mut left = draws;
         // Draws that hit an endpoint that will not do are repeated, but not without end.
         for _ in 0..draws * 4 {
@@ -151,15 +179,20 @@
             }
             let n = self.rng.random_range(0..len);
             let pool = self.pools.get(want.model)?;
-            let seat = pool.seats[n];
+            let seat = pool.subset[n];
             if !self.eligible(now, want, seat) {
                 continue;
             }
             left -= 1;
-            let score = self.scored(now, want, pool, seat, 0.0);
+            let score = self.score(now, want, pool, seat, 0.0);
             let rank = rank(&score);
             if best.is_none_or(|best| rank < best.rank) {
-                best = Some(Best { seat, why: Why::Best, score, rank });
+                best = Some(ScoredEndpoint {
+                    endpoint: seat,
+                    reason: ChoiceReason::Best,
+                    score,
+                    rank,
+                });
             }
         }
         best
@@ -167,8 +200,8 @@
 
     /// Gives the one expected to finish first, of a few drawn at random, those that hold the
     /// prefix and its home.
-    fn finish(&mut self, now: Millis, want: &Want<'_>) -> Option<Best> {
-        let best = self.drawn(now, want, self.settings.draws, |score| score.rank)?;
+    fn least_finish(&mut self, now: Millis, want: &RouteRequest<'_>) -> Option<ScoredEndpoint> {
+        let best = self.best_of_random(now, want, self.settings.draws, |score| score.rank)?;
         let Some(prefix) = want.prefix else {
             return Some(best);
         };
@@ -176,14 +209,16 @@
         let mut chosen = best;
         let mut known = false;
         for hold in self.directory.holders(prefix) {
-            let cached = self.belief(now, hold);
+            let cached = self.cache_confidence(now, hold);
             known |= cached > 0.0;
-            let found = self.with_prefix(now, want, pool, hold.seat, cached, Why::Cached);
-            chosen = lesser(chosen, found);
+            let found =
+                self.prefix_candidate(now, want, pool, hold.endpoint, cached, ChoiceReason::Cached);
+            chosen = better_of(chosen, found);
         }
         if !known && let Some(home) = pool.home(prefix) {
-            let found = self.with_prefix(now, want, pool, home, HOMELY, Why::Home);
-            chosen = lesser(chosen, found);
+            let found =
+                self.prefix_candidate(now, want, pool, home, HOME_CONFIDENCE, ChoiceReason::Home);
+            chosen = better_of(chosen, found);
         }
         Some(chosen)
     }
@@ -193,36 +228,37 @@
     /// The finish expected there already counts the load; the bound is needed because loads are
     /// estimates, and a popular prefix would otherwise draw all entries to one endpoint between
     /// two reports (compare consistent hashing with bounded loads).
-    fn with_prefix(
+    fn prefix_candidate(
         &self,
         now: Millis,
-        want: &Want<'_>,
+        want: &RouteRequest<'_>,
         pool: &Pool,
-        seat: Seat,
+        seat: EndpointId,
         cached: f32,
-        why: Why,
-    ) -> Option<Best> {
-        if cached <= 0.0 || !self.eligible(now, want, seat) || !self.in_pool(want, seat) {
+        why: ChoiceReason,
+    ) -> Option<ScoredEndpoint> {
+        if cached <= 0.0 || !self.eligible(now, want, seat) || !self.serves(want, seat) {
             return None;
         }
-        let score = self.scored(now, want, pool, seat, cached);
+        let score = self.score(now, want, pool, seat, cached);
         let mean = pool.load_share();
-        if score.share > self.settings.bound * mean.max(1.0 / self.at(seat).slots as f32) {
+        if score.load_share > self.settings.bound * mean.max(1.0 / self.state_of(seat).slots as f32)
+        {
             return None;
         }
-        Some(Best { seat, why, score, rank: score.rank })
+        Some(ScoredEndpoint { endpoint: seat, reason: why, score, rank: score.rank })
     }
 
-    fn in_pool(&self, want: &Want<'_>, seat: Seat) -> bool {
-        self.at(seat).version(want.model).is_some()
+    fn serves(&self, want: &RouteRequest<'_>, seat: EndpointId) -> bool {
+        self.state_of(seat).version(want.model).is_some()
     }
 
-    fn belief(&self, now: Millis, hold: Hold) -> f32 {
-        let state = self.at(hold.seat);
-        if hold.at < state.cold || now.since(hold.at) > self.settings.believe_ms {
+    fn cache_confidence(&self, now: Millis, hold: CacheEntry) -> f32 {
+        let state = self.state_of(hold.endpoint);
+        if hold.at < state.cache_reset || now.since(hold.at) > self.settings.believe_ms {
             0.0
-        } else if state.gap.is_some_and(|gap| hold.at < gap) {
-            DOUBTED
+        } else if state.gap_at.is_some_and(|gap| hold.at < gap) {
+            GAP_CONFIDENCE
         } else {
             1.0
         }
@@ -230,7 +266,7 @@
 
     /// Chooses among the few endpoints that take suspected requests, the same at all entries, so
     /// that a request that crashes endpoints takes few others with it.
-    fn apart(&self, now: Millis, want: &Want<'_>) -> Option<Best> {
+    fn isolated(&self, now: Millis, want: &RouteRequest<'_>) -> Option<ScoredEndpoint> {
         let pool = self.pools.get(want.model)?;
         let count = pool.ring.len().div_ceil(self.settings.apart.max(1));
         let seat = pool
@@ -239,46 +275,62 @@
             .take(count)
             .map(|(_, seat)| *seat)
             .filter(|seat| self.eligible(now, want, *seat))
-            .min_by_key(|seat| self.at(*seat).own)?;
-        let score = self.scored(now, want, pool, seat, 0.0);
-        Some(Best { seat, why: Why::Apart, score, rank: score.rank })
+            .min_by_key(|seat| self.state_of(*seat).own_in_flight)?;
+        let score = self.score(now, want, pool, seat, 0.0);
+        Some(ScoredEndpoint {
+            endpoint: seat,
+            reason: ChoiceReason::Isolated,
+            score,
+            rank: score.rank,
+        })
     }
 
-    fn outside(&self, now: Millis, want: &Want<'_>, from: usize) -> Option<Best> {
+    fn outside_subset(
+        &self,
+        now: Millis,
+        want: &RouteRequest<'_>,
+        from: usize,
+    ) -> Option<ScoredEndpoint> {
         let pool = self.pools.get(want.model)?;
-        let len = pool.rest.len();
+        let len = pool.outside.len();
         let seat = (0..len)
-            .map(|n| pool.rest[(from % len + n) % len])
+            .map(|n| pool.outside[(from % len + n) % len])
             .find(|seat| self.eligible(now, want, *seat))?;
-        let score = self.scored(now, want, pool, seat, 0.0);
-        Some(Best { seat, why: Why::Outside, score, rank: score.rank })
+        let score = self.score(now, want, pool, seat, 0.0);
+        Some(ScoredEndpoint {
+            endpoint: seat,
+            reason: ChoiceReason::Outside,
+            score,
+            rank: score.rank,
+        })
     }
 
     /// Tells why nothing will do.
-    fn explain(&self, now: Millis, want: &Want<'_>) -> NoChoice {
+    fn failure_reason(&self, now: Millis, want: &RouteRequest<'_>) -> NoEndpoint {
         let Some(pool) = self.pools.get(want.model) else {
-            return NoChoice::Unserved;
+            return NoEndpoint::Unserved;
         };
-        let seats = || pool.seats.iter().chain(&pool.rest).map(|seat| (*seat, self.at(*seat)));
+        let seats =
+            || pool.subset.iter().chain(&pool.outside).map(|seat| (*seat, self.state_of(*seat)));
         let staying = || seats().filter(|(_, state)| !state.draining);
         if seats().next().is_none() {
-            return NoChoice::Unserved;
+            return NoEndpoint::Unserved;
         }
         if staying().next().is_none() {
-            return NoChoice::Draining;
+            return NoEndpoint::Draining;
         }
         if !staying().any(|(_, state)| self.usable(now, state, want.model, None)) {
-            return NoChoice::Failing;
+            return NoEndpoint::Failing;
         }
         if staying().any(|(_, state)| self.usable(now, state, want.model, want.floor)) {
-            return NoChoice::Excluded;
+            return NoEndpoint::Excluded;
         }
-        NoChoice::Below
+        NoEndpoint::BelowFloor
     }
 
     /// Asserts the promises on what was chosen, by the facts and not by the rules above.
-    fn check(&mut self, now: Millis, want: &Want<'_>, seat: Seat) {
-        let state = self.at(seat);
+    fn check_invariants(&mut self, now: Millis, want: &RouteRequest<'_>, seat: EndpointId) {
+        let state = self.state_of(seat);
         let version = state.version(want.model);
         let broken = if state.draining {
             Some("no_work_to_leaving_endpoint")
@@ -288,23 +340,23 @@
             Some("version_not_below_floor")
         } else if want.exclude.contains(&seat) {
             Some("no_excluded_endpoint")
-        } else if state.ejected.is_some_and(|until| now < until) {
+        } else if state.ejected_until.is_some_and(|until| now < until) {
             Some("no_work_to_ejected_endpoint")
         } else {
             None
         };
         if let Some(promise) = broken {
-            self.promise_broken(promise);
+            self.report_violation(promise);
         }
     }
 }
 
-fn probing(score: &Score) -> f32 {
+fn probing_rank(score: &Score) -> f32 {
     // Endpoints that are loaded rank behind all others, by load; the others rank by latency.
-    if score.share > HOT { 1.0e9 * score.share } else { score.finish_ms }
+    if score.load_share > HIGH_LOAD_SHARE { 1.0e9 * score.load_share } else { score.finish_ms }
 }
 
-fn lesser(best: Best, other: Option<Best>) -> Best {
+fn better_of(best: ScoredEndpoint, other: Option<ScoredEndpoint>) -> ScoredEndpoint {
     match other {
         Some(other) if other.rank < best.rank => other,
         _ => best,
--- a/components/routing/src/eject.rs
+++ b/components/routing/src/eject.rs
@@ -2,14 +2,14 @@
 
 use chicoryford_types::Millis;
 
+use crate::endpoint::AttemptOutcome;
+use crate::endpoint::EndpointId;
 use crate::router::Router;
-use crate::seat::Ending;
-use crate::seat::Seat;
 
 /// The share of the mean of failures that one attempt makes.
-const FAILING: f32 = 0.1;
+const FAILURE_WEIGHT: f32 = 0.1;
 /// Doublings of the time of ejection.
-const DOUBLINGS: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 
 impl Router {
     /// Takes in how an attempt fared, and ejects its endpoint where it failed too often in a row.
@@ -17,40 +17,40 @@
     /// An engine that fails each attempt at once is always the least loaded; without ejection it
     /// would draw most of the work and fail it. A silent connection says nothing of its endpoint
     /// (docs/ROUTING.md), and a refusal neither.
-    pub(crate) fn judge(&mut self, now: Millis, seat: Seat, ending: Ending) {
+    pub(crate) fn record_outcome(&mut self, now: Millis, seat: EndpointId, ending: AttemptOutcome) {
         let failures = self.settings.failures;
         let state = &mut self.states[seat.0 as usize];
         match ending {
-            Ending::Finished => {
-                state.row = 0;
+            AttemptOutcome::Finished => {
+                state.failure_streak = 0;
                 state.ejections = state.ejections.saturating_sub(1);
-                state.failing -= FAILING * state.failing;
+                state.failure_rate -= FAILURE_WEIGHT * state.failure_rate;
             }
-            Ending::Failed => {
-                state.row += 1;
-                state.failing += FAILING * (1.0 - state.failing);
+            AttemptOutcome::Failed => {
+                state.failure_streak += 1;
+                state.failure_rate += FAILURE_WEIGHT * (1.0 - state.failure_rate);
             }
-            Ending::Released | Ending::Silent => {}
+            AttemptOutcome::Released | AttemptOutcome::Silent => {}
         }
-        let out = state.ejected.is_some_and(|until| now < until);
-        if state.row >= failures && !out {
+        let out = state.ejected_until.is_some_and(|until| now < until);
+        if state.failure_streak >= failures && !out {
             self.eject(now, seat);
         }
     }
 
-    fn eject(&mut self, now: Millis, seat: Seat) {
-        if self.settings.protections.cap && !self.has_room(now, seat) {
+    fn eject(&mut self, now: Millis, seat: EndpointId) {
+        if self.settings.protections.cap && !self.may_eject(now, seat) {
             self.counts.spared += 1;
             return;
         }
         let state = &mut self.states[seat.0 as usize];
-        let doublings = state.ejections.min(DOUBLINGS);
+        let doublings = state.ejections.min(MAX_DOUBLINGS);
         let until = now + (self.settings.eject_ms << doublings);
-        state.ejected = Some(until);
+        state.ejected_until = Some(until);
         state.ejections += 1;
         // After its time one failure is enough to eject it again, and it starts slowly.
-        state.row = self.settings.failures.saturating_sub(1);
-        state.fresh = until;
+        state.failure_streak = self.settings.failures.saturating_sub(1);
+        state.usable_since = until;
         self.counts.ejected += 1;
         let endpoint = &state.target.endpoint;
         tracing::warn!(event = "endpoint_ejected", %endpoint, ms = until.since(now));
@@ -61,22 +61,22 @@
     ///
     /// When all endpoints fail, the fault is likely elsewhere (a bad deployment, a partition);
     /// ejecting all of them would turn many errors into a whole outage.
-    fn has_room(&self, now: Millis, seat: Seat) -> bool {
+    fn may_eject(&self, now: Millis, seat: EndpointId) -> bool {
         let cap = self.settings.eject_cap;
-        let holds = |pool: &&crate::pool::Pool| pool.seats.contains(&seat);
+        let holds = |pool: &&crate::pool::Pool| pool.subset.contains(&seat);
         self.pools
             .values()
             .filter(holds)
-            .all(|pool| pool.ejected(now, &self.states) < pool.ejectable(cap))
+            .all(|pool| pool.ejected_count(now, &self.states) < pool.max_ejected(cap))
     }
 
     fn check_cap(&mut self, now: Millis) {
         let cap = self.settings.eject_cap;
         let over = |pool: &crate::pool::Pool| {
-            pool.ejected(now, &self.states) > pool.ejectable(cap).max(pool.shrunk)
+            pool.ejected_count(now, &self.states) > pool.max_ejected(cap).max(pool.ejected_at_draw)
         };
         if self.pools.values().any(over) {
-            self.promise_broken("ejections_within_cap");
+            self.report_violation("ejections_within_cap");
         }
     }
 }
--- a/components/routing/src/seat.rs
+++ b/components/routing/src/endpoint.rs
@@ -11,16 +11,16 @@
 use chicoryford_types::Region;
 use chicoryford_types::Version;
 
-use crate::limit::Limit;
+use crate::limit::AdaptiveLimit;
 use crate::settings::Settings;
 
 /// Names an endpoint cheaply within one router. It stays valid while an attempt runs there.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Seat(pub u32);
+pub struct EndpointId(pub u32);
 
 /// How an attempt ended, as far as it tells of its endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// It ran to its end.
     Finished,
     /// The agent refused it, or it was cancelled; this says nothing of the endpoint's health.
@@ -50,15 +50,15 @@
 
 /// Spans of time over which own attempts in flight are remembered, to tell how many of them a
 /// report has seen.
-const SPANS: usize = 64;
+const HISTORY_SPANS: usize = 64;
 /// Milliseconds of one span; a report older than all of them is judged by the oldest.
 const SPAN_MS: u64 = 64;
 /// The weight of a new observation in a running mean.
-const LEARN: f32 = 0.1;
+const MEAN_WEIGHT: f32 = 0.1;
 
 /// What a router holds of an endpoint.
 #[derive(Clone, Debug, Default)]
-pub struct State {
+pub struct EndpointState {
     /// Where it is reached.
     pub target: Target,
     /// The version of each of its models.
@@ -74,68 +74,68 @@
     /// How many attempts it runs at once.
     pub slots: u32,
     /// This entry's attempts in flight there.
-    pub own: u32,
+    pub own_in_flight: u32,
     /// Tokens that those are still expected to produce.
-    pub owed: u64,
+    pub tokens_due: u64,
     /// The running and waiting attempts of others, by the last report.
-    pub others: f32,
+    pub others_reported: f32,
     /// When that was so.
-    pub seen: Option<Millis>,
+    pub reported_at: Option<Millis>,
     /// The number of the last report.
-    pub seq: u64,
+    pub report_seq: u64,
     /// When reports were missing, so that evictions may have been missed.
-    pub gap: Option<Millis>,
+    pub gap_at: Option<Millis>,
     /// When its cache was last certainly empty.
-    pub cold: Millis,
+    pub cache_reset: Millis,
     /// When it last became usable.
-    pub fresh: Millis,
+    pub usable_since: Millis,
     /// Milliseconds a token, at no load.
     pub token_ms: f32,
     /// Milliseconds a whole attempt.
     pub service_ms: f32,
     /// The share of attempts that failed, of late.
-    pub failing: f32,
+    pub failure_rate: f32,
     /// Failures in a row.
-    pub row: u32,
+    pub failure_streak: u32,
     /// Until when it is ejected.
-    pub ejected: Option<Millis>,
+    pub ejected_until: Option<Millis>,
     /// Ejections in a row.
     pub ejections: u32,
     /// The least headroom over memory, prefill and link, in thousandths.
     pub headroom: u32,
     /// The adaptive limit of attempts.
-    pub limit: Limit,
+    pub limit: AdaptiveLimit,
     /// Added to what is expected there, for its distance.
-    pub away_ms: f32,
+    pub distance_ms: f32,
     /// When it was last present.
-    pub present_at: Millis,
+    pub last_present: Millis,
     /// Own attempts in flight when the last report left.
-    pub own_seen: u32,
-    past: Past,
+    pub own_reported: u32,
+    history: InFlightHistory,
 }
 
 /// Own attempts in flight at the end of each of the last spans of time.
 #[derive(Clone, Debug)]
-struct Past {
-    own: [u32; SPANS],
+struct InFlightHistory {
+    own: [u32; HISTORY_SPANS],
     span: u64,
 }
 
-impl Default for Past {
+impl Default for InFlightHistory {
     fn default() -> Self {
-        Self { own: [0; SPANS], span: 0 }
+        Self { own: [0; HISTORY_SPANS], span: 0 }
     }
 }
 
-impl Past {
-    fn note(&mut self, now: Millis, before: u32, after: u32) {
+impl InFlightHistory {
+    fn record(&mut self, now: Millis, before: u32, after: u32) {
         let span = now.0 / SPAN_MS;
-        let skipped = span.saturating_sub(self.span).min(SPANS as u64);
+        let skipped = span.saturating_sub(self.span).min(HISTORY_SPANS as u64);
         for n in 0..skipped {
-            self.own[((span - n) % SPANS as u64) as usize] = before;
+            self.own[((span - n) % HISTORY_SPANS as u64) as usize] = before;
         }
         self.span = self.span.max(span);
-        self.own[(self.span % SPANS as u64) as usize] = after;
+        self.own[(self.span % HISTORY_SPANS as u64) as usize] = after;
     }
 
     fn at(&self, then: Millis, now: u32) -> u32 {
@@ -143,44 +143,44 @@
         if span >= self.span {
             return now;
         }
-        let oldest = (self.span + 1).saturating_sub(SPANS as u64);
-        self.own[(span.max(oldest) % SPANS as u64) as usize]
+        let oldest = (self.span + 1).saturating_sub(HISTORY_SPANS as u64);
+        self.own[(span.max(oldest) % HISTORY_SPANS as u64) as usize]
     }
 }
 
-impl State {
+impl EndpointState {
     /// Makes the state of an endpoint of which nothing is known yet.
     pub fn unknown() -> Self {
         Self { headroom: 1_000, ..Self::default() }
     }
 
     /// Takes in what the agent announces. Returns whether the endpoint became usable by this.
-    pub fn announce(&mut self, now: Millis, target: Target, info: &EndpointInfo) {
+    pub fn apply_announcement(&mut self, now: Millis, target: Target, info: &EndpointInfo) {
         let restarted = self.target.incarnation != target.incarnation;
         let was = self.was_present && self.healthy && !self.draining && !restarted;
         self.target = target;
         for (model, version) in &info.models {
-            self.learn_version(model, *version, restarted);
+            self.update_version(model, *version, restarted);
         }
         self.versions.retain(|(model, _)| info.models.contains_key(model));
         if restarted {
-            self.seq = 0;
+            self.report_seq = 0;
         }
         self.slots = info.slots.max(1);
         self.draining = info.draining;
         self.healthy = info.healthy;
         self.present = true;
-        self.present_at = now;
-        self.limit.cap(self.slots);
+        self.last_present = now;
+        self.limit.set_max(self.slots);
         if !was && info.healthy && !info.draining {
-            self.fresh = now;
-            self.cold = now;
+            self.usable_since = now;
+            self.cache_reset = now;
         }
     }
 
     /// Takes in a version. A report travels faster than an announcement, so the newer of both
     /// holds; only a restart, after which an engine may run older weights again, takes it back.
-    pub fn learn_version(&mut self, model: &Model, version: Version, exact: bool) {
+    pub fn update_version(&mut self, model: &Model, version: Version, exact: bool) {
         match self.versions.iter_mut().find(|(known, _)| known == model) {
             Some((_, known)) if exact || version > *known => *known = version,
             Some(_) => {}
@@ -189,49 +189,53 @@
     }
 
     /// Takes in a report; a late one is dropped, because it would undo a newer one.
-    pub fn report(&mut self, now: Millis, report: &LoadReport) -> bool {
-        if report.seq <= self.seq && self.seq != 0 {
+    pub fn apply_report(&mut self, now: Millis, report: &LoadReport) -> bool {
+        if report.seq <= self.report_seq && self.report_seq != 0 {
             return false;
         }
-        if self.seq != 0 && report.seq > self.seq + 1 {
-            self.gap = Some(now);
+        if self.report_seq != 0 && report.seq > self.report_seq + 1 {
+            self.gap_at = Some(now);
         }
-        self.seq = report.seq;
+        self.report_seq = report.seq;
         let left = Millis(now.0.saturating_sub(report.age_ms));
-        let own = self.past.at(left, self.own);
-        self.own_seen = own;
-        self.others = (report.running + report.waiting).saturating_sub(own) as f32;
-        self.seen = Some(left);
+        let own = self.history.at(left, self.own_in_flight);
+        self.own_reported = own;
+        self.others_reported = (report.running + report.waiting).saturating_sub(own) as f32;
+        self.reported_at = Some(left);
         let used = report.memory.max(report.prefill).max(report.link);
         self.headroom = 1_000_u32.saturating_sub(used);
         for (model, version) in &report.versions {
             // An endpoint's own word is exact, also when it went back after a failed swap.
-            self.learn_version(model, *version, true);
+            self.update_version(model, *version, true);
         }
         true
     }
 
     /// Counts an attempt as started.
     pub fn started(&mut self, now: Millis, tokens: u32) {
-        self.past.note(now, self.own, self.own + 1);
-        self.own += 1;
-        self.owed += u64::from(tokens);
+        self.history.record(now, self.own_in_flight, self.own_in_flight + 1);
+        self.own_in_flight += 1;
+        self.tokens_due += u64::from(tokens);
     }
 
     /// Counts an attempt as ended; `left` of its tokens will not come.
     pub fn ended(&mut self, now: Millis, left: u32) {
-        self.past.note(now, self.own, self.own - 1);
-        self.own -= 1;
-        self.owed = if self.own == 0 { 0 } else { self.owed.saturating_sub(u64::from(left)) };
+        self.history.record(now, self.own_in_flight, self.own_in_flight - 1);
+        self.own_in_flight -= 1;
+        self.tokens_due = if self.own_in_flight == 0 {
+            0
+        } else {
+            self.tokens_due.saturating_sub(u64::from(left))
+        };
     }
 
     /// Learns from a finished attempt how quick the endpoint is.
-    pub fn learn(&mut self, settings: &Settings, ms: u64, tokens: u32, load: f32) {
+    pub fn record_duration(&mut self, settings: &Settings, ms: u64, tokens: u32, load: f32) {
         let slow = 1.0 + settings.slowdown * (load / self.slots as f32).min(1.0);
         let ms = ms as f32;
-        mix(&mut self.service_ms, ms);
+        update_mean(&mut self.service_ms, ms);
         if tokens > 0 {
-            mix(&mut self.token_ms, ms / slow / tokens as f32);
+            update_mean(&mut self.token_ms, ms / slow / tokens as f32);
         }
     }
 
@@ -240,13 +244,13 @@
     /// What a report says fades towards the mean of the pool as it ages. Without that, all
     /// entries send to the endpoint that looked empty in the last report until the next one
     /// shows it full, then to another: load swings from endpoint to endpoint.
-    pub fn others(&self, now: Millis, half_ms: u64, mean: f32) -> f32 {
-        let Some(seen) = self.seen else {
+    pub fn estimate_others(&self, now: Millis, half_ms: u64, mean: f32) -> f32 {
+        let Some(seen) = self.reported_at else {
             return mean * self.slots as f32;
         };
         let trust = (-(now.since(seen) as f32) / half_ms as f32).exp2();
         let mean = mean * self.slots as f32;
-        mean + (self.others - mean) * trust
+        mean + (self.others_reported - mean) * trust
     }
 
     /// Gives the version of a model, if it is served.
@@ -255,17 +259,17 @@
     }
 
     /// Gives the share of work that an endpoint of this freshness may take.
-    pub fn warmth(&self, now: Millis, warm_ms: u64) -> f32 {
-        let age = now.since(self.fresh) as f32;
+    pub fn warmup_share(&self, now: Millis, warm_ms: u64) -> f32 {
+        let age = now.since(self.usable_since) as f32;
         (age / warm_ms.max(1) as f32).clamp(0.1, 1.0)
     }
 }
 
 /// Moves a running mean; the first observation sets it.
-pub fn mix(mean: &mut f32, value: f32) {
+pub fn update_mean(mean: &mut f32, value: f32) {
     if *mean == 0.0 {
         *mean = value;
     } else {
-        *mean += LEARN * (value - *mean);
+        *mean += MEAN_WEIGHT * (value - *mean);
     }
 }
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -5,29 +5,29 @@
 //! no socket, clock or thread, and its randomness comes from a seed.
 
 pub mod cache;
+pub mod capacity;
 pub mod choose;
 pub mod eject;
+pub mod endpoint;
 pub mod limit;
 pub mod pool;
+pub mod request;
 pub mod router;
 pub mod score;
-pub mod seat;
 pub mod settings;
 pub mod subset;
-pub mod view;
-pub mod want;
 
+pub use capacity::PoolCapacity;
+pub use endpoint::AttemptOutcome;
+pub use endpoint::EndpointId;
+pub use endpoint::Target;
+pub use request::Choice;
+pub use request::ChoiceReason;
+pub use request::NoEndpoint;
+pub use request::RouteRequest;
 pub use router::Counts;
 pub use router::Router;
-pub use seat::Ending;
-pub use seat::Seat;
-pub use seat::Target;
-pub use settings::Place;
+pub use settings::Location;
 pub use settings::Protections;
 pub use settings::Rule;
 pub use settings::Settings;
-pub use view::View;
-pub use want::Choice;
-pub use want::NoChoice;
-pub use want::Want;
-pub use want::Why;
--- a/components/routing/src/want.rs
+++ b/components/routing/src/request.rs
@@ -6,11 +6,11 @@
 use chicoryford_types::Version;
 use thiserror::Error;
 
-use crate::seat::Seat;
+use crate::endpoint::EndpointId;
 
 /// What one attempt needs of its endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct RouteRequest<'a> {
     /// The model or service.
     pub model: &'a Model,
     /// How urgent it is.
@@ -18,20 +18,20 @@
     /// The hash of the prompt's prefix, if it has one worth caching.
     pub prefix: Option<u64>,
     /// Tokens of the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Tokens that are expected to be generated; zero for a call of a plain service.
-    pub tokens: u32,
+    pub output_tokens: u32,
     /// The oldest weight version that will do.
     pub floor: Option<Version>,
     /// Endpoints that were tried already.
-    pub exclude: &'a [Seat],
+    pub exclude: &'a [EndpointId],
     /// Whether the content is suspected of crashing endpoints.
     pub suspect: bool,
 }
 
 /// Why an endpoint was chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Why {
+pub enum ChoiceReason {
     /// It is expected to finish first.
     Best,
     /// It holds the prompt's prefix.
@@ -39,7 +39,7 @@
     /// It is the prefix's home, where all entries send a prefix that none holds.
     Home,
     /// It takes suspected requests.
-    Apart,
+    Isolated,
     /// Nothing in this entry's subset would do; it lies outside.
     Outside,
 }
@@ -48,16 +48,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
     /// The endpoint; [`crate::Router::target`] tells its address.
-    pub seat: Seat,
+    pub endpoint: EndpointId,
     /// Why it was chosen.
-    pub why: Why,
+    pub reason: ChoiceReason,
     /// Milliseconds in which the attempt is expected to finish there.
     pub expected_ms: u64,
 }
 
 /// Why no endpoint was chosen.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
-pub enum NoChoice {
+pub enum NoEndpoint {
     /// Nobody announced the model.
     #[error("no endpoint serves the model")]
     Unserved,
@@ -69,18 +69,18 @@
     Failing,
     /// None has weights as new as wanted.
     #[error("no endpoint has weights new enough")]
-    Below,
+    BelowFloor,
     /// All were tried.
     #[error("every endpoint of the model was tried")]
     Excluded,
 }
 
-impl NoChoice {
+impl NoEndpoint {
     /// Gives the code with which a caller is told.
     pub fn code(self) -> Code {
         match self {
             Self::Draining => Code::Draining,
-            Self::Unserved | Self::Failing | Self::Below | Self::Excluded => Code::NoEndpoint,
+            Self::Unserved | Self::Failing | Self::BelowFloor | Self::Excluded => Code::NoEndpoint,
         }
     }
 }
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -15,18 +15,18 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::cache::Directory;
+use crate::cache::PrefixDirectory;
+use crate::endpoint::AttemptOutcome;
+use crate::endpoint::EndpointId;
+use crate::endpoint::EndpointState;
+use crate::endpoint::Target;
+use crate::endpoint::update_mean;
 use crate::pool::Pool;
 use crate::score;
-use crate::seat::Ending;
-use crate::seat::Seat;
-use crate::seat::State;
-use crate::seat::Target;
-use crate::seat::mix;
-use crate::settings::Place;
+use crate::settings::Location;
 use crate::settings::Settings;
-use crate::subset::Site;
-use crate::subset::subset;
+use crate::subset::Candidate;
+use crate::subset::select_subset;
 
 /// What a router counts, for metrics and state dumps.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
@@ -53,20 +53,20 @@
 #[derive(Clone, Debug)]
 pub struct Router {
     pub(crate) settings: Settings,
-    pub(crate) place: Place,
-    pub(crate) states: Vec<State>,
-    pub(crate) by_name: HashMap<Endpoint, Seat>,
+    pub(crate) place: Location,
+    pub(crate) states: Vec<EndpointState>,
+    pub(crate) by_name: HashMap<Endpoint, EndpointId>,
     pub(crate) pools: HashMap<Model, Pool>,
-    pub(crate) directory: Directory,
+    pub(crate) directory: PrefixDirectory,
     pub(crate) rng: SmallRng,
     pub(crate) counts: Counts,
-    free: Vec<Seat>,
+    free_ids: Vec<EndpointId>,
 }
 
 impl Router {
     /// Makes the router of an entry that knows nobody yet.
-    pub fn new(settings: Settings, place: Place, seed: u64) -> Self {
-        let directory = Directory::new(settings.prefixes);
+    pub fn new(settings: Settings, place: Location, seed: u64) -> Self {
+        let directory = PrefixDirectory::new(settings.prefixes);
         Self {
             settings,
             place,
@@ -76,7 +76,7 @@
             directory,
             rng: SmallRng::seed_from_u64(seed),
             counts: Counts::default(),
-            free: Vec::new(),
+            free_ids: Vec::new(),
         }
     }
 
@@ -87,40 +87,40 @@
             state.present = false;
         }
         let mut entries: Vec<&Member> = Vec::new();
-        let mut models: BTreeMap<&Model, Vec<Seat>> = BTreeMap::new();
+        let mut models: BTreeMap<&Model, Vec<EndpointId>> = BTreeMap::new();
         for member in members.present() {
             if member.roles.entry {
                 entries.push(member);
             }
             let Some(info) = &member.endpoint else { continue };
-            let seat = self.seat_of(&info.name);
-            let away_ms = self.away_ms(member);
+            let seat = self.id_of(&info.name);
+            let away_ms = self.distance_ms(member);
             let state = &mut self.states[seat.0 as usize];
-            state.announce(now, target_of(member, &info.name), info);
-            state.away_ms = away_ms;
+            state.apply_announcement(now, target_of(member, &info.name), info);
+            state.distance_ms = away_ms;
             for model in info.models.keys() {
                 models.entry(model).or_default().push(seat);
             }
         }
         self.pools.retain(|model, _| models.contains_key(model));
         for (model, seats) in models {
-            self.draw(now, model, seats, &entries);
+            self.update_pool(now, model, seats, &entries);
         }
-        self.forget(now);
+        self.evict_departed(now);
     }
 
     /// Takes in a load report, from an agent's stream or from the end of an answer.
     pub fn observe_report(&mut self, now: Millis, report: &LoadReport) {
         let Some(&seat) = self.by_name.get(&report.name) else { return };
         let state = &mut self.states[seat.0 as usize];
-        if !state.report(now, report) {
+        if !state.apply_report(now, report) {
             self.counts.late += 1;
             return;
         }
-        let share = state.others / state.slots.max(1) as f32;
+        let share = state.others_reported / state.slots.max(1) as f32;
         for (model, _) in &state.versions {
             if let Some(pool) = self.pools.get_mut(model) {
-                pool.observe(share);
+                pool.record_load(share);
             }
         }
         let at = Millis(now.0.saturating_sub(report.age_ms));
@@ -133,19 +133,19 @@
     }
 
     /// Takes in the version that an endpoint says it uses, as the frames of an answer tell it.
-    pub fn observe_version(&mut self, seat: Seat, model: &Model, version: Version) {
+    pub fn observe_version(&mut self, seat: EndpointId, model: &Model, version: Version) {
         if let Some(state) = self.states.get_mut(seat.0 as usize) {
-            state.learn_version(model, version, true);
+            state.update_version(model, version, true);
         }
     }
 
     /// Counts an attempt as sent. Each must end by one call of [`Self::finished`].
-    pub fn started(&mut self, now: Millis, seat: Seat, tokens: u32, prefix: Option<u64>) {
+    pub fn started(&mut self, now: Millis, seat: EndpointId, tokens: u32, prefix: Option<u64>) {
         let Some(state) = self.states.get_mut(seat.0 as usize) else { return };
         state.started(now, tokens);
         for (model, _) in &state.versions {
             if let Some(pool) = self.pools.get_mut(model) {
-                pool.own += 1;
+                pool.own_in_flight += 1;
             }
         }
         if let Some(prefix) = prefix {
@@ -154,9 +154,9 @@
     }
 
     /// Takes in that an attempt produced tokens.
-    pub fn progressed(&mut self, _now: Millis, seat: Seat, tokens: u32) {
+    pub fn progressed(&mut self, _now: Millis, seat: EndpointId, tokens: u32) {
         if let Some(state) = self.states.get_mut(seat.0 as usize) {
-            state.owed = state.owed.saturating_sub(u64::from(tokens));
+            state.tokens_due = state.tokens_due.saturating_sub(u64::from(tokens));
         }
     }
 
@@ -165,47 +165,47 @@
     pub fn finished(
         &mut self,
         now: Millis,
-        seat: Seat,
-        ending: Ending,
+        seat: EndpointId,
+        ending: AttemptOutcome,
         ms: u64,
         tokens: u32,
         left: u32,
     ) {
         let Some(state) = self.states.get_mut(seat.0 as usize) else { return };
-        if state.own == 0 {
-            self.promise_broken("in_flight_not_negative");
+        if state.own_in_flight == 0 {
+            self.report_violation("in_flight_not_negative");
             return;
         }
         state.ended(now, left);
         for (model, _) in &state.versions {
             if let Some(pool) = self.pools.get_mut(model) {
-                pool.own = pool.own.saturating_sub(1);
+                pool.own_in_flight = pool.own_in_flight.saturating_sub(1);
             }
         }
-        if ending == Ending::Finished {
-            self.learn(now, seat, ms, tokens);
+        if ending == AttemptOutcome::Finished {
+            self.record_duration(now, seat, ms, tokens);
         }
-        self.judge(now, seat, ending);
+        self.record_outcome(now, seat, ending);
     }
 
     /// Tells where an endpoint is reached.
-    pub fn target(&self, seat: Seat) -> Option<&Target> {
+    pub fn target(&self, seat: EndpointId) -> Option<&Target> {
         self.states.get(seat.0 as usize).map(|state| &state.target)
     }
 
     /// Gives the state of an endpoint, for dumps.
-    pub fn state(&self, seat: Seat) -> Option<&State> {
+    pub fn state(&self, seat: EndpointId) -> Option<&EndpointState> {
         self.states.get(seat.0 as usize)
     }
 
     /// Finds an endpoint by name.
-    pub fn find(&self, endpoint: &Endpoint) -> Option<Seat> {
+    pub fn find(&self, endpoint: &Endpoint) -> Option<EndpointId> {
         self.by_name.get(endpoint).copied()
     }
 
     /// Gives the agents' addresses in this entry's subsets, which should report to this entry.
-    pub fn subset_of(&self, model: &Model) -> &[Seat] {
-        self.pools.get(model).map_or(&[], |pool| &pool.seats)
+    pub fn subset_of(&self, model: &Model) -> &[EndpointId] {
+        self.pools.get(model).map_or(&[], |pool| &pool.subset)
     }
 
     /// Lists the models that somebody serves.
@@ -218,12 +218,12 @@
         self.counts
     }
 
-    pub(crate) fn promise_broken(&mut self, promise: &'static str) {
+    pub(crate) fn report_violation(&mut self, invariant: &'static str) {
         self.counts.broken += 1;
-        tracing::error!(event = "promise_broken", component = "routing", promise);
+        tracing::error!(event = "promise_broken", component = "routing", promise = invariant);
     }
 
-    fn learn(&mut self, now: Millis, seat: Seat, ms: u64, tokens: u32) {
+    fn record_duration(&mut self, now: Millis, seat: EndpointId, ms: u64, tokens: u32) {
         let state = &self.states[seat.0 as usize];
         let pool = state.versions.first().and_then(|(model, _)| self.pools.get_mut(model));
         let empty = Pool::default();
@@ -232,29 +232,29 @@
             None => score::load(now, &self.settings, &empty, state),
         };
         let state = &mut self.states[seat.0 as usize];
-        state.learn(&self.settings, ms, tokens, load);
+        state.record_duration(&self.settings, ms, tokens, load);
         if tokens > 0 {
-            state.limit.learn(ms as f32 / tokens as f32);
+            state.limit.record(ms as f32 / tokens as f32);
         }
         if let Some(pool) = pool {
-            mix(&mut pool.service_ms, state.service_ms);
-            mix(&mut pool.token_ms, state.token_ms);
+            update_mean(&mut pool.service_ms, state.service_ms);
+            update_mean(&mut pool.token_ms, state.token_ms);
         }
     }
 
-    fn seat_of(&mut self, name: &Endpoint) -> Seat {
+    fn id_of(&mut self, name: &Endpoint) -> EndpointId {
         if let Some(seat) = self.by_name.get(name) {
             return *seat;
         }
-        let fresh = State::unknown();
-        let seat = match self.free.pop() {
+        let fresh = EndpointState::unknown();
+        let seat = match self.free_ids.pop() {
             Some(seat) => {
                 self.states[seat.0 as usize] = fresh;
                 seat
             }
             None => {
                 self.states.push(fresh);
-                Seat(self.states.len() as u32 - 1)
+                EndpointId(self.states.len() as u32 - 1)
             }
         };
         self.by_name.insert(name.clone(), seat);
@@ -263,13 +263,15 @@
 
     /// Frees the seats of endpoints that left long ago; otherwise replaced VMs would fill memory
     /// over months.
-    fn forget(&mut self, now: Millis) {
+    fn evict_departed(&mut self, now: Millis) {
         let states = &self.states;
         let forget_ms = self.settings.forget_ms;
-        let free = &mut self.free;
+        let free = &mut self.free_ids;
         self.by_name.retain(|_, seat| {
             let state = &states[seat.0 as usize];
-            let keep = state.present || state.own > 0 || now.since(state.present_at) < forget_ms;
+            let keep = state.present
+                || state.own_in_flight > 0
+                || now.since(state.last_present) < forget_ms;
             if !keep {
                 free.push(*seat);
             }
@@ -277,7 +279,7 @@
         });
     }
 
-    fn away_ms(&self, member: &Member) -> f32 {
+    fn distance_ms(&self, member: &Member) -> f32 {
         if member.region != self.place.region {
             self.settings.far_ms
         } else if member.data_centre != self.place.data_centre {
@@ -288,10 +290,17 @@
     }
 
     /// Draws the subset of a model anew if its endpoints or the entries changed.
-    fn draw(&mut self, now: Millis, model: &Model, seats: Vec<Seat>, entries: &[&Member]) {
-        let near = |seat: &Seat| self.states[seat.0 as usize].target.region == self.place.region;
+    fn update_pool(
+        &mut self,
+        now: Millis,
+        model: &Model,
+        seats: Vec<EndpointId>,
+        entries: &[&Member],
+    ) {
+        let near =
+            |seat: &EndpointId| self.states[seat.0 as usize].target.region == self.place.region;
         let regional = seats.iter().filter(|seat| near(seat)).count() >= self.settings.subset;
-        let inside: Vec<Seat> =
+        let inside: Vec<EndpointId> =
             seats.iter().copied().filter(|seat| !regional || near(seat)).collect();
         let names: Vec<&str> = entries
             .iter()
@@ -301,32 +310,36 @@
         let drawn = self.digest(&names, &inside);
         let share = self.settings.subset.min(inside.len()) as f32 / inside.len().max(1) as f32;
         let peers = names.len() as f32 * share;
-        let known = self.pools.get(model).is_some_and(|pool| pool.drawn == drawn);
-        let picked = if known { Vec::new() } else { self.subset(&names, &inside) };
+        let known = self.pools.get(model).is_some_and(|pool| pool.digest == drawn);
+        let picked = if known { Vec::new() } else { self.select_subset(&names, &inside) };
         let pool = self.pools.entry(model.clone()).or_default();
         if !known {
-            pool.drawn = drawn;
-            pool.place(picked, &self.states);
-            pool.shrunk = pool.ejected(now, &self.states);
+            pool.digest = drawn;
+            pool.set_subset(picked, &self.states);
+            pool.ejected_at_draw = pool.ejected_count(now, &self.states);
         }
         pool.peers = peers.max(1.0);
-        pool.rest = seats.into_iter().filter(|seat| !pool.holds(*seat, &self.states)).collect();
+        pool.outside =
+            seats.into_iter().filter(|seat| !pool.contains(*seat, &self.states)).collect();
         pool.recount(&self.states);
     }
 
-    fn subset(&self, names: &[&str], inside: &[Seat]) -> Vec<Seat> {
-        let target = |seat: &Seat| &self.states[seat.0 as usize].target;
-        let sites: Vec<Site<'_>> = inside
+    fn select_subset(&self, names: &[&str], inside: &[EndpointId]) -> Vec<EndpointId> {
+        let target = |seat: &EndpointId| &self.states[seat.0 as usize].target;
+        let sites: Vec<Candidate<'_>> = inside
             .iter()
             .map(target)
-            .map(|target| Site { name: target.endpoint.as_str(), data_centre: &target.data_centre })
+            .map(|target| Candidate {
+                name: target.endpoint.as_str(),
+                data_centre: &target.data_centre,
+            })
             .collect();
         let size = self.settings.subset;
-        let picked = subset(self.place.node.as_str(), names, &sites, size);
+        let picked = select_subset(self.place.node.as_str(), names, &sites, size);
         picked.into_iter().map(|n| inside[n]).collect()
     }
 
-    fn digest(&self, names: &[&str], seats: &[Seat]) -> u64 {
+    fn digest(&self, names: &[&str], seats: &[EndpointId]) -> u64 {
         let mut sum = names
             .iter()
             .fold(1_u64, |sum, name| sum.wrapping_add(xxh3_64(name.as_bytes()).rotate_left(7)));
--- a/components/routing/src/settings.rs
+++ b/components/routing/src/settings.rs
@@ -8,7 +8,7 @@
 
 /// Where the entry that routes stands.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Place {
+pub struct Location {
     /// The entry.
     pub node: Node,
     /// Its region.
--- a/components/routing/src/subset.rs
+++ b/components/routing/src/subset.rs
@@ -10,11 +10,11 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// How many subsets an endpoint may be ahead of its fair number.
-const AHEAD: usize = 1;
+const MAX_AHEAD: usize = 1;
 
 /// An endpoint as a subset sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Site<'a> {
+pub struct Candidate<'a> {
     /// Its name.
     pub name: &'a str,
     /// Where it stands.
@@ -29,11 +29,16 @@
 /// that is ahead of its fair number is passed over. What is fair so far follows from the hash and
 /// not from the place in the order, which would shift for all when one entry leaves. Data centres get places by the number of their endpoints, at
 /// least one each, so that the loss of one data centre leaves an entry most of its subset.
-pub fn subset(own: &str, entries: &[&str], sites: &[Site<'_>], size: usize) -> Vec<usize> {
+pub fn select_subset(
+    own: &str,
+    entries: &[&str],
+    sites: &[Candidate<'_>],
+    size: usize,
+) -> Vec<usize> {
     if sites.len() <= size || entries.is_empty() {
         return (0..sites.len()).collect();
     }
-    let groups = group(sites, size);
+    let groups = group_by_data_centre(sites, size);
     let keys: Vec<u64> = sites.iter().map(|site| xxh3_64(site.name.as_bytes())).collect();
     let mut order: Vec<(u64, &str)> =
         entries.iter().map(|name| (xxh3_64(name.as_bytes()), *name)).collect();
@@ -41,7 +46,7 @@
     let mut taken = vec![0_usize; sites.len()];
     let fair = (entries.len() * size) as f64 / sites.len() as f64;
     for (hash, name) in order {
-        let most = (hash as f64 / u64::MAX as f64 * fair).ceil() as usize + AHEAD;
+        let most = (hash as f64 / u64::MAX as f64 * fair).ceil() as usize + MAX_AHEAD;
         let picked = pick(hash, &groups, &keys, &mut taken, most);
         if name == own {
             return picked;
@@ -55,7 +60,7 @@
     quota: usize,
 }
 
-fn group(sites: &[Site<'_>], size: usize) -> Vec<Group> {
+fn group_by_data_centre(sites: &[Candidate<'_>], size: usize) -> Vec<Group> {
     let mut by: BTreeMap<&DataCentre, Vec<usize>> = BTreeMap::new();
     for (n, site) in sites.iter().enumerate() {
         by.entry(site.data_centre).or_default().push(n);
@@ -70,11 +75,11 @@
     for group in groups {
         ranked.clear();
         let open = group.sites.iter().filter(|n| taken[**n] < most);
-        ranked.extend(open.map(|n| (blend(hash, keys[*n]), *n)));
+        ranked.extend(open.map(|n| (mix_hashes(hash, keys[*n]), *n)));
         if ranked.len() < group.quota {
             // An uneven draw is better than a subset without this data centre.
             ranked.clear();
-            ranked.extend(group.sites.iter().map(|n| (blend(hash, keys[*n]), *n)));
+            ranked.extend(group.sites.iter().map(|n| (mix_hashes(hash, keys[*n]), *n)));
         }
         let quota = group.quota.min(ranked.len());
         if quota < ranked.len() && quota > 0 {
@@ -90,7 +95,7 @@
 }
 
 /// Mixes two hashes into one that looks independent of both.
-pub fn blend(a: u64, b: u64) -> u64 {
+pub fn mix_hashes(a: u64, b: u64) -> u64 {
     let mut x = a ^ b.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/components/routing/tests/choose.rs
+++ b/components/routing/tests/choose.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
+use chicoryford_routing::AttemptOutcome;
 use chicoryford_routing::Choice;
-use chicoryford_routing::Ending;
-use chicoryford_routing::NoChoice;
-use chicoryford_routing::Place;
+use chicoryford_routing::EndpointId;
+use chicoryford_routing::Location;
+use chicoryford_routing::NoEndpoint;
+use chicoryford_routing::RouteRequest;
 use chicoryford_routing::Router;
-use chicoryford_routing::Seat;
 use chicoryford_routing::Settings;
-use chicoryford_routing::Want;
 use chicoryford_types::Class;
 use chicoryford_types::DataCentre;
 use chicoryford_types::Endpoint;
@@ -51,18 +51,23 @@
 }
 
 fn router(agents: impl IntoIterator<Item = Member>) -> Router {
-    let mut router = Router::new(Settings::default(), Place::default(), 1);
+    let mut router = Router::new(Settings::default(), Location::default(), 1);
     router.observe_members(Millis(0), &members(agents));
     router
 }
 
-fn choose(router: &mut Router, now: u64, floor: u64, exclude: &[Seat]) -> Result<Choice, NoChoice> {
-    let want = Want {
+fn choose(
+    router: &mut Router,
+    now: u64,
+    floor: u64,
+    exclude: &[EndpointId],
+) -> Result<Choice, NoEndpoint> {
+    let want = RouteRequest {
         model: &Model::from(MODEL),
         class: Class::Normal,
         prefix: None,
-        prompt: 100,
-        tokens: 100,
+        prompt_tokens: 100,
+        output_tokens: 100,
         floor: Some(Version(floor)),
         exclude,
         suspect: false,
@@ -75,10 +80,10 @@
     let mut router = router([agent(0, 1), agent(1, 2), agent(2, 1)]);
     let wanted = router.find(&Endpoint::from("endpoint-1")).unwrap();
     for n in 0..100 {
-        assert_eq!(choose(&mut router, n, 2, &[]).unwrap().seat, wanted);
+        assert_eq!(choose(&mut router, n, 2, &[]).unwrap().endpoint, wanted);
     }
-    assert_eq!(choose(&mut router, 0, 3, &[]), Err(NoChoice::Below));
-    assert_eq!(choose(&mut router, 0, 2, &[wanted]), Err(NoChoice::Excluded));
+    assert_eq!(choose(&mut router, 0, 3, &[]), Err(NoEndpoint::BelowFloor));
+    assert_eq!(choose(&mut router, 0, 2, &[wanted]), Err(NoEndpoint::Excluded));
     assert_eq!(router.counts().broken, 0);
 }
 
@@ -88,9 +93,9 @@
     leaving.endpoint.as_mut().unwrap().draining = true;
     let mut sick = agent(1, 1);
     sick.endpoint.as_mut().unwrap().healthy = false;
-    assert_eq!(choose(&mut router([]), 0, 0, &[]), Err(NoChoice::Unserved));
-    assert_eq!(choose(&mut router([leaving.clone()]), 0, 0, &[]), Err(NoChoice::Draining));
-    assert_eq!(choose(&mut router([leaving, sick]), 0, 0, &[]), Err(NoChoice::Failing));
+    assert_eq!(choose(&mut router([]), 0, 0, &[]), Err(NoEndpoint::Unserved));
+    assert_eq!(choose(&mut router([leaving.clone()]), 0, 0, &[]), Err(NoEndpoint::Draining));
+    assert_eq!(choose(&mut router([leaving, sick]), 0, 0, &[]), Err(NoEndpoint::Failing));
 }
 
 #[test]
@@ -109,7 +114,7 @@
     };
     router.observe_report(Millis(10), &report(2, 8));
     router.observe_report(Millis(20), &report(1, 0));
-    assert_eq!(router.state(seat).unwrap().others, 8.0);
+    assert_eq!(router.state(seat).unwrap().others_reported, 8.0);
     assert_eq!(router.counts().late, 1);
 }
 
@@ -123,7 +128,7 @@
         let seat = router.find(&Endpoint(format!("endpoint-{n}"))).unwrap();
         for _ in 0..5 {
             router.started(Millis(1), seat, 10, None);
-            router.finished(Millis(2), seat, Ending::Failed, 1, 0, 10);
+            router.finished(Millis(2), seat, AttemptOutcome::Failed, 1, 0, 10);
         }
     }
     assert_eq!(router.counts().ejected, 3);
@@ -146,9 +151,9 @@
         ..LoadReport::default()
     };
     router.observe_report(Millis(1), &report(1, 500));
-    assert_eq!(router.view(Millis(1), &model, None).slots, 8);
+    assert_eq!(router.pool_capacity(Millis(1), &model, None).slots, 8);
     router.observe_report(Millis(2), &report(2, 990));
-    assert_eq!(router.view(Millis(2), &model, None).slots, 0);
+    assert_eq!(router.pool_capacity(Millis(2), &model, None).slots, 0);
 }
 
 #[test]
@@ -160,8 +165,8 @@
     let mut router = router([agent(0, 1), agent(1, 1)]);
     let seat = router.find(&Endpoint::from("endpoint-0")).unwrap();
     router.observe_members(Millis(60_000), &members([agent(0, 1)]));
-    assert_eq!(router.state(seat).unwrap().fresh, Millis(0));
+    assert_eq!(router.state(seat).unwrap().usable_since, Millis(0));
     router.observe_members(Millis(61_000), &members([agent(1, 1)]));
     router.observe_members(Millis(62_000), &members([agent(0, 1)]));
-    assert_eq!(router.state(seat).unwrap().fresh, Millis(62_000));
+    assert_eq!(router.state(seat).unwrap().usable_since, Millis(62_000));
 }
--- a/components/routing/tests/random.rs
+++ b/components/routing/tests/random.rs
@@ -4,15 +4,15 @@
 
 use std::collections::BTreeMap;
 
-use chicoryford_routing::Ending;
-use chicoryford_routing::NoChoice;
-use chicoryford_routing::Place;
+use chicoryford_routing::AttemptOutcome;
+use chicoryford_routing::EndpointId;
+use chicoryford_routing::Location;
+use chicoryford_routing::NoEndpoint;
 use chicoryford_routing::Protections;
+use chicoryford_routing::RouteRequest;
 use chicoryford_routing::Router;
 use chicoryford_routing::Rule;
-use chicoryford_routing::Seat;
 use chicoryford_routing::Settings;
-use chicoryford_routing::Want;
 use chicoryford_types::Class;
 use chicoryford_types::DataCentre;
 use chicoryford_types::Endpoint;
@@ -162,10 +162,10 @@
 
 fn run(seed: u64, rule: Rule, faults: &[Fault], protections: Protections) -> Seen {
     let settings = Settings { rule, subset: 8, protections, ..Settings::default() };
-    let mut router = Router::new(settings, Place::default(), seed);
+    let mut router = Router::new(settings, Location::default(), seed);
     let mut draw = Draw(seed);
     let mut fleet = Fleet::new();
-    let mut flights: Vec<Seat> = Vec::new();
+    let mut flights: Vec<EndpointId> = Vec::new();
     let mut seen = Seen::default();
     let models: BTreeMap<u64, Model> =
         (0..MODELS as u64).map(|m| (m, Model(format!("model-{m}")))).collect();
@@ -183,21 +183,21 @@
                 let seat = flights.swap_remove(n);
                 let bad = faults.contains(&Fault::Crash) && draw.below(3) > 0;
                 let ending = match draw.below(8) {
-                    0 => Ending::Released,
-                    1 => Ending::Silent,
-                    _ if bad => Ending::Failed,
-                    _ => Ending::Finished,
+                    0 => AttemptOutcome::Released,
+                    1 => AttemptOutcome::Silent,
+                    _ if bad => AttemptOutcome::Failed,
+                    _ => AttemptOutcome::Finished,
                 };
                 router.finished(now, seat, ending, draw.below(4_000), 50, 0);
             }
             _ => {
-                let exclude: Vec<Seat> = flights.iter().rev().take(2).copied().collect();
-                let want = Want {
+                let exclude: Vec<EndpointId> = flights.iter().rev().take(2).copied().collect();
+                let want = RouteRequest {
                     model: &models[&draw.below(MODELS as u64)],
                     class: Class::Normal,
                     prefix: Some(draw.below(20)),
-                    prompt: 200,
-                    tokens: 100,
+                    prompt_tokens: 200,
+                    output_tokens: 100,
                     floor: Some(Version(draw.below(4))),
                     exclude: &exclude,
                     suspect: draw.below(20) == 0,
@@ -205,21 +205,22 @@
                 match router.choose(now, &want) {
                     Ok(choice) => {
                         seen.chosen += 1;
-                        seen.trace = seen.trace.wrapping_mul(31).wrapping_add(choice.seat.0.into());
-                        router.started(now, choice.seat, 100, want.prefix);
-                        flights.push(choice.seat);
+                        seen.trace =
+                            seen.trace.wrapping_mul(31).wrapping_add(choice.endpoint.0.into());
+                        router.started(now, choice.endpoint, 100, want.prefix);
+                        flights.push(choice.endpoint);
                     }
                     // Only while its agents are dead may a model be served by nobody.
                     Err(why) => assert!(
-                        why != NoChoice::Unserved || faults.contains(&Fault::Silence),
+                        why != NoEndpoint::Unserved || faults.contains(&Fault::Silence),
                         "faults: {faults:?}"
                     ),
                 }
             }
         }
         let own: u32 = (0..ENDPOINTS as u32)
-            .filter_map(|n| router.state(Seat(n)))
-            .map(|state| state.own)
+            .filter_map(|n| router.state(EndpointId(n)))
+            .map(|state| state.own_in_flight)
             .sum();
         assert_eq!(own as usize, flights.len(), "every attempt is counted once");
     }
--- a/components/routing/tests/subset.rs
+++ b/components/routing/tests/subset.rs
@@ -2,16 +2,16 @@
 
 use std::collections::BTreeSet;
 
-use chicoryford_routing::subset::Site;
-use chicoryford_routing::subset::subset;
+use chicoryford_routing::subset::Candidate;
+use chicoryford_routing::subset::select_subset;
 use chicoryford_types::DataCentre;
 
 const ENTRIES: usize = 390;
 const ENDPOINTS: usize = 1_600;
 const SIZE: usize = 48;
 
-fn all(entries: &[&str], sites: &[Site<'_>]) -> Vec<Vec<usize>> {
-    entries.iter().map(|own| subset(own, entries, sites, SIZE)).collect()
+fn all(entries: &[&str], sites: &[Candidate<'_>]) -> Vec<Vec<usize>> {
+    entries.iter().map(|own| select_subset(own, entries, sites, SIZE)).collect()
 }
 
 #[test]
@@ -20,8 +20,9 @@
     let names: Vec<&str> = entries.iter().map(String::as_str).collect();
     let endpoints: Vec<String> = (0..ENDPOINTS).map(|n| format!("endpoint-{n}")).collect();
     let centres: Vec<DataCentre> = (0..10).map(|n| DataCentre(format!("dc-{n}"))).collect();
-    let site = |(n, name)| Site { name, data_centre: &centres[n % 10] };
-    let sites: Vec<Site<'_>> = endpoints.iter().map(String::as_str).enumerate().map(site).collect();
+    let site = |(n, name)| Candidate { name, data_centre: &centres[n % 10] };
+    let sites: Vec<Candidate<'_>> =
+        endpoints.iter().map(String::as_str).enumerate().map(site).collect();
     let before = all(&names, &sites);
     let mut counts = vec![0; ENDPOINTS];
     for picked in &before {
@@ -41,7 +42,7 @@
 fn can_use_every_endpoint_of_a_small_deployment() {
     let centre = DataCentre::from("dc");
     let names: Vec<String> = (0..10).map(|n| n.to_string()).collect();
-    let sites: Vec<Site<'_>> =
-        names.iter().map(|name| Site { name, data_centre: &centre }).collect();
-    assert_eq!(subset("entry-0", &["entry-0", "entry-1"], &sites, SIZE).len(), 10);
+    let sites: Vec<Candidate<'_>> =
+        names.iter().map(|name| Candidate { name, data_centre: &centre }).collect();
+    assert_eq!(select_subset("entry-0", &["entry-0", "entry-1"], &sites, SIZE).len(), 10);
 }
--- a/components/state/src/machine.rs
+++ b/components/state/src/machine.rs
@@ -74,7 +74,7 @@
 
     /// Returns the number of invariant violations in this replica; zero unless there is a bug.
     pub fn violations(&self) -> u64 {
-        self.violations + self.ledger.broken
+        self.violations + self.ledger.violations
     }
 
     /// Puts a configuration change in force as the next revision and returns its position.
--- a/components/state/src/session.rs
+++ b/components/state/src/session.rs
@@ -1,7 +1,7 @@
 //! Renewal of entries' sessions, handled by the leader without log entries.
 
 use chicoryford_ledger::Audit;
-use chicoryford_ledger::Audited;
+use chicoryford_ledger::AuditReply;
 use chicoryford_ledger::StepKey;
 use chicoryford_types::Node;
 use serde::Deserialize;
@@ -32,5 +32,5 @@
     pub orphans: Vec<StepKey>,
     /// The answers to the entry's questions about bodies.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub audited: Option<Audited>,
+    pub audited: Option<AuditReply>,
 }
--- a/components/state/src/weights.rs
+++ b/components/state/src/weights.rs
@@ -26,7 +26,7 @@
         }
         let published = Published { version, source, accepted: self.now };
         let at = self.accept(Change::Weights(model.clone(), published));
-        self.ledger.sweep(&model, version);
+        self.ledger.drop_stale_samples(&model, version);
         Reply::Accepted { at, version: version.0 }
     }
 }
--- a/components/weights/examples/measure_weights.rs
+++ b/components/weights/examples/measure_weights.rs
@@ -62,7 +62,7 @@
         fleet.given_up.len(),
         fleet.orders,
         fleet.most_out,
-        fleet.planner.broken(),
+        fleet.planner.violations(),
     );
 }
 
--- a/components/weights/src/planner.rs
+++ b/components/weights/src/planner.rs
@@ -1,6 +1,6 @@
 //! The planner: events in, orders out.
 
-mod choose;
+mod assign;
 mod progress;
 mod replies;
 
@@ -16,13 +16,13 @@
 use chicoryford_types::order::OrderAction;
 use chicoryford_types::order::OrderReply;
 
-use crate::sampler::Offer;
-use crate::sampler::Running;
+use crate::sampler::RunningOrder;
 use crate::sampler::Sampler;
+use crate::sampler::SamplerStatus;
 use crate::settings::PlannerSettings;
 
 pub use progress::Progress;
-pub use progress::Trouble;
+pub use progress::SamplerFailure;
 
 /// What happens to the planner.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
         source: String,
     },
     /// All endpoints, as they are announced now.
-    Members(Vec<Offer>),
+    Members(Vec<SamplerStatus>),
     /// An agent answered an order.
     Reply {
         /// The endpoint.
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an order to an endpoint's agent. The same number again asks how it goes.
-    Give {
+    SendOrder {
         /// The endpoint.
         endpoint: Endpoint,
         /// The order.
@@ -111,7 +111,7 @@
 struct Target {
     version: Version,
     source: String,
-    since: Millis,
+    published_at: Millis,
     /// How long it took to reach all samplers that can be reached; none before.
     took_ms: Option<u64>,
 }
@@ -121,11 +121,11 @@
     settings: PlannerSettings,
     epoch: Option<Epoch>,
     /// Until when the store may still serve fetches that an earlier leader ordered.
-    settles: Millis,
+    store_free_at: Millis,
     number: u64,
     targets: BTreeMap<Model, Target>,
     samplers: BTreeMap<Endpoint, Sampler>,
-    broken: u64,
+    violations: u64,
 }
 
 impl Planner {
@@ -134,68 +134,69 @@
         Self {
             settings,
             epoch: None,
-            settles: Millis(0),
+            store_free_at: Millis(0),
             number: 0,
             targets: BTreeMap::new(),
             samplers: BTreeMap::new(),
-            broken: 0,
+            violations: 0,
         }
     }
 
     /// Takes an event and appends what is to be done to `actions`.
-    pub fn on(&mut self, event: Event, now: Millis, actions: &mut Vec<Action>) {
-        self.take(event, now, actions);
+    pub fn handle(&mut self, event: Event, now: Millis, actions: &mut Vec<Action>) {
+        self.apply(event, now, actions);
         self.plan(now, actions);
     }
 
     /// Takes an event without planning what follows, so that many can be taken before one
     /// [`Planner::plan`], whose cost grows with the number of samplers.
-    pub fn take(&mut self, event: Event, now: Millis, actions: &mut Vec<Action>) {
+    pub fn apply(&mut self, event: Event, now: Millis, actions: &mut Vec<Action>) {
         match event {
-            Event::NewEpoch(epoch) => self.lead(epoch, now),
+            Event::NewEpoch(epoch) => self.start_epoch(epoch, now),
             Event::Published { model, version, source } => {
                 self.publish(model, version, source, now, actions);
             }
-            Event::Members(offers) => self.meet(offers),
+            Event::Members(offers) => self.update_samplers(offers),
             Event::Reply { endpoint, number, reply } => {
-                self.take_reply(&endpoint, number, reply, now, actions);
+                self.handle_reply(&endpoint, number, reply, now, actions);
             }
-            Event::NoReply { endpoint, number } => self.ask_again(&endpoint, number, now),
+            Event::NoReply { endpoint, number } => self.schedule_poll(&endpoint, number, now),
             Event::Tick => {}
         }
     }
 
     /// Plans what follows from the events taken.
     pub fn plan(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        self.expire(now, actions);
-        self.ask(now, actions);
-        self.choose(now, actions);
-        self.report(now, actions);
+        self.expire_orders(now, actions);
+        self.poll_orders(now, actions);
+        self.assign(now, actions);
+        self.report_complete(now, actions);
     }
 
     /// Takes the next number of an order in this epoch, for orders of other kinds: numbers must
     /// be unique, because agents recognise a repeated order by them.
-    pub fn take_number(&mut self) -> u64 {
+    pub fn next_number(&mut self) -> u64 {
         self.number += 1;
         self.number
     }
 
     /// Counts the promises that the planner saw broken; always zero unless it has a fault.
-    pub fn broken(&self) -> u64 {
-        self.broken
+    pub fn violations(&self) -> u64 {
+        self.violations
     }
 
-    fn lead(&mut self, epoch: Epoch, now: Millis) {
+    fn start_epoch(&mut self, epoch: Epoch, now: Millis) {
         if self.epoch.is_some_and(|held| epoch <= held) {
             return;
         }
         // Numbers go on: a late answer to an order of the last epoch must not be taken for one
         // to an order of this one.
         self.epoch = Some(epoch);
-        self.settles = now + self.settings.settle_ms;
+        self.store_free_at = now + self.settings.settle_ms;
         for sampler in self.samplers.values_mut() {
-            let offer = sampler.offer.clone();
-            *sampler = Sampler { held: offer.models.clone(), offer, ..Sampler::default() };
+            let offer = sampler.status.clone();
+            *sampler =
+                Sampler { versions: offer.models.clone(), status: offer, ..Sampler::default() };
         }
         self.targets.values_mut().for_each(|target| target.took_ms = None);
     }
@@ -218,30 +219,30 @@
             return;
         }
         // A newer version is a new chance for endpoints that failed with the one before.
-        for sampler in self.samplers.values_mut().filter(|s| s.held.contains_key(&model)) {
+        for sampler in self.samplers.values_mut().filter(|s| s.versions.contains_key(&model)) {
             sampler.failures = 0;
-            sampler.retry = now;
+            sampler.retry_at = now;
         }
-        self.targets.insert(model, Target { version, source, since: now, took_ms: None });
+        self.targets.insert(model, Target { version, source, published_at: now, took_ms: None });
     }
 
-    fn meet(&mut self, offers: Vec<Offer>) {
+    fn update_samplers(&mut self, offers: Vec<SamplerStatus>) {
         let mut before = std::mem::take(&mut self.samplers);
         for offer in offers {
             let mut sampler = before.remove(&offer.endpoint).unwrap_or_default();
-            sampler.take(offer);
-            self.samplers.insert(sampler.offer.endpoint.clone(), sampler);
+            sampler.update(offer);
+            self.samplers.insert(sampler.status.endpoint.clone(), sampler);
         }
         // An endpoint with an order in progress that is no longer announced still loads the
         // store or a holder until its time is over; should it come back, it is known to be busy.
-        before.retain(|_, sampler| sampler.running.is_some());
+        before.retain(|_, sampler| sampler.order.is_some());
         for (endpoint, mut sampler) in before {
-            sampler.offer.ready = false;
+            sampler.status.ready = false;
             self.samplers.insert(endpoint, sampler);
         }
     }
 
-    fn report(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    fn report_complete(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let open = self.targets.iter().filter(|(_, target)| target.took_ms.is_none());
         let open: Vec<Model> = open.map(|(model, _)| model.clone()).collect();
         for model in open {
@@ -251,7 +252,7 @@
                 continue;
             }
             let Some(target) = self.targets.get_mut(&model) else { continue };
-            let took_ms = now.since(target.since);
+            let took_ms = now.since(target.published_at);
             target.took_ms = Some(took_ms);
             let (version, missing) = (target.version, progress.missing);
             tracing::info!(event = "weights_complete", %model, %version, took_ms, missing);
@@ -259,9 +260,9 @@
         }
     }
 
-    fn break_promise(&mut self, promise: &'static str, endpoint: &Endpoint) {
-        tracing::error!(event = "promise_broken", promise, %endpoint);
-        self.broken += 1;
+    fn report_violation(&mut self, invariant: &'static str, endpoint: &Endpoint) {
+        tracing::error!(event = "promise_broken", promise = invariant, %endpoint);
+        self.violations += 1;
     }
 }
 
@@ -270,7 +271,7 @@
     given_up.is_some_and(|(m, version)| m == model && *version == target.version)
 }
 
-fn load(epoch: Epoch, agent: Incarnation, running: &Running) -> Order {
+fn load_order(epoch: Epoch, agent: Incarnation, running: &RunningOrder) -> Order {
     let action = OrderAction::Load {
         model: running.model.clone(),
         version: running.version,
--- a/components/weights/src/planner/progress.rs
+++ b/components/weights/src/planner/progress.rs
@@ -28,12 +28,12 @@
     /// reached ran it; none before.
     pub took_ms: Option<u64>,
     /// Samplers that failed with the version.
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<SamplerFailure>,
 }
 
 /// A sampler that failed with a version.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Trouble {
+pub struct SamplerFailure {
     /// The sampler.
     pub endpoint: Endpoint,
     /// How often it failed in a row.
@@ -56,18 +56,18 @@
         progress.version = target.version;
         progress.took_ms = target.took_ms;
         for (endpoint, sampler) in &self.samplers {
-            if !sampler.held.contains_key(model) {
+            if !sampler.versions.contains_key(model) {
                 continue;
             }
             let missing = is_given_up(sampler, model, target);
             progress.samplers += 1;
-            progress.holders += usize::from(sampler.holds(model) >= target.version);
-            progress.loading += usize::from(sampler.running.is_some());
+            progress.holders += usize::from(sampler.version_of(model) >= target.version);
+            progress.loading += usize::from(sampler.order.is_some());
             progress.missing += usize::from(missing);
-            if sampler.failures > 0 && sampler.holds(model) < target.version {
+            if sampler.failures > 0 && sampler.version_of(model) < target.version {
                 let (failures, reason) = (sampler.failures, sampler.reason.clone());
                 let endpoint = endpoint.clone();
-                progress.troubles.push(Trouble { endpoint, failures, missing, reason });
+                progress.troubles.push(SamplerFailure { endpoint, failures, missing, reason });
             }
         }
         progress
--- a/components/weights/tests/fleet/mod.rs
+++ b/components/weights/tests/fleet/mod.rs
@@ -16,9 +16,9 @@
 use chicoryford_types::order::OrderReply;
 use chicoryford_weights::Action;
 use chicoryford_weights::Event;
-use chicoryford_weights::Offer;
 use chicoryford_weights::Planner;
 use chicoryford_weights::PlannerSettings;
+use chicoryford_weights::SamplerStatus;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -66,7 +66,7 @@
 /// An engine and its agent.
 #[derive(Default)]
 pub struct Engine {
-    pub offer: Offer,
+    pub offer: SamplerStatus,
     epoch: Epoch,
     load: Option<Load>,
     done: BTreeSet<u64>,
@@ -96,10 +96,10 @@
         let mut engines = BTreeMap::new();
         for n in 0..n {
             let endpoint = Endpoint(format!("sampler-{n:04}"));
-            let offer = Offer {
+            let offer = SamplerStatus {
                 endpoint: endpoint.clone(),
                 incarnation: Incarnation(1),
-                announced: 1,
+                sequence: 1,
                 data_centre: DataCentre(format!("centre-{}", n % 10)),
                 models: [(model(), Version(1))].into(),
                 ready: true,
@@ -139,14 +139,14 @@
     /// Tells the planner, unless it has broken a promise: the run has failed then, and without
     /// one of its protections each answer could bring about more orders without end.
     pub fn tell(&mut self, event: Event) {
-        if self.planner.broken() > 0 {
+        if self.planner.violations() > 0 {
             return;
         }
         let mut actions = Vec::new();
-        self.planner.on(event, self.now, &mut actions);
+        self.planner.handle(event, self.now, &mut actions);
         for action in actions {
             match action {
-                Action::Give { endpoint, order } => {
+                Action::SendOrder { endpoint, order } => {
                     let OrderAction::Load { model, version, sources } = order.action else {
                         continue;
                     };
@@ -209,7 +209,7 @@
 
     pub fn run(&mut self, ms: u64) {
         let end = self.now + ms;
-        while self.now < end && self.planner.broken() == 0 {
+        while self.now < end && self.planner.violations() == 0 {
             self.step();
         }
     }
@@ -217,7 +217,7 @@
     /// Runs until the planner reports a version complete; gives the time since its publishing.
     pub fn until_complete(&mut self, version: u64, ms: u64) -> Option<u64> {
         let end = self.now + ms;
-        while self.now < end && self.planner.broken() == 0 {
+        while self.now < end && self.planner.violations() == 0 {
             let found = self.complete.iter().find(|(v, ..)| *v == Version(version));
             if let Some((_, took, _)) = found {
                 return Some(*took);
--- a/components/weights/tests/planner.rs
+++ b/components/weights/tests/planner.rs
@@ -11,9 +11,9 @@
 use chicoryford_types::order::OrderReply;
 use chicoryford_weights::Action;
 use chicoryford_weights::Event;
-use chicoryford_weights::Offer;
 use chicoryford_weights::Planner;
 use chicoryford_weights::PlannerSettings;
+use chicoryford_weights::SamplerStatus;
 
 use fleet::Fleet;
 use fleet::Speeds;
@@ -34,7 +34,7 @@
     assert_eq!(fleet.holders(2), 40);
     assert!(fleet.most_out <= 10);
     assert!(fleet.most_store <= 8);
-    assert_eq!(fleet.planner.broken(), 0);
+    assert_eq!(fleet.planner.violations(), 0);
 }
 
 #[test]
@@ -44,7 +44,7 @@
         fleet.publish(2);
         assert!(fleet.until_complete(2, LONG_MS).is_some());
         assert_eq!(fleet.most_out, 1);
-        assert_eq!(fleet.planner.broken(), 0);
+        assert_eq!(fleet.planner.violations(), 0);
     }
 }
 
@@ -58,7 +58,7 @@
     assert!(fleet.until_complete(2, LONG_MS).is_some());
     assert_eq!(fleet.holders(2) + fleet.given_up.len(), 40);
     assert!(fleet.given_up.len() <= 4);
-    assert_eq!(fleet.planner.broken(), 0);
+    assert_eq!(fleet.planner.violations(), 0);
 }
 
 #[test]
@@ -73,7 +73,7 @@
     fleet.publish(3);
     assert!(fleet.until_complete(3, LONG_MS).is_some());
     assert_eq!(fleet.holders(3), 4);
-    assert_eq!(fleet.planner.broken(), 0);
+    assert_eq!(fleet.planner.violations(), 0);
 }
 
 #[test]
@@ -85,7 +85,7 @@
     assert!(fleet.until_complete(3, LONG_MS).is_some());
     assert_eq!(fleet.holders(3), 80);
     assert!(fleet.orders <= 88, "{} orders", fleet.orders);
-    assert_eq!(fleet.planner.broken(), 0);
+    assert_eq!(fleet.planner.violations(), 0);
 }
 
 #[test]
@@ -99,7 +99,7 @@
     fleet.publish(4);
     fleet.run(10_000);
     assert_eq!(fleet.holders(5), 4);
-    assert_eq!(fleet.planner.broken(), 0);
+    assert_eq!(fleet.planner.violations(), 0);
 }
 
 #[test]
@@ -117,7 +117,7 @@
     assert!(fleet.until_complete(2, LONG_MS).is_some());
     assert_eq!(fleet.holders(2), 40);
     assert_eq!(fleet.orders, 40);
-    assert_eq!(fleet.planner.broken(), 0);
+    assert_eq!(fleet.planner.violations(), 0);
 }
 
 #[test]
@@ -136,7 +136,7 @@
     assert_eq!(fleet.orders, 0);
     fleet.tell(Event::NewEpoch(Epoch(10)));
     assert!(fleet.until_complete(2, LONG_MS).is_some());
-    assert_eq!(fleet.planner.broken(), 0);
+    assert_eq!(fleet.planner.violations(), 0);
 }
 
 #[test]
@@ -150,11 +150,11 @@
     fleet.run(1_000);
     let engine = fleet.engines.get_mut(&Endpoint::from("sampler-0004")).unwrap();
     engine.offer.models.insert(model(), Version(1));
-    engine.offer.announced += 1;
+    engine.offer.sequence += 1;
     fleet.announce();
     fleet.run(10_000);
     assert_eq!(fleet.holders(2), 10);
-    assert_eq!(fleet.planner.broken(), 0);
+    assert_eq!(fleet.planner.violations(), 0);
 }
 
 #[test]
@@ -169,7 +169,7 @@
     fleet.run(60_000);
     assert_eq!(fleet.most_out, 1);
     assert_eq!(fleet.holders(2), 2);
-    assert_eq!(fleet.planner.broken(), 0);
+    assert_eq!(fleet.planner.violations(), 0);
 }
 
 /// A planner whose answers the test gives by hand.
@@ -177,7 +177,7 @@
 
 impl Desk {
     /// Leads samplers that run version 1, and has version 2 to load.
-    fn new(offers: &[Offer]) -> Self {
+    fn new(offers: &[SamplerStatus]) -> Self {
         let settings = PlannerSettings { settle_ms: 0, ..PlannerSettings::default() };
         let mut desk = Self(Planner::new(settings));
         desk.on(Event::NewEpoch(Epoch(1)), 0);
@@ -187,9 +187,9 @@
 
     fn on(&mut self, event: Event, now: u64) -> Vec<(Endpoint, Order)> {
         let mut actions = Vec::new();
-        self.0.on(event, Millis(now), &mut actions);
+        self.0.handle(event, Millis(now), &mut actions);
         let given = actions.into_iter().filter_map(|action| match action {
-            Action::Give { endpoint, order } => Some((endpoint, order)),
+            Action::SendOrder { endpoint, order } => Some((endpoint, order)),
             _ => None,
         });
         given.collect()
@@ -207,14 +207,14 @@
     }
 }
 
-fn offers(count: usize) -> Vec<Offer> {
-    let offer = |n| Offer {
+fn offers(count: usize) -> Vec<SamplerStatus> {
+    let offer = |n| SamplerStatus {
         endpoint: Endpoint(format!("sampler-{n}")),
         incarnation: Incarnation(1),
-        announced: 1,
+        sequence: 1,
         models: [(model(), Version(1))].into(),
         ready: true,
-        ..Offer::default()
+        ..SamplerStatus::default()
     };
     (0..count).map(offer).collect()
 }
--- a/components/weights/tests/random.rs
+++ b/components/weights/tests/random.rs
@@ -90,7 +90,7 @@
         }
         Turn::Broken(k) | Turn::Mended(k) | Turn::Restart(k) => {
             let Some(engine) = fleet.engines.values_mut().nth(nth(k)) else { return };
-            engine.offer.announced += 1;
+            engine.offer.sequence += 1;
             engine.offer.ready = !matches!(turn, Turn::Broken(_));
             if matches!(turn, Turn::Restart(_)) {
                 engine.offer.incarnation = Incarnation(engine.offer.incarnation.0 + 1);
@@ -110,7 +110,7 @@
     for turn in &plan.turns {
         take(&mut fleet, turn, &mut epoch);
     }
-    if fleet.planner.broken() > 0 {
+    if fleet.planner.violations() > 0 {
         return TestResult::error("a promise was broken");
     }
     for n in 0..plan.samplers {
@@ -120,7 +120,7 @@
     fleet.speeds.lost = 0.0;
     fleet.publish(1_000);
     let took = fleet.until_complete(1_000, CALM_MS);
-    if fleet.planner.broken() > 0 {
+    if fleet.planner.violations() > 0 {
         return TestResult::error("a promise was broken");
     }
     if took.is_none() || fleet.holders(1_000) < plan.samplers {
