--- a/components/admission/src/admission.rs
+++ b/components/admission/src/admission.rs
@@ -1,4 +1,4 @@
-//! What admission holds, and how it learns.
+//! The state of admission, and how the ends of requests update it.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -27,33 +27,34 @@
 use crate::shares::Lease;
 use crate::workspace::WorkspaceUsage;
 
-/// Starts that samples can be owed at most; more would let them crowd out callers later.
+/// The most starts that waiting samples are credited with. More credit would let samples crowd out
+/// other requests later.
 const MAX_CREDIT: f32 = 8.0;
-/// Refused requests that are remembered, to check that none of them runs.
+/// The number of recent refusals kept to check that none of them runs.
 const REMEMBERED_REFUSALS: usize = 1_024;
-/// The least milliseconds after which a refused caller is told to come back.
+/// The shortest delay that a refused caller is asked to wait before it retries.
 pub(crate) const MIN_RETRY_MS: u64 = 100;
 
-/// What admission counts, for metrics and state dumps.
+/// Counters for metrics and state dumps.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Counts {
-    /// Requests asked for.
+    /// Requests received.
     pub asked: u64,
     /// Requests started.
     pub started: u64,
-    /// Requests refused because they could not make their deadline.
+    /// Requests refused because they could no longer meet their deadline.
     pub too_late: u64,
-    /// Requests refused because too many waited.
+    /// Requests refused because the queue was full.
     pub overloaded: u64,
     /// Requests refused because their workspace is at its limit.
     pub limited: u64,
     /// Retries allowed.
     pub retries: u64,
-    /// Retries that the budget denied.
+    /// Retries denied by the retry budget.
     pub retries_denied: u64,
-    /// Second attempts.
+    /// Second attempts started.
     pub hedges: u64,
-    /// Promises that were broken; anything but zero is a fault of the program.
+    /// Violated invariants; any value but zero is a bug.
     pub broken: u64,
 }
 
@@ -65,13 +66,13 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ModelQueue {
-    pub(crate) queues: [ClassQueue; 3],
+pub(crate) struct ModelQueues {
+    pub(crate) classes: [ClassQueue; 3],
     pub(crate) durations: DurationQuantile,
     pub(crate) mean_service_ms: f32,
 }
 
-/// Where a waiting request is found.
+/// The position of a request in the queues.
 #[derive(Clone, Debug)]
 pub(crate) struct QueuePosition {
     pub(crate) model: Model,
@@ -79,7 +80,7 @@
     pub(crate) key: QueueKey,
 }
 
-/// Admits the requests of one entry.
+/// The admission of requests at one entry.
 #[derive(Clone, Debug)]
 pub struct Admission {
     pub(crate) settings: Settings,
@@ -89,19 +90,20 @@
     pub(crate) counts: Counts,
     pub(crate) hedges: u32,
     pub(crate) fair_clock: FairClock,
-    /// Starts that waiting samples are owed. Models may share engines, so it counts over all.
+    /// Starts that waiting samples are credited with. Models may share engines, so one credit
+    /// covers all models.
     pub(crate) batch_credit: f32,
-    /// Samples that wait.
+    /// Samples in the queues.
     pub(crate) batch_waiting: usize,
-    pub(crate) models: HashMap<Model, ModelQueue>,
+    pub(crate) models: HashMap<Model, ModelQueues>,
     pub(crate) positions: HashMap<RequestId, QueuePosition>,
-    /// Answers to requests that gave way to others, until the next poll.
+    /// Refusals of queued requests that were displaced by others, returned by the next poll.
     pub(crate) displaced: Vec<Action>,
     recent_refusals: VecDeque<RequestId>,
 }
 
 impl Admission {
-    /// Makes the admission of an entry that runs nothing yet.
+    /// Returns the admission of an entry that runs no requests yet.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             settings,
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Takes in a workspace's template, and what this entry may use of its limits.
+    /// Updates a workspace's template, and this entry's lease on the workspace's limits.
     pub fn observe_workspace(
         &mut self,
         workspace: &Workspace,
@@ -130,69 +132,74 @@
         lease: Lease,
     ) {
         let burst = self.settings.retry_burst;
-        let used =
+        let usage =
             self.workspaces.entry(workspace.clone()).or_insert_with(|| WorkspaceUsage::new(burst));
-        used.limits = limits;
-        used.retries = retries;
-        used.weight = weight;
-        used.lease = lease;
+        usage.limits = limits;
+        usage.retries = retries;
+        usage.weight = weight;
+        usage.lease = lease;
     }
 
-    /// Gives how many requests a workspace asked for since this was last called, refused ones
-    /// included, by which its limits are shared out anew.
+    /// Returns and resets the number of requests that a workspace sent since the last call,
+    /// including refused ones. The workspace's limits are divided among entries by this demand.
     pub fn take_demand(&mut self, workspace: &Workspace) -> u64 {
-        self.workspaces.get_mut(workspace).map_or(0, |used| std::mem::take(&mut used.requested))
+        self.workspaces.get_mut(workspace).map_or(0, |usage| std::mem::take(&mut usage.requested))
     }
 
-    /// Takes in that a request that was started ended.
-    pub fn finished(&mut self, _now: Millis, id: RequestId, done: Completion) {
+    /// Records the end of a started request.
+    pub fn finished(&mut self, _now: Millis, id: RequestId, completion: Completion) {
         let Some(running) = self.running.remove(&id) else {
             self.report_violation("finished_was_running");
             return;
         };
         self.release(&running.workspace);
-        let share = self.settings.needless;
+        let quantile = self.settings.needless;
         let burst = self.settings.retry_burst;
-        if !done.ok {
+        if !completion.ok {
             return;
         }
-        if let Some(used) = self.workspaces.get_mut(&running.workspace) {
-            let earned = used.retries.percent as f32 / 100.0;
-            used.retry_tokens = (used.retry_tokens + earned).min(burst);
+        if let Some(usage) = self.workspaces.get_mut(&running.workspace) {
+            let earned = usage.retries.percent as f32 / 100.0;
+            usage.retry_tokens = (usage.retry_tokens + earned).min(burst);
         }
-        if let Some(gate) = self.models.get_mut(&running.model) {
-            gate.durations.record(running.expected_ms, done.ms, share);
-            let ms = done.ms as f32;
-            gate.mean_service_ms +=
-                if gate.mean_service_ms == 0.0 { ms } else { 0.05 * (ms - gate.mean_service_ms) };
+        if let Some(queues) = self.models.get_mut(&running.model) {
+            queues.durations.record(running.expected_ms, completion.ms, quantile);
+            let ms = completion.ms as f32;
+            queues.mean_service_ms += if queues.mean_service_ms == 0.0 {
+                ms
+            } else {
+                0.05 * (ms - queues.mean_service_ms)
+            };
         }
     }
 
-    /// Takes out a request whose caller went away. Returns whether it was waiting.
+    /// Removes a queued request whose caller disconnected. Returns whether it was queued.
     pub fn cancelled(&mut self, id: RequestId) -> bool {
-        let Some(spot) = self.positions.remove(&id) else {
+        let Some(position) = self.positions.remove(&id) else {
             return false;
         };
-        self.batch_waiting -= usize::from(spot.class == Class::Batch);
-        let line =
-            self.models.get_mut(&spot.model).map(|gate| &mut gate.queues[class_index(spot.class)]);
-        if let Some(waiting) = line.and_then(|line| line.remove(spot.key)) {
+        self.batch_waiting -= usize::from(position.class == Class::Batch);
+        let queue = self
+            .models
+            .get_mut(&position.model)
+            .map(|queues| &mut queues.classes[class_index(position.class)]);
+        if let Some(waiting) = queue.and_then(|queue| queue.remove(position.key)) {
             self.release(&waiting.workspace);
         }
         true
     }
 
-    /// Counts the requests that wait.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
         self.positions.len()
     }
 
-    /// Counts the requests that run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Gives the counts.
+    /// Returns the counters.
     pub fn counts(&self) -> Counts {
         self.counts
     }
@@ -225,8 +232,8 @@
         }
     }
 
-    pub(crate) fn refuse(&mut self, id: RequestId, refused: Refusal) -> Refusal {
-        match refused.code {
+    pub(crate) fn refuse(&mut self, id: RequestId, refusal: Refusal) -> Refusal {
+        match refusal.code {
             Code::LimitReached => self.counts.limited += 1,
             Code::Overloaded => self.counts.overloaded += 1,
             _ => self.counts.too_late += 1,
@@ -238,24 +245,25 @@
             self.recent_refusals.pop_front();
         }
         self.recent_refusals.push_back(id);
-        refused
+        refusal
     }
 
-    /// Gives back what a request held of its workspace's limits.
+    /// Releases a request's share of its workspace's concurrency limit.
     pub(crate) fn release(&mut self, workspace: &Workspace) {
-        let Some(used) = self.workspaces.get_mut(workspace) else { return };
-        if used.running == 0 {
+        let Some(usage) = self.workspaces.get_mut(workspace) else { return };
+        if usage.running == 0 {
             self.report_violation("running_not_negative");
             return;
         }
-        used.running -= 1;
+        usage.running -= 1;
     }
 
-    /// Estimates when a refused caller may find room: when what waits now has started.
-    pub(crate) fn retry_after_ms(&self, model: &Model, room: Capacity) -> u64 {
-        let Some(gate) = self.models.get(model) else { return MIN_RETRY_MS };
-        let ahead: usize = gate.queues.iter().map(ClassQueue::len).sum();
-        let ms = gate.mean_service_ms * (ahead + 1) as f32 / room.slots.max(1) as f32;
+    /// Estimates when a refused caller may find free capacity: once the requests that are queued
+    /// now have started.
+    pub(crate) fn retry_after_ms(&self, model: &Model, capacity: Capacity) -> u64 {
+        let Some(queues) = self.models.get(model) else { return MIN_RETRY_MS };
+        let ahead: usize = queues.classes.iter().map(ClassQueue::len).sum();
+        let ms = queues.mean_service_ms * (ahead + 1) as f32 / capacity.slots.max(1) as f32;
         (ms as u64).max(MIN_RETRY_MS)
     }
 }
--- a/components/admission/src/dispatch.rs
+++ b/components/admission/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! The queue behind the door: what starts next, and what loses its chance.
+//! Dispatch from the queues: which request starts next, and which are refused while they wait.
 
 use chicoryford_types::Class;
 use chicoryford_types::Code;
@@ -6,7 +6,7 @@
 use chicoryford_types::Model;
 
 use crate::admission::Admission;
-use crate::admission::ModelQueue;
+use crate::admission::ModelQueues;
 use crate::admission::class_index;
 use crate::queue::ClassQueue;
 use crate::queue::Waiting;
@@ -15,81 +15,93 @@
 use crate::request::Refusal;
 
 impl Admission {
-    /// Gives what becomes of waiting requests now; `room` tells the room of a model.
+    /// Decides on queued requests: returns those that start now and those that are refused.
+    /// `capacity` returns the capacity of a model.
     ///
-    /// Call it after a request ended, after room changed, and at [`Self::wake`]. Those that lost
-    /// their chance are refused at once, the ones that lost it first in front: holding them back
-    /// would cost their callers time in which to ask elsewhere.
-    pub fn poll(&mut self, now: Millis, mut room: impl FnMut(&Model) -> Capacity) -> Vec<Action> {
+    /// Must be called after a request ended, after capacity changed, and at [`Self::wake`].
+    /// Requests that can no longer meet their deadline are refused at once, earliest first: holding
+    /// them would cost their callers time to retry elsewhere.
+    pub fn poll(
+        &mut self,
+        now: Millis,
+        mut capacity: impl FnMut(&Model) -> Capacity,
+    ) -> Vec<Action> {
         let mut actions = std::mem::take(&mut self.displaced);
-        let mut rooms: Vec<(Model, Capacity)> = self
+        let mut capacities: Vec<(Model, Capacity)> = self
             .models
             .iter()
-            .filter(|(_, gate)| gate.queues.iter().any(|line| !line.is_empty()))
-            .map(|(model, _)| (model.clone(), room(model)))
+            .filter(|(_, queues)| queues.classes.iter().any(|class| !class.is_empty()))
+            .map(|(model, _)| (model.clone(), capacity(model)))
             .collect();
-        rooms.sort_unstable_by(|a, b| a.0.cmp(&b.0));
-        for (model, space) in &rooms {
-            self.refuse_expired(now, model, *space, &mut actions);
+        capacities.sort_unstable_by(|a, b| a.0.cmp(&b.0));
+        for (model, available) in &capacities {
+            self.refuse_expired(now, model, *available, &mut actions);
         }
-        while let Some((n, waiting)) = self.pop_next(&rooms) {
-            let (model, space) = rooms[n].clone();
+        while let Some((index, waiting)) = self.pop_next(&capacities) {
+            let (model, available) = capacities[index].clone();
             self.remove_position(&waiting);
             let expected_ms = waiting.expected_ms;
             let class = waiting.class;
             self.start(waiting.id, &waiting.workspace, &model, class, expected_ms);
-            self.check_reserve(class, space);
-            // Models may share endpoints: a start may take room from each of them.
-            for (_, space) in &mut rooms {
-                space.load += 1;
+            self.check_reserve(class, available);
+            // Models may share endpoints, so a start may use capacity of every model.
+            for (_, available) in &mut capacities {
+                available.load += 1;
             }
             actions.push(Action::Run(waiting.id));
         }
         actions
     }
 
-    /// Gives when [`Self::poll`] must be called at the latest.
+    /// Returns the latest time for the next call of [`Self::poll`].
     pub fn wake(&self) -> Option<Millis> {
         if !self.displaced.is_empty() {
             return Some(Millis::default());
         }
-        let lines = self.models.values().flat_map(|gate| &gate.queues);
-        lines.filter_map(ClassQueue::next_expiry).min().map(|doom| doom + 1)
+        let classes = self.models.values().flat_map(|queues| &queues.classes);
+        classes.filter_map(ClassQueue::next_expiry).min().map(|expiry| expiry + 1)
     }
 
-    /// Takes the request that starts next, if there is room for it.
+    /// Removes and returns the request that starts next, if there is capacity for it.
     ///
-    /// The most urgent class goes first, but waiting samples are owed a share of the starts: a
-    /// trainer that gets nothing while callers keep coming would idle for as long as they come.
-    fn pop_next(&mut self, rooms: &[(Model, Capacity)]) -> Option<(usize, Waiting)> {
-        let owed = self.batch_credit >= 1.0;
-        let order = if owed {
+    /// The most urgent class goes first, but waiting samples are credited with a share of the
+    /// starts. Otherwise a trainer would get nothing and idle for as long as more urgent requests
+    /// arrive.
+    fn pop_next(&mut self, capacities: &[(Model, Capacity)]) -> Option<(usize, Waiting)> {
+        let has_credit = self.batch_credit >= 1.0;
+        let order = if has_credit {
             [Class::Urgent, Class::Batch, Class::Normal]
         } else {
             [Class::Urgent, Class::Normal, Class::Batch]
         };
         for class in order {
-            let Some(n) = self.first_model(rooms, class, owed) else { continue };
-            let line = &mut self.models.get_mut(&rooms[n].0)?.queues[class_index(class)];
+            let Some(index) = self.first_model(capacities, class, has_credit) else { continue };
+            let queue = &mut self.models.get_mut(&capacities[index].0)?.classes[class_index(class)];
             if class == Class::Batch {
-                self.fair_clock.advance(line.first_order().unwrap_or(0));
+                self.fair_clock.advance(queue.first_order().unwrap_or(0));
             }
-            return Some((n, line.pop()?));
+            return Some((index, queue.pop()?));
         }
         None
     }
 
-    /// Gives the model whose first request of a class goes before those of the other models.
-    fn first_model(&self, rooms: &[(Model, Capacity)], class: Class, owed: bool) -> Option<usize> {
+    /// Returns the index of the model whose first request of a class precedes those of the other
+    /// models.
+    fn first_model(
+        &self,
+        capacities: &[(Model, Capacity)],
+        class: Class,
+        has_credit: bool,
+    ) -> Option<usize> {
         let first =
-            |model: &Model| self.models.get(model)?.queues[class_index(class)].first_order();
-        rooms
+            |model: &Model| self.models.get(model)?.classes[class_index(class)].first_order();
+        capacities
             .iter()
             .enumerate()
-            .filter(|(_, (_, room))| self.may_start(class, *room, owed))
-            .filter_map(|(n, (model, _))| Some((first(model)?, n)))
+            .filter(|(_, (_, capacity))| self.may_start(class, *capacity, has_credit))
+            .filter_map(|(index, (model, _))| Some((first(model)?, index)))
             .min()
-            .map(|(_, n)| n)
+            .map(|(_, index)| index)
     }
 
     fn remove_position(&mut self, waiting: &Waiting) {
@@ -102,21 +114,22 @@
         &mut self,
         now: Millis,
         model: &Model,
-        room: Capacity,
+        capacity: Capacity,
         actions: &mut Vec<Action>,
     ) {
         loop {
-            let gate = self.models.get_mut(model);
-            let Some(waiting) = gate.and_then(|gate| pop_expired(gate, now)) else { return };
-            let retry_ms = self.retry_after_ms(model, room);
-            let refused = Refusal { code: Code::DeadlineTooClose, retry_ms };
-            actions.push(self.refuse_waiting(&waiting, refused));
+            let queues = self.models.get_mut(model);
+            let Some(waiting) = queues.and_then(|queues| pop_expired(queues, now)) else { return };
+            let retry_ms = self.retry_after_ms(model, capacity);
+            let refusal = Refusal { code: Code::DeadlineTooClose, retry_ms };
+            actions.push(self.refuse_waiting(&waiting, refusal));
         }
     }
 
-    /// Makes room for a request of `class` in the full queue: a request that lost its chance goes
-    /// first, and then the last of a less urgent class.
-    pub(crate) fn make_room(&mut self, now: Millis, class: Class) -> bool {
+    /// Frees a place in the full queue for a request of `class`. Removes a request that can no
+    /// longer meet its deadline, or else the last one of a less urgent class. Returns whether a
+    /// place was freed.
+    pub(crate) fn make_place(&mut self, now: Millis, class: Class) -> bool {
         let mut models: Vec<Model> = self.models.keys().cloned().collect();
         models.sort_unstable();
         let mut code = Code::DeadlineTooClose;
@@ -127,8 +140,8 @@
             if found.is_none() && self.gives_way(lower, class) {
                 code = Code::Overloaded;
                 found = models.iter().find_map(|model| {
-                    let gate = self.models.get_mut(model)?;
-                    Some((model, gate.queues[class_index(lower)].pop_last()?))
+                    let queues = self.models.get_mut(model)?;
+                    Some((model, queues.classes[class_index(lower)].pop_last()?))
                 });
             }
         }
@@ -139,33 +152,33 @@
         true
     }
 
-    /// Tells whether a waiting request of class `lower` gives way to one of `class`.
+    /// Returns whether a queued request of class `lower` may be displaced by one of `class`.
     ///
-    /// Samples keep a share of the places. If callers could take all of them, no sample would be
-    /// there when it is owed a start, and trainers would starve after all.
+    /// Samples keep a share of the places. If other requests could take all of them, no sample
+    /// would be queued when the samples have credit for a start, and trainers would still starve.
     fn gives_way(&self, lower: Class, class: Class) -> bool {
-        let kept = (self.settings.waiting as f32 * self.settings.batch_places) as usize;
+        let reserved = (self.settings.waiting as f32 * self.settings.batch_places) as usize;
         match (lower, class) {
-            (Class::Batch, _) => lower < class && self.batch_waiting > kept,
-            (Class::Normal, Class::Batch) => self.batch_waiting < kept,
+            (Class::Batch, _) => lower < class && self.batch_waiting > reserved,
+            (Class::Normal, Class::Batch) => self.batch_waiting < reserved,
             _ => lower < class,
         }
     }
 
-    fn refuse_waiting(&mut self, waiting: &Waiting, refused: Refusal) -> Action {
+    fn refuse_waiting(&mut self, waiting: &Waiting, refusal: Refusal) -> Action {
         if !self.settings.protections.forget
-            && let Some(spot) = self.positions.get(&waiting.id)
-            && let Some(gate) = self.models.get_mut(&spot.model)
+            && let Some(position) = self.positions.get(&waiting.id)
+            && let Some(queues) = self.models.get_mut(&position.model)
         {
-            let late = Waiting { latest_start: Millis(u64::MAX), ..waiting.clone() };
-            gate.queues[class_index(waiting.class)].push(late, 0);
+            let kept = Waiting { latest_start: Millis(u64::MAX), ..waiting.clone() };
+            queues.classes[class_index(waiting.class)].push(kept, 0);
         }
         self.remove_position(waiting);
         self.release(&waiting.workspace);
-        Action::Refuse(waiting.id, self.refuse(waiting.id, refused))
+        Action::Refuse(waiting.id, self.refuse(waiting.id, refusal))
     }
 }
 
-fn pop_expired(gate: &mut ModelQueue, now: Millis) -> Option<Waiting> {
-    gate.queues.iter_mut().find_map(|line| line.pop_expired(now))
+fn pop_expired(queues: &mut ModelQueues, now: Millis) -> Option<Waiting> {
+    queues.classes.iter_mut().find_map(|queue| queue.pop_expired(now))
 }
--- a/components/admission/src/duration_quantile.rs
+++ b/components/admission/src/duration_quantile.rs
@@ -1,13 +1,14 @@
-//! Whether a request can still make its deadline, by what finished requests took.
+//! Whether a request can still meet its deadline, estimated from the durations of finished
+//! requests.
 
-/// The step of the running quantile.
+/// The smallest step of the running quantile.
 const MIN_STEP: f32 = 0.02;
 
-/// The share of the expected duration below which only few attempts finish.
+/// A low quantile of actual over expected durations, below which only few attempts finish.
 ///
-/// The router's expectation is a mean; refusing all that would miss their deadline on the mean
-/// would refuse many that make it. A running quantile of actual over expected durations tells how
-/// little time still leaves a chance, without storing durations (stochastic approximation).
+/// The router's expectation is a mean: refusing every request that would miss its deadline at the
+/// mean would refuse many that would meet it. The running quantile estimates the shortest time in
+/// which a request may still finish, without storing durations (stochastic approximation).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DurationQuantile {
     ratio: f32,
@@ -21,7 +22,8 @@
 }
 
 impl DurationQuantile {
-    /// Learns from an attempt that ran to its end; `share` of them shall lie below the quantile.
+    /// Records a successful attempt. `share` is the fraction of attempts that should lie below the
+    /// quantile.
     pub fn record(&mut self, expected_ms: u64, ms: u64, share: f32) {
         let actual = ms as f32 / expected_ms.max(1) as f32;
         self.count = self.count.saturating_add(1);
@@ -30,7 +32,7 @@
         self.ratio = (self.ratio + step * (share - below)).clamp(0.01, 2.0);
     }
 
-    /// Gives the least milliseconds in which an attempt has a chance.
+    /// Returns the shortest time in which an attempt may finish, in milliseconds.
     pub fn min_ms(&self, expected_ms: u64) -> u64 {
         (expected_ms as f32 * self.ratio) as u64
     }
--- a/components/admission/src/hedge.rs
+++ b/components/admission/src/hedge.rs
@@ -1,56 +1,57 @@
-//! Hedging: a second attempt of a group's last samples.
+//! Hedging: second attempts for the last samples of a group.
 
 use crate::admission::Admission;
 use crate::request::Capacity;
 
-/// A sample that its group may soon wait for.
+/// A sample that may delay its whole group.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Straggler {
-    /// Samples of the group.
+    /// Samples in the group.
     pub group_size: u32,
-    /// Of those, the ones that have not finished.
+    /// Samples of the group that have not finished.
     pub unfinished: u32,
     /// Milliseconds since its attempt started.
     pub elapsed_ms: u64,
-    /// Milliseconds in which it was expected to finish.
+    /// The expected duration of that attempt, in milliseconds.
     pub expected_ms: u64,
-    /// Milliseconds in which another attempt is expected to finish.
+    /// The expected duration of a second attempt, in milliseconds.
     pub second_ms: u64,
-    /// Milliseconds that it is expected still to take where it runs, by the tokens it has still
-    /// to produce and its present rate.
+    /// The expected remaining time of the current attempt, in milliseconds, from the tokens still
+    /// to generate and its current rate.
     pub remaining_ms: u64,
-    /// The room of the model's endpoints.
+    /// The capacity and load of the model's endpoints.
     pub capacity: Capacity,
 }
 
 impl Admission {
-    /// Tells whether to start a second attempt; the caller then reports [`Self::hedged`] and, at
-    /// its end, [`Self::unhedged`]. The ledger takes whichever sample ends first, and the other
-    /// attempt is cancelled.
+    /// Returns whether to start a second attempt. The caller then calls [`Self::hedge_started`]
+    /// and, when that attempt ends, [`Self::hedge_ended`]. The ledger records the sample that
+    /// finishes first, and the other attempt is cancelled.
     ///
-    /// A second attempt helps only if it is expected to be done well before the first, and it
-    /// takes room from others: hence the last few of a group, a share of what runs, and none
-    /// when endpoints are nearly full.
+    /// A second attempt helps only if it is expected to finish well before the first, and it uses
+    /// capacity that other requests could use. Hedges are therefore limited to the last few samples
+    /// of a group and to a share of the running requests, and stop when the endpoints are nearly
+    /// full.
     pub fn may_hedge(&mut self, straggler: &Straggler) -> bool {
         let settings = &self.settings;
-        let last = (straggler.group_size as f32 * settings.hedge_last).ceil() as u32;
-        let few = straggler.unfinished <= last.max(1);
-        let late =
+        let max_unfinished = (straggler.group_size as f32 * settings.hedge_last).ceil() as u32;
+        let is_last = straggler.unfinished <= max_unfinished.max(1);
+        let is_late =
             straggler.elapsed_ms as f32 > straggler.expected_ms as f32 * settings.hedge_after;
-        let gains = straggler.second_ms.saturating_mul(2) < straggler.remaining_ms;
-        let room = (straggler.capacity.load as f32)
+        let saves_time = straggler.second_ms.saturating_mul(2) < straggler.remaining_ms;
+        let has_capacity = (straggler.capacity.load as f32)
             < straggler.capacity.slots as f32 * settings.hedge_load.min(settings.batch_share);
-        let most = (self.running.len() as f32 * settings.hedge_share).ceil() as u32;
-        few && late && gains && room && self.hedges < most
+        let max_hedges = (self.running.len() as f32 * settings.hedge_share).ceil() as u32;
+        is_last && is_late && saves_time && has_capacity && self.hedges < max_hedges
     }
 
-    /// Counts a second attempt as started.
+    /// Counts the start of a second attempt.
     pub fn hedge_started(&mut self) {
         self.hedges += 1;
         self.counts.hedges += 1;
     }
 
-    /// Counts a second attempt as ended or cancelled.
+    /// Counts the end or cancellation of a second attempt.
     pub fn hedge_ended(&mut self) {
         if self.hedges == 0 {
             self.report_violation("hedges_not_negative");
--- a/components/admission/src/lib.rs
+++ b/components/admission/src/lib.rs
@@ -1,8 +1,8 @@
 //! Admits, limits, queues, retries and hedges requests (docs/ADMISSION.md).
 //!
-//! [`Admission`] is a pure decision component of one entry: it is asked whether a request may
-//! start now, and told when one ends. It holds no socket, clock or thread, and its randomness
-//! comes from a seed.
+//! [`Admission`] is the pure decision component of one entry: it decides whether a request may
+//! start now, and is notified when one ends. It holds no socket, clock or thread, and its
+//! randomness is seeded.
 
 pub mod admission;
 pub mod admit;
--- a/components/admission/src/request.rs
+++ b/components/admission/src/request.rs
@@ -1,4 +1,4 @@
-//! What admission is asked and told, and what it answers.
+//! The requests that admission decides on, and its decisions.
 
 use chicoryford_types::Class;
 use chicoryford_types::Code;
@@ -8,75 +8,76 @@
 use chicoryford_types::RequestId;
 use chicoryford_types::Workspace;
 
-/// The room that a model's endpoints have, as the router sees it.
+/// The capacity and load of a model's endpoints, as estimated by the router.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Capacity {
-    /// Attempts that they may run at once.
+    /// Attempts that the endpoints can run concurrently.
     pub slots: u32,
-    /// Attempts that they have, those of other entries included.
+    /// Attempts in flight at the endpoints, including those of other entries.
     pub load: u32,
 }
 
-/// A request at the door.
+/// A request for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest<'a> {
-    /// The request.
+    /// The request's id.
     pub id: RequestId,
-    /// On whose behalf.
+    /// The workspace that sent the request.
     pub workspace: &'a Workspace,
-    /// The model or service.
+    /// The model or service that the request is for.
     pub model: &'a Model,
-    /// How urgent it is.
+    /// The priority class of the request.
     pub class: Class,
-    /// When its answer is worthless.
+    /// When the caller stops waiting for the answer.
     pub deadline: Millis,
-    /// Milliseconds in which the router expects it to finish once started.
+    /// The router's estimate of the run time once started, in milliseconds.
     pub expected_ms: u64,
-    /// The room it would start into.
+    /// The capacity and load of the endpoints that would run it.
     pub capacity: Capacity,
 }
 
-/// Why a request was refused, and when to come back. It did not run and will not.
+/// Why a request was refused and when the caller may retry. A refused request has not run and will
+/// not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// The code that the caller gets.
+    /// The code returned to the caller.
     pub code: Code,
-    /// When to come back, in milliseconds from now.
+    /// How long the caller should wait before it retries, in milliseconds.
     pub retry_ms: u64,
 }
 
 impl Refusal {
-    /// Makes the failure that travels to the caller.
+    /// Returns the failure that is sent to the caller.
     pub fn failure(self, detail: &str) -> Failure {
         Failure::not_run(self.code, detail).retry_after(self.retry_ms)
     }
 }
 
-/// What becomes of a request at the door.
+/// The decision on a new request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// It starts now.
+    /// The request starts now.
     Admit,
-    /// It waits; [`crate::Admission::poll`] will tell what becomes of it.
+    /// The request is queued; a later [`crate::Admission::poll`] decides on it.
     Wait,
-    /// It does not run.
+    /// The request does not run.
     Refuse(Refusal),
 }
 
-/// What becomes of a request that waited.
+/// The decision on a queued request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// It starts now.
+    /// The request starts now.
     Run(RequestId),
-    /// It does not run.
+    /// The request does not run.
     Refuse(RequestId, Refusal),
 }
 
 /// How an admitted request ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Completion {
-    /// Whether the whole answer was given.
+    /// Whether the answer was delivered completely.
     pub ok: bool,
-    /// Milliseconds from its start.
+    /// Milliseconds since the request started.
     pub ms: u64,
 }
--- a/components/admission/src/settings.rs
+++ b/components/admission/src/settings.rs
@@ -1,42 +1,42 @@
-//! What may be set of admission; docs/TUNING.md tells operators which to touch and when.
+//! The settings of admission; docs/TUNING.md describes which to change and when.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What may be set of admission.
+/// The settings of admission.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// The share of a model's slots that trainers' samples may fill.
+    /// The share of a model's slots that samples of trainers may use.
     pub batch_share: f32,
-    /// The share of a model's slots that samples and ordinary callers may fill together.
+    /// The share of a model's slots that samples and normal requests may use together.
     pub normal_share: f32,
-    /// The share of a model's slots that urgent callers may fill; past one they wait at agents.
+    /// The share of a model's slots that urgent requests may use; above 1 they queue at the agents.
     pub urgent_share: f32,
-    /// The share of starts that waiting samples are owed while callers start.
+    /// The share of starts that waiting samples are credited with while other requests start.
     pub batch_floor: f32,
-    /// The share of the places in the queue that samples keep.
+    /// The share of the queue that is reserved for samples.
     pub batch_places: f32,
-    /// Requests that wait at once, over all models.
+    /// The capacity of the queue, in requests over all models.
     pub waiting: usize,
-    /// Of attempts, the share that finishes sooner than the finish by which a request is judged
-    /// to have no chance: the share of refusals for lack of time that may prove needless.
+    /// The quantile of actual over expected durations by which a request is refused because it
+    /// cannot meet its deadline. It is also the share of such refusals that may be unnecessary.
     pub needless: f32,
-    /// Retries that may be saved up.
+    /// The most unused retries that a workspace can accumulate.
     pub retry_burst: f32,
-    /// Milliseconds before a first retry; each next one waits twice as long.
+    /// Milliseconds before a first retry; doubles with each further one.
     pub retry_ms: u64,
-    /// Milliseconds before a retry at most.
+    /// The longest delay before a retry, in milliseconds.
     pub retry_most_ms: u64,
-    /// Hedges at once, as a share of the requests that run.
+    /// The most concurrent hedges, as a share of the running requests.
     pub hedge_share: f32,
-    /// How many times the expected duration a sample must have run before it is hedged.
+    /// The multiple of its expected duration after which a sample may be hedged.
     pub hedge_after: f32,
-    /// The share of a group that may be left when hedging begins.
+    /// The share of a group that may be unfinished when hedging begins.
     pub hedge_last: f32,
-    /// The share of slots in use past which nothing is hedged.
+    /// The share of slots in use above which no hedge starts.
     pub hedge_load: f32,
-    /// Which protections are on; only tests turn one off.
+    /// Which protections are enabled; only tests disable one.
     #[serde(skip)]
     pub protections: Protections,
 }
@@ -63,10 +63,10 @@
     }
 }
 
-/// Protections that tests turn off one at a time, to see that the checks notice.
+/// Protections that tests disable one at a time, to verify that the checks detect the loss.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Protections {
-    /// Room is reserved for more urgent classes.
+    /// Capacity is reserved for more urgent classes.
     pub reserve: bool,
     /// The queue is bounded.
     pub bound: bool,
@@ -74,7 +74,7 @@
     pub limits: bool,
     /// Retries are held to their budget.
     pub budget: bool,
-    /// A request that was refused is forgotten.
+    /// A refused request is removed from the queue.
     pub forget: bool,
 }
 
--- a/components/admission/tests/admit.rs
+++ b/components/admission/tests/admit.rs
@@ -1,4 +1,4 @@
-//! The decisions at the door, over the public interface.
+//! Admission decisions, through the public interface.
 
 use chicoryford_admission::Action;
 use chicoryford_admission::Admission;
@@ -17,8 +17,8 @@
 use chicoryford_types::template::Limits;
 use chicoryford_types::template::Retries;
 
-fn ask(admission: &mut Admission, now: u64, id: u64, class: Class, load: u32) -> Decision {
-    let ask = AdmissionRequest {
+fn admit(admission: &mut Admission, now: u64, id: u64, class: Class, load: u32) -> Decision {
+    let request = AdmissionRequest {
         id: RequestId(0, id),
         workspace: &Workspace::from("desk"),
         model: &Model::from("desk-app"),
@@ -27,45 +27,44 @@
         expected_ms: 200,
         capacity: Capacity { slots: 10, load },
     };
-    admission.admit(Millis(now), &ask)
+    admission.admit(Millis(now), &request)
 }
 
 #[test]
-fn can_keep_room_for_urgent_callers() {
+fn can_reserve_capacity_for_urgent_requests() {
     let mut admission = Admission::new(Settings::default(), 1);
-    assert_eq!(ask(&mut admission, 0, 1, Class::Batch, 9), Decision::Wait);
-    assert_eq!(ask(&mut admission, 0, 2, Class::Urgent, 9), Decision::Admit);
+    assert_eq!(admit(&mut admission, 0, 1, Class::Batch, 9), Decision::Wait);
+    assert_eq!(admit(&mut admission, 0, 2, Class::Urgent, 9), Decision::Admit);
     assert_eq!(admission.counts().broken, 0);
 }
 
 #[test]
-fn can_refuse_at_once_what_lost_its_chance_while_it_waited() {
-    // Symptom: a caller learns only at its deadline that its request never started.
-    // Sequence: a request waits for room, and none comes.
-    // Cause: it would be held although it can no longer be answered in time.
+fn can_refuse_a_queued_request_that_cannot_meet_its_deadline() {
+    // Guards against a caller that is told only at its deadline that its request never started: a
+    // queued request must be refused as soon as it can no longer finish in time.
     let mut admission = Admission::new(Settings::default(), 1);
-    assert_eq!(ask(&mut admission, 0, 1, Class::Normal, 10), Decision::Wait);
+    assert_eq!(admit(&mut admission, 0, 1, Class::Normal, 10), Decision::Wait);
     let wake = admission.wake().unwrap();
     assert!(wake < Millis(1_000));
     let actions = admission.poll(wake, |_| Capacity { slots: 10, load: 10 });
-    let Action::Refuse(id, refused) = actions[0] else { panic!("it was not refused") };
-    assert_eq!((id, refused.code), (RequestId(0, 1), Code::DeadlineTooClose));
+    let Action::Refuse(id, refusal) = actions[0] else { panic!("the request was not refused") };
+    assert_eq!((id, refusal.code), (RequestId(0, 1), Code::DeadlineTooClose));
     assert!(admission.poll(wake, |_| Capacity { slots: 10, load: 0 }).is_empty());
 }
 
 #[test]
-fn can_hold_a_workspace_to_its_share() {
+fn can_limit_a_workspace_to_its_lease() {
     let mut admission = Admission::new(Settings::default(), 1);
     let lease = Lease { rate: 100.0, running: 2 };
     let desk = Workspace::from("desk");
     admission.observe_workspace(&desk, Limits::default(), Retries::default(), 1, lease);
-    assert_eq!(ask(&mut admission, 1_000, 1, Class::Urgent, 0), Decision::Admit);
-    assert_eq!(ask(&mut admission, 1_000, 2, Class::Urgent, 0), Decision::Admit);
-    let Decision::Refuse(refused) = ask(&mut admission, 1_000, 3, Class::Urgent, 0) else {
-        panic!("it was not refused")
+    assert_eq!(admit(&mut admission, 1_000, 1, Class::Urgent, 0), Decision::Admit);
+    assert_eq!(admit(&mut admission, 1_000, 2, Class::Urgent, 0), Decision::Admit);
+    let Decision::Refuse(refusal) = admit(&mut admission, 1_000, 3, Class::Urgent, 0) else {
+        panic!("the request was not refused")
     };
-    assert_eq!(refused.code, Code::LimitReached);
+    assert_eq!(refusal.code, Code::LimitReached);
     admission.finished(Millis(1_100), RequestId(0, 1), Completion { ok: true, ms: 100 });
-    assert_eq!(ask(&mut admission, 1_200, 4, Class::Urgent, 0), Decision::Admit);
+    assert_eq!(admit(&mut admission, 1_200, 4, Class::Urgent, 0), Decision::Admit);
     assert_eq!(admission.take_demand(&desk), 4);
 }
--- a/components/admission/tests/retry.rs
+++ b/components/admission/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries and second attempts.
+//! Retries, hedges, and the division of limits among entries.
 
 use chicoryford_admission::Admission;
 use chicoryford_admission::Capacity;
@@ -24,15 +24,15 @@
 }
 
 #[test]
-fn can_retry_only_what_is_safe_and_in_time() {
-    // Symptom: a label is printed twice.
-    // Sequence: an attempt of a call that may not be repeated is lost, and is tried again.
-    // Cause: its outcome is unknown; it may have run.
+fn can_retry_only_idempotent_calls_before_the_deadline() {
+    // Guards against a side effect that happens twice, such as a label printed again: if an attempt
+    // is lost, its outcome is unknown and it may have run, so only an idempotent call may be
+    // retried.
     let mut admission = Admission::new(Settings::default(), 1);
     let workspace = Workspace::from("labels");
-    let once = Retry { idempotent: false, ..retry(&workspace) };
-    assert_eq!(admission.may_retry(Millis(0), &once), None);
-    let not_run = Retry { outcome: Outcome::NotRun, ..once };
+    let not_idempotent = Retry { idempotent: false, ..retry(&workspace) };
+    assert_eq!(admission.may_retry(Millis(0), &not_idempotent), None);
+    let not_run = Retry { outcome: Outcome::NotRun, ..not_idempotent };
     assert!(admission.may_retry(Millis(0), &not_run).is_some());
     assert_eq!(admission.may_retry(Millis(9_950), &retry(&workspace)), None);
     let third = Retry { attempts: 3, ..retry(&workspace) };
@@ -40,10 +40,9 @@
 }
 
 #[test]
-fn can_stop_retrying_when_nothing_succeeds() {
-    // Symptom: an overloaded deployment gets three times its load.
-    // Sequence: all attempts fail, and all are tried again.
-    // Cause: retries without a budget.
+fn can_stop_retrying_when_every_attempt_fails() {
+    // Guards against retries that triple the load of an overloaded deployment in which every
+    // attempt fails.
     let mut admission = Admission::new(Settings::default(), 1);
     let workspace = Workspace::from("desk");
     let allowed =
@@ -53,7 +52,7 @@
 }
 
 #[test]
-fn can_hedge_only_the_last_when_it_gains() {
+fn can_hedge_only_slow_samples_at_the_end_of_a_group() {
     let mut admission = Admission::new(Settings::default(), 1);
     let straggler = Straggler {
         group_size: 16,
@@ -64,8 +63,8 @@
         remaining_ms: 5_000,
         capacity: Capacity { slots: 100, load: 50 },
     };
-    assert!(!admission.may_hedge(&straggler), "nothing runs of which this is a share");
-    let mut admission = busy(&mut admission);
+    assert!(!admission.may_hedge(&straggler), "the hedge share of no running requests is zero");
+    let mut admission = with_one_running(&mut admission);
     assert!(admission.may_hedge(&straggler));
     assert!(!admission.may_hedge(&Straggler { unfinished: 8, ..straggler }));
     assert!(!admission.may_hedge(&Straggler { elapsed_ms: 500, ..straggler }));
@@ -73,14 +72,17 @@
     let full = Capacity { slots: 100, load: 95 };
     assert!(!admission.may_hedge(&Straggler { capacity: full, ..straggler }));
     admission.hedge_started();
-    assert!(!admission.may_hedge(&straggler), "one of one running is the whole share");
+    assert!(
+        !admission.may_hedge(&straggler),
+        "one hedge is the whole share of one running request"
+    );
     admission.hedge_ended();
     assert!(admission.may_hedge(&straggler));
 }
 
-/// Gives an admission in which one request runs.
-fn busy(admission: &mut Admission) -> Admission {
-    let ask = chicoryford_admission::AdmissionRequest {
+/// Returns an admission with one running request.
+fn with_one_running(admission: &mut Admission) -> Admission {
+    let request = chicoryford_admission::AdmissionRequest {
         id: chicoryford_types::RequestId(0, 1),
         workspace: &Workspace::from("trainer"),
         model: &"style-llm".into(),
@@ -89,20 +91,20 @@
         expected_ms: 1_000,
         capacity: Capacity { slots: 100, load: 0 },
     };
-    admission.admit(Millis(0), &ask);
+    admission.admit(Millis(0), &request);
     admission.clone()
 }
 
 #[test]
-fn can_share_a_limit_without_going_over_it() {
-    fn holds(limit: u16, demands: Vec<u32>) -> bool {
+fn can_divide_a_limit_completely() {
+    fn is_divided(limit: u16, demands: Vec<u32>) -> bool {
         let limit = u32::from(limit);
-        let asked: Vec<u64> = demands.iter().map(|d| u64::from(*d)).collect();
-        let shares = split_by_demand(limit, &asked);
+        let wide: Vec<u64> = demands.iter().map(|d| u64::from(*d)).collect();
+        let shares = split_by_demand(limit, &wide);
         let entries = demands.len() as u32;
-        let evenly: u32 = (0..entries).map(|rank| even_share(limit, entries, rank)).sum();
-        let whole = if entries == 0 { 0 } else { limit };
-        shares.iter().sum::<u32>() == whole && evenly == whole
+        let even_sum: u32 = (0..entries).map(|rank| even_share(limit, entries, rank)).sum();
+        let expected = if entries == 0 { 0 } else { limit };
+        shares.iter().sum::<u32>() == expected && even_sum == expected
     }
-    QuickCheck::new().tests(1_000).quickcheck(holds as fn(u16, Vec<u32>) -> bool);
+    QuickCheck::new().tests(1_000).quickcheck(is_divided as fn(u16, Vec<u32>) -> bool);
 }
