--- a/components/routing/src/cache.rs
+++ b/components/routing/src/cache.rs
@@ -1,4 +1,5 @@
-//! Which endpoint holds which prompt prefix, from cache events that come late and with gaps.
+//! Which endpoints have cached which prompt prefix, from cache events that arrive late and with
+//! gaps.
 
 use std::collections::HashMap;
 
@@ -6,70 +7,72 @@
 
 use crate::endpoint::EndpointId;
 
-/// How many holders of a prefix are remembered.
+/// The number of holders recorded per prefix.
 const HOLDERS: usize = 2;
 
-/// That an endpoint holds a prefix.
+/// An endpoint that has cached a prefix.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct CacheEntry {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// When it was told or assumed.
+    /// When this was reported or assumed.
     pub at: Millis,
 }
 
-type Holds = [Option<CacheEntry>; HOLDERS];
+type Holders = [Option<CacheEntry>; HOLDERS];
 
-/// A bounded directory of prefixes in two generations: when the young one is full it becomes the
-/// old one, and what nobody asked for since then is forgotten.
+/// A bounded directory of prefixes in two generations. When the recent one is full it replaces the
+/// previous one; prefixes that were not added again since are dropped.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixDirectory {
-    recent: HashMap<u64, Holds>,
-    previous: HashMap<u64, Holds>,
+    recent: HashMap<u64, Holders>,
+    previous: HashMap<u64, Holders>,
     capacity: usize,
 }
 
 impl PrefixDirectory {
-    /// Makes a directory of at most `room` prefixes.
-    pub fn new(room: usize) -> Self {
-        Self { capacity: room, ..Self::default() }
+    /// Returns an empty directory for at most `capacity` prefixes.
+    pub fn new(capacity: usize) -> Self {
+        Self { capacity, ..Self::default() }
     }
 
-    /// Notes that an endpoint holds a prefix. The holder noted longest ago gives way.
-    pub fn add(&mut self, prefix: u64, seat: EndpointId, at: Millis) {
+    /// Records that an endpoint has cached a prefix. If there are too many holders, replaces the
+    /// oldest.
+    pub fn add(&mut self, prefix: u64, id: EndpointId, at: Millis) {
         if self.recent.len() >= self.capacity.div_ceil(2).max(1) {
             self.previous = std::mem::take(&mut self.recent);
         }
-        let before = self.previous.remove(&prefix).unwrap_or_default();
-        let holds = self.recent.entry(prefix).or_insert(before);
-        let same = holds.iter().position(|hold| hold.is_some_and(|hold| hold.endpoint == seat));
-        let oldest = (0..HOLDERS).min_by_key(|n| holds[*n].map(|hold| hold.at));
-        let place = same.or(oldest).unwrap_or(0);
-        holds[place] = Some(CacheEntry { endpoint: seat, at });
+        let previous = self.previous.remove(&prefix).unwrap_or_default();
+        let holders = self.recent.entry(prefix).or_insert(previous);
+        let existing =
+            holders.iter().position(|entry| entry.is_some_and(|entry| entry.endpoint == id));
+        let oldest = (0..HOLDERS).min_by_key(|n| holders[*n].map(|entry| entry.at));
+        let index = existing.or(oldest).unwrap_or(0);
+        holders[index] = Some(CacheEntry { endpoint: id, at });
     }
 
-    /// Notes that an endpoint no longer holds a prefix.
-    pub fn remove(&mut self, prefix: u64, seat: EndpointId) {
-        for map in [&mut self.recent, &mut self.previous] {
-            let Some(holds) = map.get_mut(&prefix) else { continue };
-            for hold in holds.iter_mut() {
-                hold.take_if(|hold| hold.endpoint == seat);
+    /// Records that an endpoint has evicted a prefix.
+    pub fn remove(&mut self, prefix: u64, id: EndpointId) {
+        for generation in [&mut self.recent, &mut self.previous] {
+            let Some(holders) = generation.get_mut(&prefix) else { continue };
+            for entry in holders.iter_mut() {
+                entry.take_if(|entry| entry.endpoint == id);
             }
         }
     }
 
-    /// Gives the endpoints that hold a prefix, as far as is known.
+    /// Returns the endpoints that are known to have cached a prefix.
     pub fn holders(&self, prefix: u64) -> impl Iterator<Item = CacheEntry> + '_ {
-        let holds = self.recent.get(&prefix).or_else(|| self.previous.get(&prefix));
-        holds.into_iter().flatten().flatten().copied()
+        let holders = self.recent.get(&prefix).or_else(|| self.previous.get(&prefix));
+        holders.into_iter().flatten().flatten().copied()
     }
 
-    /// Counts the prefixes.
+    /// Returns the number of prefixes.
     pub fn len(&self) -> usize {
         self.recent.len() + self.previous.len()
     }
 
-    /// Tells whether no prefix is known.
+    /// Returns whether the directory is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/components/routing/src/capacity.rs
+++ b/components/routing/src/capacity.rs
@@ -1,4 +1,4 @@
-//! What admission needs to know of a model's endpoints.
+//! The capacity of a model's endpoints, for admission.
 
 use chicoryford_types::Millis;
 use chicoryford_types::Model;
@@ -7,21 +7,22 @@
 use crate::router::Router;
 use crate::score;
 
-/// The room that a model's endpoints have, as this entry sees it.
+/// The capacity and load of a model's endpoints, as estimated by this entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolCapacity {
-    /// Endpoints that could take work now.
+    /// Endpoints that are usable now.
     pub endpoints: u32,
-    /// Attempts that they may run at once.
+    /// Attempts that they can run concurrently.
     pub slots: u32,
-    /// Attempts that they have, estimated.
+    /// The estimated attempts there.
     pub load: u32,
-    /// The least headroom of each over memory, prefill and link, on the mean, in thousandths.
+    /// The mean over the endpoints of their smallest headroom among memory, prefill and link, in
+    /// thousandths.
     pub headroom: u32,
 }
 
 impl Router {
-    /// Sums up the endpoints of this entry's subset that could serve a model now.
+    /// Sums up the usable endpoints of a model in this entry's subset.
     pub fn pool_capacity(
         &self,
         now: Millis,
@@ -31,37 +32,38 @@
         let Some(pool) = self.pools.get(model) else {
             return PoolCapacity::default();
         };
-        let mut view = PoolCapacity::default();
+        let mut capacity = PoolCapacity::default();
         let mut load = 0.0;
         let mut slots = 0.0;
-        let mut grown = 0.0;
-        for seat in &pool.subset {
-            let state = &self.states[seat.0 as usize];
+        let mut started_since_report = 0.0;
+        for id in &pool.subset {
+            let state = &self.states[id.0 as usize];
             if !self.usable(now, state, model, floor) {
                 continue;
             }
-            view.endpoints += 1;
-            view.headroom += state.headroom;
-            let here = score::load(now, &self.settings, pool, state);
-            load += here;
-            grown += state.own_in_flight as f32 - state.own_reported as f32;
+            capacity.endpoints += 1;
+            capacity.headroom += state.headroom;
+            let endpoint_load = score::load(now, &self.settings, pool, state);
+            load += endpoint_load;
+            started_since_report += state.own_in_flight as f32 - state.own_reported as f32;
             let limit = if self.settings.adapt { state.limit.get() } else { state.slots as f32 };
-            // The resource that runs out first need not be the one that slots stand for: long
-            // prompts exhaust prefill, and what passes between engines the link, while memory
-            // looks free. The smallest headroom fraction decides (Polyulya, "Multi-Resource
-            // Capacity and the Price of Anarchy", definition 4; docs/ADMISSION.md).
-            let short = state.headroom < self.settings.headroom;
-            slots += if short { limit.min(here) } else { limit };
+            // Slots do not stand for the resource that is exhausted first: long prompts exhaust
+            // prefill, and traffic between engines the link, while memory is free. The smallest
+            // headroom decides (Polyulya, "Multi-Resource Capacity and the Price of Anarchy",
+            // definition 4; docs/ADMISSION.md).
+            let is_exhausted = state.headroom < self.settings.headroom;
+            slots += if is_exhausted { limit.min(endpoint_load) } else { limit };
         }
-        view.headroom /= view.endpoints.max(1);
-        // Entries do not see each other's starts until the next report. A trainer's step reaches
-        // all of them at once: each would take all the room for its own, and urgent callers would
-        // find none. What this entry started since the reports, the others likely did as well.
+        capacity.headroom /= capacity.endpoints.max(1);
+        // Entries do not see each other's starts until the next report. The step of a trainer
+        // reaches all entries at the same time: each would use all of the capacity, and none would
+        // be left for urgent requests. The other entries are therefore assumed to have started as
+        // many attempts as this one since the reports.
         if self.settings.mirror {
-            load = (load + grown * (pool.peers - 1.0)).max(0.0);
+            load = (load + started_since_report * (pool.peers - 1.0)).max(0.0);
         }
-        view.load = load as u32;
-        view.slots = slots as u32;
-        view
+        capacity.load = load as u32;
+        capacity.slots = slots as u32;
+        capacity
     }
 }
--- a/components/routing/src/endpoint.rs
+++ b/components/routing/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint as this entry sees it.
+//! The state of one endpoint, as estimated by this entry.
 
 use chicoryford_types::DataCentre;
 use chicoryford_types::Endpoint;
@@ -14,24 +14,25 @@
 use crate::limit::AdaptiveLimit;
 use crate::settings::Settings;
 
-/// Names an endpoint cheaply within one router. It stays valid while an attempt runs there.
+/// Identifies an endpoint within one router by an index. It stays valid while an attempt runs
+/// there.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct EndpointId(pub u32);
 
-/// How an attempt ended, as far as it tells of its endpoint.
+/// How an attempt ended, as far as it concerns the health of its endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptOutcome {
-    /// It ran to its end.
+    /// It ran to completion.
     Finished,
-    /// The agent refused it, or it was cancelled; this says nothing of the endpoint's health.
+    /// The agent refused it or it was cancelled, which does not concern the endpoint's health.
     Released,
-    /// Its connection went silent, and a new connection found the endpoint well.
+    /// Its connection went silent, but the endpoint answered on a new connection.
     Silent,
-    /// The endpoint failed it, or answered no new connection either.
+    /// The endpoint failed it, or did not answer on a new connection either.
     Failed,
 }
 
-/// Where an endpoint is reached.
+/// The address of an endpoint.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Target {
     /// The endpoint.
@@ -40,81 +41,82 @@
     pub agent: Node,
     /// The agent's incarnation.
     pub incarnation: Incarnation,
-    /// Where the agent answers HTTP.
+    /// The HTTP address of the agent.
     pub address: String,
-    /// Where it stands.
+    /// The region of the agent.
     pub region: Region,
-    /// Where it stands.
+    /// The data centre of the agent.
     pub data_centre: DataCentre,
 }
 
-/// Spans of time over which own attempts in flight are remembered, to tell how many of them a
-/// report has seen.
+/// The number of time spans in the history of own attempts in flight. The history determines how
+/// many own attempts a load report includes.
 const HISTORY_SPANS: usize = 64;
-/// Milliseconds of one span; a report older than all of them is judged by the oldest.
+/// The length of one span in milliseconds. A report from before the oldest span is matched with the
+/// oldest one.
 const SPAN_MS: u64 = 64;
 /// The weight of a new observation in a running mean.
 const MEAN_WEIGHT: f32 = 0.1;
 
-/// What a router holds of an endpoint.
+/// What a router records about an endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointState {
-    /// Where it is reached.
+    /// Its address.
     pub target: Target,
-    /// The version of each of its models.
+    /// Its models, each with its weight version.
     pub versions: Vec<(Model, Version)>,
-    /// Whether a present member announces it.
+    /// Whether a member that is present announces it.
     pub present: bool,
-    /// Whether one did at the observation before.
+    /// Whether it was present at the previous update of the members.
     pub was_present: bool,
-    /// Whether it leaves.
+    /// Whether it is draining.
     pub draining: bool,
     /// Whether it answers its agent.
     pub healthy: bool,
-    /// How many attempts it runs at once.
+    /// Attempts that it can run concurrently.
     pub slots: u32,
     /// This entry's attempts in flight there.
     pub own_in_flight: u32,
-    /// Tokens that those are still expected to produce.
+    /// Tokens that those attempts are still expected to generate.
     pub tokens_due: u64,
-    /// The running and waiting attempts of others, by the last report.
+    /// Running and waiting attempts of other entries, from the last report.
     pub others_reported: f32,
-    /// When that was so.
+    /// When the last report was sent.
     pub reported_at: Option<Millis>,
-    /// The number of the last report.
+    /// The sequence number of the last report.
     pub report_seq: u64,
-    /// When reports were missing, so that evictions may have been missed.
+    /// When a gap in the reports was detected; cache evictions may have been missed before.
     pub gap_at: Option<Millis>,
-    /// When its cache was last certainly empty.
+    /// When its cache was last known to be empty.
     pub cache_reset: Millis,
     /// When it last became usable.
     pub usable_since: Millis,
-    /// Milliseconds a token, at no load.
+    /// Mean milliseconds per token without load.
     pub token_ms: f32,
-    /// Milliseconds a whole attempt.
+    /// Mean milliseconds per attempt.
     pub service_ms: f32,
-    /// The share of attempts that failed, of late.
+    /// The running mean of the share of failed attempts.
     pub failure_rate: f32,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failure_streak: u32,
-    /// Until when it is ejected.
+    /// The end of its ejection.
     pub ejected_until: Option<Millis>,
-    /// Ejections in a row.
+    /// Ejections, less one for each attempt that finished.
     pub ejections: u32,
-    /// The least headroom over memory, prefill and link, in thousandths.
+    /// The smallest headroom among memory, prefill and link, in thousandths.
     pub headroom: u32,
-    /// The adaptive limit of attempts.
+    /// The adaptive concurrency limit.
     pub limit: AdaptiveLimit,
-    /// Added to what is expected there, for its distance.
+    /// Milliseconds added to the expected duration for its distance.
     pub distance_ms: f32,
     /// When it was last present.
     pub last_present: Millis,
-    /// Own attempts in flight when the last report left.
+    /// This entry's own attempts in flight when the last report was sent.
     pub own_reported: u32,
     history: InFlightHistory,
 }
 
-/// Own attempts in flight at the end of each of the last spans of time.
+/// This entry's attempts in flight at the end of each recent time span.
 #[derive(Clone, Debug)]
 struct InFlightHistory {
     own: [u32; HISTORY_SPANS],
@@ -149,15 +151,15 @@
 }
 
 impl EndpointState {
-    /// Makes the state of an endpoint of which nothing is known yet.
+    /// Returns the state of an endpoint about which nothing is known yet.
     pub fn unknown() -> Self {
         Self { headroom: 1_000, ..Self::default() }
     }
 
-    /// Takes in what the agent announces. Returns whether the endpoint became usable by this.
+    /// Updates the state from an agent's announcement.
     pub fn apply_announcement(&mut self, now: Millis, target: Target, info: &EndpointInfo) {
         let restarted = self.target.incarnation != target.incarnation;
-        let was = self.was_present && self.healthy && !self.draining && !restarted;
+        let was_usable = self.was_present && self.healthy && !self.draining && !restarted;
         self.target = target;
         for (model, version) in &info.models {
             self.update_version(model, *version, restarted);
@@ -172,14 +174,15 @@
         self.present = true;
         self.last_present = now;
         self.limit.set_max(self.slots);
-        if !was && info.healthy && !info.draining {
+        if !was_usable && info.healthy && !info.draining {
             self.usable_since = now;
             self.cache_reset = now;
         }
     }
 
-    /// Takes in a version. A report travels faster than an announcement, so the newer of both
-    /// holds; only a restart, after which an engine may run older weights again, takes it back.
+    /// Updates the version of a model. Reports arrive faster than announcements, so the newer
+    /// version of both is kept. An `exact` version also replaces a newer one: after a restart an
+    /// engine may run older weights again.
     pub fn update_version(&mut self, model: &Model, version: Version, exact: bool) {
         match self.versions.iter_mut().find(|(known, _)| known == model) {
             Some((_, known)) if exact || version > *known => *known = version,
@@ -188,7 +191,8 @@
         }
     }
 
-    /// Takes in a report; a late one is dropped, because it would undo a newer one.
+    /// Updates the state from a load report. Returns whether the report was applied; one that
+    /// arrives after a newer report is dropped.
     pub fn apply_report(&mut self, now: Millis, report: &LoadReport) -> bool {
         if report.seq <= self.report_seq && self.report_seq != 0 {
             return false;
@@ -197,28 +201,29 @@
             self.gap_at = Some(now);
         }
         self.report_seq = report.seq;
-        let left = Millis(now.0.saturating_sub(report.age_ms));
-        let own = self.history.at(left, self.own_in_flight);
+        let sent_at = Millis(now.0.saturating_sub(report.age_ms));
+        let own = self.history.at(sent_at, self.own_in_flight);
         self.own_reported = own;
         self.others_reported = (report.running + report.waiting).saturating_sub(own) as f32;
-        self.reported_at = Some(left);
+        self.reported_at = Some(sent_at);
         let used = report.memory.max(report.prefill).max(report.link);
         self.headroom = 1_000_u32.saturating_sub(used);
         for (model, version) in &report.versions {
-            // An endpoint's own word is exact, also when it went back after a failed swap.
+            // A version that the endpoint reports itself is exact, also when it is older after a
+            // failed swap.
             self.update_version(model, *version, true);
         }
         true
     }
 
-    /// Counts an attempt as started.
+    /// Counts the start of an attempt.
     pub fn started(&mut self, now: Millis, tokens: u32) {
         self.history.record(now, self.own_in_flight, self.own_in_flight + 1);
         self.own_in_flight += 1;
         self.tokens_due += u64::from(tokens);
     }
 
-    /// Counts an attempt as ended; `left` of its tokens will not come.
+    /// Counts the end of an attempt. `left` tokens of it will not be generated.
     pub fn ended(&mut self, now: Millis, left: u32) {
         self.history.record(now, self.own_in_flight, self.own_in_flight - 1);
         self.own_in_flight -= 1;
@@ -229,43 +234,43 @@
         };
     }
 
-    /// Learns from a finished attempt how quick the endpoint is.
+    /// Updates the mean durations from a finished attempt.
     pub fn record_duration(&mut self, settings: &Settings, ms: u64, tokens: u32, load: f32) {
-        let slow = 1.0 + settings.slowdown * (load / self.slots as f32).min(1.0);
+        let load_factor = 1.0 + settings.slowdown * (load / self.slots as f32).min(1.0);
         let ms = ms as f32;
         update_mean(&mut self.service_ms, ms);
         if tokens > 0 {
-            update_mean(&mut self.token_ms, ms / slow / tokens as f32);
+            update_mean(&mut self.token_ms, ms / load_factor / tokens as f32);
         }
     }
 
-    /// Estimates the attempts of others there.
+    /// Estimates the attempts of other entries there.
     ///
-    /// What a report says fades towards the mean of the pool as it ages. Without that, all
-    /// entries send to the endpoint that looked empty in the last report until the next one
-    /// shows it full, then to another: load swings from endpoint to endpoint.
+    /// As a report ages, the estimate converges to the mean of the pool. Otherwise all entries
+    /// would send to the endpoint that was empty in the last report until the next report shows it
+    /// full, and then to another: load would oscillate between endpoints.
     pub fn estimate_others(&self, now: Millis, half_ms: u64, mean: f32) -> f32 {
-        let Some(seen) = self.reported_at else {
+        let Some(reported_at) = self.reported_at else {
             return mean * self.slots as f32;
         };
-        let trust = (-(now.since(seen) as f32) / half_ms as f32).exp2();
+        let weight = (-(now.since(reported_at) as f32) / half_ms as f32).exp2();
         let mean = mean * self.slots as f32;
-        mean + (self.others_reported - mean) * trust
+        mean + (self.others_reported - mean) * weight
     }
 
-    /// Gives the version of a model, if it is served.
+    /// Returns the version of a model, if the endpoint serves it.
     pub fn version(&self, model: &Model) -> Option<Version> {
         self.versions.iter().find(|(known, _)| known == model).map(|(_, version)| *version)
     }
 
-    /// Gives the share of work that an endpoint of this freshness may take.
+    /// Returns the share of load that the endpoint may receive while it warms up.
     pub fn warmup_share(&self, now: Millis, warm_ms: u64) -> f32 {
         let age = now.since(self.usable_since) as f32;
         (age / warm_ms.max(1) as f32).clamp(0.1, 1.0)
     }
 }
 
-/// Moves a running mean; the first observation sets it.
+/// Updates a running mean; the first observation sets it.
 pub fn update_mean(mean: &mut f32, value: f32) {
     if *mean == 0.0 {
         *mean = value;
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,8 +1,8 @@
 //! Chooses an endpoint for a request (docs/ROUTING.md).
 //!
-//! [`Router`] is a pure decision component: it is told what members announce, what agents report
-//! and how this entry's own attempts fare, and it answers where the next attempt goes. It holds
-//! no socket, clock or thread, and its randomness comes from a seed.
+//! [`Router`] is a pure decision component: it receives the announcements of members, the load
+//! reports of agents and the outcomes of this entry's own attempts, and chooses the endpoint of the
+//! next attempt. It holds no socket, clock or thread, and its randomness is seeded.
 
 pub mod cache;
 pub mod capacity;
--- a/components/routing/src/limit.rs
+++ b/components/routing/src/limit.rs
@@ -1,19 +1,21 @@
-//! The adaptive limit of attempts at one endpoint (docs/ADMISSION.md).
+//! The adaptive concurrency limit of one endpoint (docs/ADMISSION.md).
 
-/// Milliseconds a token that an endpoint took at its best fade into the present this slowly.
+/// The weight of a new observation in the best latency, so that the best slowly follows the present
+/// one.
 const BEST_WEIGHT: f32 = 0.001;
-/// Latency of this multiple of the best still lets the limit grow.
+/// Latency above this multiple of the best is slow and reduces the limit.
 const SLOW_FACTOR: f32 = 2.5;
-/// The share that a slow attempt takes off the limit.
+/// The share by which a slow attempt reduces the limit.
 const DECREASE_SHARE: f32 = 0.05;
-/// The least share of the slots to which a limit falls.
+/// The smallest limit, as a share of the slots.
 const MIN_SHARE: f32 = 0.25;
 
-/// A limit that falls by a share when attempts are slow and grows by one in a round when not.
+/// An AIMD limit: it shrinks by a share on a slow attempt, and otherwise grows by one per limit's
+/// worth of attempts.
 ///
-/// The number of slots that an agent announces is a guess: long prompts fill an engine's memory
-/// before its slots. An engine past that point thrashes, every attempt at it gets slow, and
-/// nothing but the latency shows it.
+/// The number of slots that an agent announces is a guess, because long prompts fill an engine's
+/// memory before its slots. Beyond that point the engine thrashes and every attempt there becomes
+/// slow, which only the latency shows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AdaptiveLimit {
     current: f32,
@@ -22,7 +24,7 @@
 }
 
 impl AdaptiveLimit {
-    /// Sets the most that the limit may grow to.
+    /// Sets the largest limit and resets the current one to it if it changed.
     pub fn set_max(&mut self, slots: u32) {
         let slots = slots as f32;
         if self.slots != slots {
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Learns from an attempt that took `token_ms` for each token.
+    /// Updates the limit from an attempt that took `token_ms` per token.
     pub fn record(&mut self, token_ms: f32) {
         if self.best_token_ms == 0.0 || token_ms < self.best_token_ms {
             self.best_token_ms = token_ms;
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Gives the limit.
+    /// Returns the limit.
     pub fn get(&self) -> f32 {
         self.current.max(1.0)
     }
--- a/components/routing/src/request.rs
+++ b/components/routing/src/request.rs
@@ -1,4 +1,4 @@
-//! What is asked of the router, and what it answers.
+//! The requests to the router, and its answers.
 
 use chicoryford_types::Class;
 use chicoryford_types::Code;
@@ -8,22 +8,22 @@
 
 use crate::endpoint::EndpointId;
 
-/// What one attempt needs of its endpoint.
+/// What one attempt requires of its endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRequest<'a> {
     /// The model or service.
     pub model: &'a Model,
-    /// How urgent it is.
+    /// The priority class of the request.
     pub class: Class,
-    /// The hash of the prompt's prefix, if it has one worth caching.
+    /// The hash of the prompt's prefix, if the prefix is worth caching.
     pub prefix: Option<u64>,
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens that are expected to be generated; zero for a call of a plain service.
+    /// Expected output tokens; zero for a call of a plain service.
     pub output_tokens: u32,
-    /// The oldest weight version that will do.
+    /// The oldest acceptable weight version.
     pub floor: Option<Version>,
-    /// Endpoints that were tried already.
+    /// Endpoints that were already tried.
     pub exclude: &'a [EndpointId],
     /// Whether the content is suspected of crashing endpoints.
     pub suspect: bool,
@@ -32,51 +32,51 @@
 /// Why an endpoint was chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ChoiceReason {
-    /// It is expected to finish first.
+    /// It has the best rank: the earliest expected finish, under the default rule.
     Best,
-    /// It holds the prompt's prefix.
+    /// It has the prompt's prefix in its cache.
     Cached,
-    /// It is the prefix's home, where all entries send a prefix that none holds.
+    /// It is the home of the prefix: all entries send a prefix there that no endpoint has cached.
     Home,
-    /// It takes suspected requests.
+    /// It is among the endpoints that run suspected requests.
     Isolated,
-    /// Nothing in this entry's subset would do; it lies outside.
+    /// No endpoint of this entry's subset is eligible; this one lies outside the subset.
     Outside,
 }
 
-/// Where an attempt goes.
+/// The endpoint of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
-    /// The endpoint; [`crate::Router::target`] tells its address.
+    /// The endpoint; [`crate::Router::target`] returns its address.
     pub endpoint: EndpointId,
     /// Why it was chosen.
     pub reason: ChoiceReason,
-    /// Milliseconds in which the attempt is expected to finish there.
+    /// The expected duration of the attempt there, in milliseconds.
     pub expected_ms: u64,
 }
 
 /// Why no endpoint was chosen.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum NoEndpoint {
-    /// Nobody announced the model.
+    /// No member announces the model.
     #[error("no endpoint serves the model")]
     Unserved,
-    /// All that serve it are leaving.
-    #[error("every endpoint of the model is leaving")]
+    /// Every endpoint that serves it is draining.
+    #[error("every endpoint of the model is draining")]
     Draining,
-    /// All that serve it fail, or do not answer their agents.
-    #[error("every endpoint of the model fails")]
+    /// Every endpoint that serves it is unhealthy or ejected.
+    #[error("every endpoint of the model is failing")]
     Failing,
-    /// None has weights as new as wanted.
-    #[error("no endpoint has weights new enough")]
+    /// No endpoint has a recent enough version.
+    #[error("no endpoint has a recent enough weight version")]
     BelowFloor,
-    /// All were tried.
-    #[error("every endpoint of the model was tried")]
+    /// Every endpoint was tried.
+    #[error("every endpoint of the model was already tried")]
     Excluded,
 }
 
 impl NoEndpoint {
-    /// Gives the code with which a caller is told.
+    /// Returns the code that is reported to the caller.
     pub fn code(self) -> Code {
         match self {
             Self::Draining => Code::Draining,
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router's state, and how events move it.
+//! The router's state, and its updates from events.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -28,24 +28,24 @@
 use crate::subset::Candidate;
 use crate::subset::select_subset;
 
-/// What a router counts, for metrics and state dumps.
+/// Counters for metrics and state dumps.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Counts {
-    /// Choices made.
+    /// Endpoints chosen.
     pub chosen: u64,
-    /// Choices that held the prompt's prefix.
+    /// Choices of an endpoint that has the prompt's prefix in its cache.
     pub cached: u64,
-    /// Choices outside of the subset.
+    /// Choices outside the subset.
     pub outside: u64,
-    /// Questions that no endpoint could serve.
+    /// Requests for which no endpoint was chosen.
     pub none: u64,
     /// Ejections.
     pub ejected: u64,
-    /// Ejections that the cap prevented.
+    /// Ejections prevented by the cap.
     pub spared: u64,
-    /// Reports that came after a newer one.
+    /// Reports dropped because a newer one was applied before.
     pub late: u64,
-    /// Promises that were broken; anything but zero is a fault of the program.
+    /// Violated invariants; any value but zero is a bug.
     pub broken: u64,
 }
 
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 pub struct Router {
     pub(crate) settings: Settings,
-    pub(crate) place: Location,
+    pub(crate) location: Location,
     pub(crate) states: Vec<EndpointState>,
     pub(crate) by_name: HashMap<Endpoint, EndpointId>,
     pub(crate) pools: HashMap<Model, Pool>,
@@ -64,12 +64,12 @@
 }
 
 impl Router {
-    /// Makes the router of an entry that knows nobody yet.
-    pub fn new(settings: Settings, place: Location, seed: u64) -> Self {
+    /// Returns the router of an entry that has not observed any members yet.
+    pub fn new(settings: Settings, location: Location, seed: u64) -> Self {
         let directory = PrefixDirectory::new(settings.prefixes);
         Self {
             settings,
-            place,
+            location,
             states: Vec::new(),
             by_name: HashMap::new(),
             pools: HashMap::new(),
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Takes in who is there. Costs time in proportion to the members; call it when they change.
+    /// Updates the members. The cost is proportional to their number, so it should be called only
+    /// when they change.
     pub fn observe_members(&mut self, now: Millis, members: &Members) {
         for state in &mut self.states {
             state.was_present = state.present;
@@ -93,26 +94,26 @@
                 entries.push(member);
             }
             let Some(info) = &member.endpoint else { continue };
-            let seat = self.id_of(&info.name);
-            let away_ms = self.distance_ms(member);
-            let state = &mut self.states[seat.0 as usize];
+            let id = self.id_of(&info.name);
+            let distance_ms = self.distance_ms(member);
+            let state = &mut self.states[id.0 as usize];
             state.apply_announcement(now, target_of(member, &info.name), info);
-            state.distance_ms = away_ms;
+            state.distance_ms = distance_ms;
             for model in info.models.keys() {
-                models.entry(model).or_default().push(seat);
+                models.entry(model).or_default().push(id);
             }
         }
         self.pools.retain(|model, _| models.contains_key(model));
-        for (model, seats) in models {
-            self.update_pool(now, model, seats, &entries);
+        for (model, ids) in models {
+            self.update_pool(now, model, ids, &entries);
         }
         self.evict_departed(now);
     }
 
-    /// Takes in a load report, from an agent's stream or from the end of an answer.
+    /// Applies a load report from an agent's stream or from the end of an answer.
     pub fn observe_report(&mut self, now: Millis, report: &LoadReport) {
-        let Some(&seat) = self.by_name.get(&report.name) else { return };
-        let state = &mut self.states[seat.0 as usize];
+        let Some(&id) = self.by_name.get(&report.name) else { return };
+        let state = &mut self.states[id.0 as usize];
         if !state.apply_report(now, report) {
             self.counts.late += 1;
             return;
@@ -125,23 +126,23 @@
         }
         let at = Millis(now.0.saturating_sub(report.age_ms));
         for prefix in &report.cached {
-            self.directory.add(*prefix, seat, at);
+            self.directory.add(*prefix, id, at);
         }
         for prefix in &report.evicted {
-            self.directory.remove(*prefix, seat);
+            self.directory.remove(*prefix, id);
         }
     }
 
-    /// Takes in the version that an endpoint says it uses, as the frames of an answer tell it.
-    pub fn observe_version(&mut self, seat: EndpointId, model: &Model, version: Version) {
-        if let Some(state) = self.states.get_mut(seat.0 as usize) {
+    /// Applies the version that an endpoint names in the frames of an answer.
+    pub fn observe_version(&mut self, id: EndpointId, model: &Model, version: Version) {
+        if let Some(state) = self.states.get_mut(id.0 as usize) {
             state.update_version(model, version, true);
         }
     }
 
-    /// Counts an attempt as sent. Each must end by one call of [`Self::finished`].
-    pub fn started(&mut self, now: Millis, seat: EndpointId, tokens: u32, prefix: Option<u64>) {
-        let Some(state) = self.states.get_mut(seat.0 as usize) else { return };
+    /// Counts an attempt as sent. Each one must be ended by one call of [`Self::finished`].
+    pub fn started(&mut self, now: Millis, id: EndpointId, tokens: u32, prefix: Option<u64>) {
+        let Some(state) = self.states.get_mut(id.0 as usize) else { return };
         state.started(now, tokens);
         for (model, _) in &state.versions {
             if let Some(pool) = self.pools.get_mut(model) {
@@ -149,29 +150,29 @@
             }
         }
         if let Some(prefix) = prefix {
-            self.directory.add(prefix, seat, now);
+            self.directory.add(prefix, id, now);
         }
     }
 
-    /// Takes in that an attempt produced tokens.
-    pub fn progressed(&mut self, _now: Millis, seat: EndpointId, tokens: u32) {
-        if let Some(state) = self.states.get_mut(seat.0 as usize) {
+    /// Records that an attempt generated tokens.
+    pub fn progressed(&mut self, _now: Millis, id: EndpointId, tokens: u32) {
+        if let Some(state) = self.states.get_mut(id.0 as usize) {
             state.tokens_due = state.tokens_due.saturating_sub(u64::from(tokens));
         }
     }
 
-    /// Takes in that an attempt ended after `ms`, having produced `tokens`; `left` of those
-    /// given to [`Self::started`] will not come.
+    /// Records the end of an attempt that took `ms` and generated `tokens`. `left` of the tokens
+    /// passed to [`Self::started`] will not be generated.
     pub fn finished(
         &mut self,
         now: Millis,
-        seat: EndpointId,
-        ending: AttemptOutcome,
+        id: EndpointId,
+        outcome: AttemptOutcome,
         ms: u64,
         tokens: u32,
         left: u32,
     ) {
-        let Some(state) = self.states.get_mut(seat.0 as usize) else { return };
+        let Some(state) = self.states.get_mut(id.0 as usize) else { return };
         if state.own_in_flight == 0 {
             self.report_violation("in_flight_not_negative");
             return;
@@ -182,20 +183,20 @@
                 pool.own_in_flight = pool.own_in_flight.saturating_sub(1);
             }
         }
-        if ending == AttemptOutcome::Finished {
-            self.record_duration(now, seat, ms, tokens);
+        if outcome == AttemptOutcome::Finished {
+            self.record_duration(now, id, ms, tokens);
         }
-        self.record_outcome(now, seat, ending);
+        self.record_outcome(now, id, outcome);
     }
 
-    /// Tells where an endpoint is reached.
-    pub fn target(&self, seat: EndpointId) -> Option<&Target> {
-        self.states.get(seat.0 as usize).map(|state| &state.target)
+    /// Returns the address of an endpoint.
+    pub fn target(&self, id: EndpointId) -> Option<&Target> {
+        self.states.get(id.0 as usize).map(|state| &state.target)
     }
 
-    /// Gives the state of an endpoint, for dumps.
-    pub fn state(&self, seat: EndpointId) -> Option<&EndpointState> {
-        self.states.get(seat.0 as usize)
+    /// Returns the state of an endpoint, for dumps.
+    pub fn state(&self, id: EndpointId) -> Option<&EndpointState> {
+        self.states.get(id.0 as usize)
     }
 
     /// Finds an endpoint by name.
@@ -203,17 +204,18 @@
         self.by_name.get(endpoint).copied()
     }
 
-    /// Gives the agents' addresses in this entry's subsets, which should report to this entry.
+    /// Returns the endpoints of a model in this entry's subset. Their agents send load reports to
+    /// this entry.
     pub fn subset_of(&self, model: &Model) -> &[EndpointId] {
         self.pools.get(model).map_or(&[], |pool| &pool.subset)
     }
 
-    /// Lists the models that somebody serves.
+    /// Lists the models that are served.
     pub fn models(&self) -> impl Iterator<Item = &Model> {
         self.pools.keys()
     }
 
-    /// Gives the counts.
+    /// Returns the counters.
     pub fn counts(&self) -> Counts {
         self.counts
     }
@@ -223,15 +225,15 @@
         tracing::error!(event = "promise_broken", component = "routing", promise = invariant);
     }
 
-    fn record_duration(&mut self, now: Millis, seat: EndpointId, ms: u64, tokens: u32) {
-        let state = &self.states[seat.0 as usize];
+    fn record_duration(&mut self, now: Millis, id: EndpointId, ms: u64, tokens: u32) {
+        let state = &self.states[id.0 as usize];
         let pool = state.versions.first().and_then(|(model, _)| self.pools.get_mut(model));
         let empty = Pool::default();
         let load = match &pool {
             Some(pool) => score::load(now, &self.settings, pool, state),
             None => score::load(now, &self.settings, &empty, state),
         };
-        let state = &mut self.states[seat.0 as usize];
+        let state = &mut self.states[id.0 as usize];
         state.record_duration(&self.settings, ms, tokens, load);
         if tokens > 0 {
             state.limit.record(ms as f32 / tokens as f32);
@@ -243,90 +245,90 @@
     }
 
     fn id_of(&mut self, name: &Endpoint) -> EndpointId {
-        if let Some(seat) = self.by_name.get(name) {
-            return *seat;
+        if let Some(id) = self.by_name.get(name) {
+            return *id;
         }
-        let fresh = EndpointState::unknown();
-        let seat = match self.free_ids.pop() {
-            Some(seat) => {
-                self.states[seat.0 as usize] = fresh;
-                seat
+        let state = EndpointState::unknown();
+        let id = match self.free_ids.pop() {
+            Some(id) => {
+                self.states[id.0 as usize] = state;
+                id
             }
             None => {
-                self.states.push(fresh);
+                self.states.push(state);
                 EndpointId(self.states.len() as u32 - 1)
             }
         };
-        self.by_name.insert(name.clone(), seat);
-        seat
+        self.by_name.insert(name.clone(), id);
+        id
     }
 
-    /// Frees the seats of endpoints that left long ago; otherwise replaced VMs would fill memory
-    /// over months.
+    /// Frees the ids of endpoints that departed long ago. Otherwise replaced VMs would exhaust
+    /// memory over months.
     fn evict_departed(&mut self, now: Millis) {
         let states = &self.states;
         let forget_ms = self.settings.forget_ms;
-        let free = &mut self.free_ids;
-        self.by_name.retain(|_, seat| {
-            let state = &states[seat.0 as usize];
-            let keep = state.present
+        let free_ids = &mut self.free_ids;
+        self.by_name.retain(|_, id| {
+            let state = &states[id.0 as usize];
+            let is_kept = state.present
                 || state.own_in_flight > 0
                 || now.since(state.last_present) < forget_ms;
-            if !keep {
-                free.push(*seat);
+            if !is_kept {
+                free_ids.push(*id);
             }
-            keep
+            is_kept
         });
     }
 
     fn distance_ms(&self, member: &Member) -> f32 {
-        if member.region != self.place.region {
+        if member.region != self.location.region {
             self.settings.far_ms
-        } else if member.data_centre != self.place.data_centre {
+        } else if member.data_centre != self.location.data_centre {
             self.settings.away_ms
         } else {
             0.0
         }
     }
 
-    /// Draws the subset of a model anew if its endpoints or the entries changed.
+    /// Draws the subset of a model again if its endpoints or the entries changed.
     fn update_pool(
         &mut self,
         now: Millis,
         model: &Model,
-        seats: Vec<EndpointId>,
+        ids: Vec<EndpointId>,
         entries: &[&Member],
     ) {
-        let near =
-            |seat: &EndpointId| self.states[seat.0 as usize].target.region == self.place.region;
-        let regional = seats.iter().filter(|seat| near(seat)).count() >= self.settings.subset;
-        let inside: Vec<EndpointId> =
-            seats.iter().copied().filter(|seat| !regional || near(seat)).collect();
+        let is_local =
+            |id: &EndpointId| self.states[id.0 as usize].target.region == self.location.region;
+        let regional = ids.iter().filter(|id| is_local(id)).count() >= self.settings.subset;
+        let candidates: Vec<EndpointId> =
+            ids.iter().copied().filter(|id| !regional || is_local(id)).collect();
         let names: Vec<&str> = entries
             .iter()
-            .filter(|member| !regional || member.region == self.place.region)
+            .filter(|member| !regional || member.region == self.location.region)
             .map(|member| member.node.as_str())
             .collect();
-        let drawn = self.digest(&names, &inside);
-        let share = self.settings.subset.min(inside.len()) as f32 / inside.len().max(1) as f32;
+        let digest = self.digest(&names, &candidates);
+        let share =
+            self.settings.subset.min(candidates.len()) as f32 / candidates.len().max(1) as f32;
         let peers = names.len() as f32 * share;
-        let known = self.pools.get(model).is_some_and(|pool| pool.digest == drawn);
-        let picked = if known { Vec::new() } else { self.select_subset(&names, &inside) };
+        let unchanged = self.pools.get(model).is_some_and(|pool| pool.digest == digest);
+        let subset = if unchanged { Vec::new() } else { self.select_subset(&names, &candidates) };
         let pool = self.pools.entry(model.clone()).or_default();
-        if !known {
-            pool.digest = drawn;
-            pool.set_subset(picked, &self.states);
+        if !unchanged {
+            pool.digest = digest;
+            pool.set_subset(subset, &self.states);
             pool.ejected_at_draw = pool.ejected_count(now, &self.states);
         }
         pool.peers = peers.max(1.0);
-        pool.outside =
-            seats.into_iter().filter(|seat| !pool.contains(*seat, &self.states)).collect();
+        pool.outside = ids.into_iter().filter(|id| !pool.contains(*id, &self.states)).collect();
         pool.recount(&self.states);
     }
 
-    fn select_subset(&self, names: &[&str], inside: &[EndpointId]) -> Vec<EndpointId> {
-        let target = |seat: &EndpointId| &self.states[seat.0 as usize].target;
-        let sites: Vec<Candidate<'_>> = inside
+    fn select_subset(&self, names: &[&str], candidates: &[EndpointId]) -> Vec<EndpointId> {
+        let target = |id: &EndpointId| &self.states[id.0 as usize].target;
+        let named: Vec<Candidate<'_>> = candidates
             .iter()
             .map(target)
             .map(|target| Candidate {
@@ -335,16 +337,16 @@
             })
             .collect();
         let size = self.settings.subset;
-        let picked = select_subset(self.place.node.as_str(), names, &sites, size);
-        picked.into_iter().map(|n| inside[n]).collect()
+        let subset = select_subset(self.location.node.as_str(), names, &named, size);
+        subset.into_iter().map(|index| candidates[index]).collect()
     }
 
-    fn digest(&self, names: &[&str], seats: &[EndpointId]) -> u64 {
+    fn digest(&self, names: &[&str], ids: &[EndpointId]) -> u64 {
         let mut sum = names
             .iter()
             .fold(1_u64, |sum, name| sum.wrapping_add(xxh3_64(name.as_bytes()).rotate_left(7)));
-        for seat in seats {
-            let name = &self.states[seat.0 as usize].target.endpoint;
+        for id in ids {
+            let name = &self.states[id.0 as usize].target.endpoint;
             sum = sum.wrapping_add(xxh3_64(name.as_str().as_bytes()));
         }
         sum
--- a/components/routing/src/settings.rs
+++ b/components/routing/src/settings.rs
@@ -1,4 +1,4 @@
-//! What may be set of routing; docs/TUNING.md tells operators which to touch and when.
+//! The settings of routing; docs/TUNING.md describes which to change and when.
 
 use chicoryford_types::DataCentre;
 use chicoryford_types::Node;
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Where the entry that routes stands.
+/// The location of the entry that routes.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Location {
     /// The entry.
@@ -17,73 +17,76 @@
     pub data_centre: DataCentre,
 }
 
-/// By which rule an endpoint is chosen. All but the default are kept to be measured against it.
+/// The rule by which an endpoint is chosen. The others are kept as baselines for the default one.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Each in turn.
+    /// In turn.
     RoundRobin,
-    /// Any, at random.
+    /// At random.
     Random,
-    /// The one with the fewest own attempts in flight, over all of the subset.
+    /// The endpoint of the subset with the fewest own attempts in flight.
     LeastInFlight,
-    /// The lesser loaded, by own attempts and the last report, of two drawn at random.
+    /// The less loaded of two random endpoints, by own attempts and the last report.
     TwoChoices,
-    /// Of a few drawn at random, the quickest of those that are not among the most loaded.
+    /// The fastest of a few random endpoints, among those that are not heavily loaded.
     Probing,
-    /// Of a few drawn at random and those that hold the prefix, the one expected to finish first.
+    /// The endpoint with the earliest expected finish, of a few random ones and those that have
+    /// cached the prefix.
     #[default]
     LeastFinish,
 }
 
-/// What may be set of routing.
+/// The settings of routing.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
     /// The rule.
     pub rule: Rule,
-    /// How many endpoints are drawn at random for a decision.
+    /// The number of random endpoints per decision.
     pub draws: usize,
-    /// How many endpoints of a model this entry uses.
+    /// The number of endpoints of a model that this entry uses.
     pub subset: usize,
-    /// Milliseconds after which half of what a load report says of others is forgotten.
+    /// The half-life of the load of other entries in a report, in milliseconds.
     pub half_ms: u64,
-    /// How much longer a token takes at a full endpoint than at an empty one, as a share.
+    /// The relative increase of the time per token at a full endpoint over an empty one.
     pub slowdown: f32,
-    /// Milliseconds that a token of an uncached prompt takes.
+    /// Milliseconds per prompt token that is not cached.
     pub prefill_ms: f32,
-    /// Milliseconds that a generated token takes until it is learned.
+    /// Milliseconds per generated token until measurements are available.
     pub token_ms: f32,
     /// Milliseconds added for an endpoint in another data centre.
     pub away_ms: f32,
     /// Milliseconds added for an endpoint in another region.
     pub far_ms: f32,
-    /// A holder of the prefix is preferred only up to this multiple of the mean load.
+    /// The multiple of the mean load up to which an endpoint that has cached the prefix is
+    /// preferred.
     pub bound: f32,
-    /// Prefixes that the directory of caches remembers at most.
+    /// The capacity of the prefix directory.
     pub prefixes: usize,
-    /// Milliseconds after which a remembered prefix is no longer believed.
+    /// Milliseconds after which an entry of the prefix directory is ignored.
     pub believe_ms: u64,
-    /// Milliseconds over which a fresh endpoint's share of work grows to the whole.
+    /// Milliseconds over which the load of a newly usable endpoint grows to its full share.
     pub warm_ms: u64,
-    /// Failures in a row that eject an endpoint.
+    /// Consecutive failures after which an endpoint is ejected.
     pub failures: u32,
-    /// Milliseconds of a first ejection; each next one is twice as long, up to 32 times.
+    /// Milliseconds of a first ejection; doubles with each further one, up to 32 times.
     pub eject_ms: u64,
-    /// The share of a pool that may be ejected at once.
+    /// The largest share of a pool that may be ejected at the same time.
     pub eject_cap: f32,
-    /// One endpoint in this many takes the requests suspected of crashing endpoints.
+    /// One endpoint in this many runs the requests that are suspected of crashing endpoints.
     pub apart: usize,
-    /// Milliseconds for which an endpoint that left is remembered.
+    /// Milliseconds for which a departed endpoint is remembered.
     pub forget_ms: u64,
-    /// The least headroom over memory, prefill and link, in thousandths, below which an endpoint
-    /// counts as full.
+    /// The headroom among memory, prefill and link, in thousandths, below which an endpoint counts
+    /// as full.
     pub headroom: u32,
-    /// Whether other entries are assumed to have started as much as this one since the reports.
+    /// Whether to assume that other entries started as many attempts as this one since the last
+    /// reports.
     pub mirror: bool,
     /// Whether an endpoint's limit adapts to its latency.
     pub adapt: bool,
-    /// Which protections are on; only tests turn one off.
+    /// Which protections are enabled; only tests disable one.
     #[serde(skip)]
     pub protections: Protections,
 }
@@ -117,18 +120,18 @@
     }
 }
 
-/// Protections that tests turn off one at a time, to see that the checks notice.
+/// Protections that tests disable one at a time, to verify that the checks detect the loss.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Protections {
-    /// Leaving endpoints get no work.
+    /// Draining endpoints receive no attempts.
     pub drain: bool,
-    /// Endpoints below the wanted version get no work.
+    /// Endpoints below the required version receive no attempts.
     pub floor: bool,
-    /// Ejected endpoints get no work.
+    /// Ejected endpoints receive no attempts.
     pub eject: bool,
-    /// Only a share of a pool is ejected.
+    /// At most a share of a pool is ejected.
     pub cap: bool,
-    /// Excluded endpoints get no work.
+    /// Excluded endpoints receive no attempts.
     pub exclude: bool,
 }
 
--- a/components/routing/tests/choose.rs
+++ b/components/routing/tests/choose.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint, over the public interface.
+//! Choices of an endpoint, through the public interface.
 
 use std::collections::BTreeMap;
 
@@ -62,7 +62,7 @@
     floor: u64,
     exclude: &[EndpointId],
 ) -> Result<Choice, NoEndpoint> {
-    let want = RouteRequest {
+    let request = RouteRequest {
         model: &Model::from(MODEL),
         class: Class::Normal,
         prefix: None,
@@ -72,40 +72,39 @@
         exclude,
         suspect: false,
     };
-    router.choose(Millis(now), &want)
+    router.choose(Millis(now), &request)
 }
 
 #[test]
-fn can_choose_only_what_is_new_enough() {
+fn can_choose_only_endpoints_at_the_version_floor() {
     let mut router = router([agent(0, 1), agent(1, 2), agent(2, 1)]);
-    let wanted = router.find(&Endpoint::from("endpoint-1")).unwrap();
+    let newest = router.find(&Endpoint::from("endpoint-1")).unwrap();
     for n in 0..100 {
-        assert_eq!(choose(&mut router, n, 2, &[]).unwrap().endpoint, wanted);
+        assert_eq!(choose(&mut router, n, 2, &[]).unwrap().endpoint, newest);
     }
     assert_eq!(choose(&mut router, 0, 3, &[]), Err(NoEndpoint::BelowFloor));
-    assert_eq!(choose(&mut router, 0, 2, &[wanted]), Err(NoEndpoint::Excluded));
+    assert_eq!(choose(&mut router, 0, 2, &[newest]), Err(NoEndpoint::Excluded));
     assert_eq!(router.counts().broken, 0);
 }
 
 #[test]
-fn can_tell_why_nothing_is_chosen() {
-    let mut leaving = agent(0, 1);
-    leaving.endpoint.as_mut().unwrap().draining = true;
-    let mut sick = agent(1, 1);
-    sick.endpoint.as_mut().unwrap().healthy = false;
+fn can_report_why_no_endpoint_is_chosen() {
+    let mut draining = agent(0, 1);
+    draining.endpoint.as_mut().unwrap().draining = true;
+    let mut unhealthy = agent(1, 1);
+    unhealthy.endpoint.as_mut().unwrap().healthy = false;
     assert_eq!(choose(&mut router([]), 0, 0, &[]), Err(NoEndpoint::Unserved));
-    assert_eq!(choose(&mut router([leaving.clone()]), 0, 0, &[]), Err(NoEndpoint::Draining));
-    assert_eq!(choose(&mut router([leaving, sick]), 0, 0, &[]), Err(NoEndpoint::Failing));
+    assert_eq!(choose(&mut router([draining.clone()]), 0, 0, &[]), Err(NoEndpoint::Draining));
+    assert_eq!(choose(&mut router([draining, unhealthy]), 0, 0, &[]), Err(NoEndpoint::Failing));
 }
 
 #[test]
-fn can_drop_a_report_that_comes_after_a_newer_one() {
-    // Symptom: an endpoint that is full draws work as if it were empty.
-    // Sequence: a report leaves the agent while it is idle and is delayed; a newer one, sent at
-    // the end of an answer, arrives first.
-    // Cause: the late report would replace the newer one.
+fn can_drop_a_report_that_arrives_after_a_newer_one() {
+    // Guards against a full endpoint that attracts requests as if it were empty: a delayed report
+    // from before, when it was idle, must not replace a newer one that arrived first at the end of
+    // an answer.
     let mut router = router([agent(0, 1)]);
-    let seat = router.find(&Endpoint::from("endpoint-0")).unwrap();
+    let id = router.find(&Endpoint::from("endpoint-0")).unwrap();
     let report = |seq, running| LoadReport {
         name: Endpoint::from("endpoint-0"),
         seq,
@@ -114,21 +113,21 @@
     };
     router.observe_report(Millis(10), &report(2, 8));
     router.observe_report(Millis(20), &report(1, 0));
-    assert_eq!(router.state(seat).unwrap().others_reported, 8.0);
+    assert_eq!(router.state(id).unwrap().others_reported, 8.0);
     assert_eq!(router.counts().late, 1);
 }
 
 #[test]
-fn can_eject_what_fails_but_not_everything() {
-    // Symptom: one fault that all endpoints share, such as a bad deployment, ends all service.
-    // Sequence: each endpoint fails a few attempts in a row.
-    // Cause: each would be ejected for itself, and none would be left.
+fn can_eject_failing_endpoints_but_not_all() {
+    // Guards against one fault that all endpoints share, such as a faulty deployment, ending all
+    // service: each endpoint fails a few consecutive attempts, and if each were ejected, none would
+    // be left.
     let mut router = router((0..10).map(|n| agent(n, 1)));
     for n in 0..10 {
-        let seat = router.find(&Endpoint(format!("endpoint-{n}"))).unwrap();
+        let id = router.find(&Endpoint(format!("endpoint-{n}"))).unwrap();
         for _ in 0..5 {
-            router.started(Millis(1), seat, 10, None);
-            router.finished(Millis(2), seat, AttemptOutcome::Failed, 1, 0, 10);
+            router.started(Millis(1), id, 10, None);
+            router.finished(Millis(2), id, AttemptOutcome::Failed, 1, 0, 10);
         }
     }
     assert_eq!(router.counts().ejected, 3);
@@ -137,10 +136,9 @@
 }
 
 #[test]
-fn can_count_an_endpoint_as_full_by_its_scarcest_resource() {
-    // Symptom: first tokens take many seconds although memory is half empty.
-    // Sequence: a burst of long prompts exhausts an engine's prefill.
-    // Cause: only memory and slots would be watched.
+fn can_treat_an_endpoint_as_full_by_its_scarcest_resource() {
+    // Guards against first tokens that take many seconds although memory is half free: a burst of
+    // long prompts exhausts an engine's prefill, which memory and slots alone do not show.
     let mut router = router([agent(0, 1)]);
     let model = Model::from(MODEL);
     let report = |seq, prefill| LoadReport {
@@ -157,16 +155,15 @@
 }
 
 #[test]
-fn can_keep_what_is_known_of_an_endpoint_when_others_come_and_go() {
-    // Symptom: cached prefixes are not used, and all endpoints start slowly, for seconds after any
-    // endpoint crashed.
-    // Sequence: one member changes, and the router takes in the members anew.
-    // Cause: all endpoints would count as having just come.
+fn can_keep_the_state_of_an_endpoint_when_other_members_change() {
+    // Guards against endpoints that count as newly usable whenever any member changes. After a
+    // crash elsewhere, their cached prefixes would be ignored and their load would grow slowly from
+    // the start again.
     let mut router = router([agent(0, 1), agent(1, 1)]);
-    let seat = router.find(&Endpoint::from("endpoint-0")).unwrap();
+    let id = router.find(&Endpoint::from("endpoint-0")).unwrap();
     router.observe_members(Millis(60_000), &members([agent(0, 1)]));
-    assert_eq!(router.state(seat).unwrap().usable_since, Millis(0));
+    assert_eq!(router.state(id).unwrap().usable_since, Millis(0));
     router.observe_members(Millis(61_000), &members([agent(1, 1)]));
     router.observe_members(Millis(62_000), &members([agent(0, 1)]));
-    assert_eq!(router.state(seat).unwrap().usable_since, Millis(62_000));
+    assert_eq!(router.state(id).unwrap().usable_since, Millis(62_000));
 }
--- a/components/routing/tests/random.rs
+++ b/components/routing/tests/random.rs
@@ -1,6 +1,6 @@
-//! Long randomised runs of the router. Its promises are asserted inside it; these runs drive it
-//! through members, reports, faults and attempts, and check that none broke, and that switching
-//! a protection off is noticed.
+//! Long randomised runs of the router. The router checks its invariants itself; these runs drive it
+//! through members, reports, faults and attempts, check that it counted no violation, and check
+//! that a disabled protection is detected.
 
 use std::collections::BTreeMap;
 
@@ -36,7 +36,7 @@
 const MODELS: usize = 3;
 const STEPS: usize = 2_000;
 
-/// What may go wrong in a run.
+/// Faults injected in a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Fault {
     Crash,
@@ -59,10 +59,10 @@
     }
 }
 
-/// A small generator, so that a run depends on its seed alone.
-struct Draw(u64);
+/// A small random number generator, so that a run depends only on its seed.
+struct Random(u64);
 
-impl Draw {
+impl Random {
     fn below(&mut self, n: u64) -> u64 {
         self.0 =
             self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -105,9 +105,9 @@
         self.members.known.values_mut().nth(n).unwrap()
     }
 
-    fn disturb(&mut self, draw: &mut Draw, faults: &[Fault]) {
-        let n = draw.below(ENDPOINTS as u64) as usize;
-        let fault = faults[draw.below(faults.len() as u64) as usize];
+    fn inject_fault(&mut self, random: &mut Random, faults: &[Fault]) {
+        let n = random.below(ENDPOINTS as u64) as usize;
+        let fault = faults[random.below(faults.len() as u64) as usize];
         if fault == Fault::Crash {
             self.seq[n] = 0;
         }
@@ -130,23 +130,23 @@
         }
     }
 
-    fn report(&mut self, draw: &mut Draw, faults: &[Fault]) -> LoadReport {
-        let n = draw.below(ENDPOINTS as u64) as usize;
-        let lag = if faults.contains(&Fault::Lag) { draw.below(5_000) } else { 100 };
+    fn report(&mut self, random: &mut Random, faults: &[Fault]) -> LoadReport {
+        let n = random.below(ENDPOINTS as u64) as usize;
+        let lag = if faults.contains(&Fault::Lag) { random.below(5_000) } else { 100 };
         self.seq[n] += 1;
         if faults.contains(&Fault::Gaps) {
-            self.seq[n] += draw.below(3);
+            self.seq[n] += random.below(3);
         }
-        let late = if faults.contains(&Fault::Lag) { draw.below(2) } else { 0 };
+        let late = if faults.contains(&Fault::Lag) { random.below(2) } else { 0 };
         let info = self.member(n).member.endpoint.clone().unwrap();
         LoadReport {
             name: info.name,
             seq: self.seq[n].saturating_sub(late),
             age_ms: lag,
-            running: draw.below(5) as u32,
-            waiting: draw.below(3) as u32,
-            cached: vec![draw.below(20)],
-            evicted: vec![draw.below(20)],
+            running: random.below(5) as u32,
+            waiting: random.below(3) as u32,
+            cached: vec![random.below(20)],
+            evicted: vec![random.below(20)],
             versions: info.models,
             ..LoadReport::default()
         }
@@ -154,81 +154,81 @@
 }
 
 #[derive(Default)]
-struct Seen {
+struct Observed {
     broken: u64,
     chosen: u64,
     trace: u64,
 }
 
-fn run(seed: u64, rule: Rule, faults: &[Fault], protections: Protections) -> Seen {
+fn run(seed: u64, rule: Rule, faults: &[Fault], protections: Protections) -> Observed {
     let settings = Settings { rule, subset: 8, protections, ..Settings::default() };
     let mut router = Router::new(settings, Location::default(), seed);
-    let mut draw = Draw(seed);
+    let mut random = Random(seed);
     let mut fleet = Fleet::new();
-    let mut flights: Vec<EndpointId> = Vec::new();
-    let mut seen = Seen::default();
+    let mut in_flight: Vec<EndpointId> = Vec::new();
+    let mut observed = Observed::default();
     let models: BTreeMap<u64, Model> =
         (0..MODELS as u64).map(|m| (m, Model(format!("model-{m}")))).collect();
     router.observe_members(Millis(0), &fleet.members);
     for step in 0..STEPS as u64 {
         let now = Millis(step * 20);
-        match draw.below(10) {
+        match random.below(10) {
             0 if step % 7 == 0 && !faults.is_empty() => {
-                fleet.disturb(&mut draw, faults);
+                fleet.inject_fault(&mut random, faults);
                 router.observe_members(now, &fleet.members);
             }
-            0 | 1 => router.observe_report(now, &fleet.report(&mut draw, faults)),
-            2..=4 if !flights.is_empty() => {
-                let n = draw.below(flights.len() as u64) as usize;
-                let seat = flights.swap_remove(n);
-                let bad = faults.contains(&Fault::Crash) && draw.below(3) > 0;
-                let ending = match draw.below(8) {
+            0 | 1 => router.observe_report(now, &fleet.report(&mut random, faults)),
+            2..=4 if !in_flight.is_empty() => {
+                let n = random.below(in_flight.len() as u64) as usize;
+                let id = in_flight.swap_remove(n);
+                let failing = faults.contains(&Fault::Crash) && random.below(3) > 0;
+                let outcome = match random.below(8) {
                     0 => AttemptOutcome::Released,
                     1 => AttemptOutcome::Silent,
-                    _ if bad => AttemptOutcome::Failed,
+                    _ if failing => AttemptOutcome::Failed,
                     _ => AttemptOutcome::Finished,
                 };
-                router.finished(now, seat, ending, draw.below(4_000), 50, 0);
+                router.finished(now, id, outcome, random.below(4_000), 50, 0);
             }
             _ => {
-                let exclude: Vec<EndpointId> = flights.iter().rev().take(2).copied().collect();
-                let want = RouteRequest {
-                    model: &models[&draw.below(MODELS as u64)],
+                let exclude: Vec<EndpointId> = in_flight.iter().rev().take(2).copied().collect();
+                let request = RouteRequest {
+                    model: &models[&random.below(MODELS as u64)],
                     class: Class::Normal,
-                    prefix: Some(draw.below(20)),
+                    prefix: Some(random.below(20)),
                     prompt_tokens: 200,
                     output_tokens: 100,
-                    floor: Some(Version(draw.below(4))),
+                    floor: Some(Version(random.below(4))),
                     exclude: &exclude,
-                    suspect: draw.below(20) == 0,
+                    suspect: random.below(20) == 0,
                 };
-                match router.choose(now, &want) {
+                match router.choose(now, &request) {
                     Ok(choice) => {
-                        seen.chosen += 1;
-                        seen.trace =
-                            seen.trace.wrapping_mul(31).wrapping_add(choice.endpoint.0.into());
-                        router.started(now, choice.endpoint, 100, want.prefix);
-                        flights.push(choice.endpoint);
+                        observed.chosen += 1;
+                        observed.trace =
+                            observed.trace.wrapping_mul(31).wrapping_add(choice.endpoint.0.into());
+                        router.started(now, choice.endpoint, 100, request.prefix);
+                        in_flight.push(choice.endpoint);
                     }
-                    // Only while its agents are dead may a model be served by nobody.
-                    Err(why) => assert!(
-                        why != NoEndpoint::Unserved || faults.contains(&Fault::Silence),
+                    // A model may be unserved only while its agents are dead.
+                    Err(error) => assert!(
+                        error != NoEndpoint::Unserved || faults.contains(&Fault::Silence),
                         "faults: {faults:?}"
                     ),
                 }
             }
         }
-        let own: u32 = (0..ENDPOINTS as u32)
+        let counted: u32 = (0..ENDPOINTS as u32)
             .filter_map(|n| router.state(EndpointId(n)))
             .map(|state| state.own_in_flight)
             .sum();
-        assert_eq!(own as usize, flights.len(), "every attempt is counted once");
+        assert_eq!(counted as usize, in_flight.len(), "every attempt in flight is counted once");
     }
-    seen.broken = router.counts().broken;
-    seen
+    observed.broken = router.counts().broken;
+    observed
 }
 
-fn pairs() -> Vec<Vec<Fault>> {
+fn fault_sets() -> Vec<Vec<Fault>> {
     let mut sets = vec![Vec::new()];
     for (n, first) in FAULTS.iter().enumerate() {
         sets.push(vec![*first]);
@@ -240,30 +240,30 @@
 }
 
 #[test]
-fn can_keep_every_promise_under_each_fault_and_each_pair() {
-    fn holds(seed: Seed) -> bool {
-        // While agents are dead there may be nothing to choose; that fault has a test of its own.
-        let served = |faults: &Vec<Fault>| !faults.contains(&Fault::Silence);
-        pairs().iter().filter(|f| served(f)).all(|faults| {
-            let seen = run(seed.0, Rule::LeastFinish, faults, Protections::default());
-            seen.broken == 0 && seen.chosen > 0
+fn can_hold_all_invariants_under_each_fault_and_each_pair() {
+    fn holds_invariants(seed: Seed) -> bool {
+        // While agents are dead there may be no endpoint to choose; another test covers that fault.
+        let without_silence = |faults: &Vec<Fault>| !faults.contains(&Fault::Silence);
+        fault_sets().iter().filter(|f| without_silence(f)).all(|faults| {
+            let observed = run(seed.0, Rule::LeastFinish, faults, Protections::default());
+            observed.broken == 0 && observed.chosen > 0
         })
     }
-    QuickCheck::new().tests(5).quickcheck(holds as fn(Seed) -> bool);
+    QuickCheck::new().tests(5).quickcheck(holds_invariants as fn(Seed) -> bool);
 }
 
 #[test]
-fn can_keep_every_promise_while_agents_fall_silent() {
-    fn holds(seed: Seed) -> bool {
-        pairs().iter().filter(|f| f.contains(&Fault::Silence)).all(|faults| {
+fn can_hold_all_invariants_while_agents_are_dead() {
+    fn holds_invariants(seed: Seed) -> bool {
+        fault_sets().iter().filter(|f| f.contains(&Fault::Silence)).all(|faults| {
             run(seed.0, Rule::LeastFinish, faults, Protections::default()).broken == 0
         })
     }
-    QuickCheck::new().tests(5).quickcheck(holds as fn(Seed) -> bool);
+    QuickCheck::new().tests(5).quickcheck(holds_invariants as fn(Seed) -> bool);
 }
 
 #[test]
-fn can_keep_every_promise_by_each_rule() {
+fn can_hold_all_invariants_under_each_rule() {
     let rules = [
         Rule::RoundRobin,
         Rule::Random,
@@ -274,8 +274,8 @@
     ];
     for rule in rules {
         for seed in 0..10 {
-            let seen = run(seed, rule, &FAULTS[..4], Protections::default());
-            assert_eq!(seen.broken, 0, "{rule:?} with seed {seed}");
+            let observed = run(seed, rule, &FAULTS[..4], Protections::default());
+            assert_eq!(observed.broken, 0, "{rule:?} with seed {seed}");
         }
     }
 }
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn can_notice_each_protection_that_is_off() {
+fn can_detect_each_disabled_protection() {
     let on = Protections::default();
     let mutants = [
         ("drain", Protections { drain: false, ..on }),
@@ -301,7 +301,7 @@
     ];
     let faults = [Fault::Crash, Fault::Drain, Fault::Swap];
     for (name, mutant) in mutants {
-        let noticed = (0..20).any(|seed| run(seed, Rule::LeastFinish, &faults, mutant).broken > 0);
-        assert!(noticed, "nothing noticed that {name} was off");
+        let detected = (0..20).any(|seed| run(seed, Rule::LeastFinish, &faults, mutant).broken > 0);
+        assert!(detected, "no run detected that {name} was disabled");
     }
 }
