--- a/components/bodies/src/store.rs
+++ b/components/bodies/src/store.rs
@@ -97,7 +97,7 @@
             wanted.iter().map(|w| (&w.key, w)).collect();
         let is_idle = |name: &BodyName, held: &Held| {
             let step = wanted.get(&name.key);
-            now.since(held.since) >= YOUNG && step.is_some_and(|step| !step.has(name.group))
+            now.since(held.since) >= YOUNG && step.is_some_and(|step| !step.contains(name.group))
         };
         let idle = self.bodies.iter().filter(|(name, held)| is_idle(name, held));
         let idle: Vec<BodyName> = idle.map(|(name, _)| name.clone()).collect();
--- a/components/ledger/src/audit.rs
+++ b/components/ledger/src/audit.rs
@@ -1,6 +1,8 @@
-//! What an entry asks about the bodies that it holds and the steps that it owns.
+//! Audits of bodies: an entry reports the bodies that it holds and learns which ones to repair or
+//! drop.
 //!
-//! The leader answers from its state with a renewal of the entry's session; nothing is logged.
+//! The leader answers from its state, together with a renewal of the entry's session; nothing is
+//! written to the log.
 
 use std::collections::BTreeSet;
 
@@ -18,10 +20,11 @@
 use crate::holders::Holder;
 use crate::ledger::Ledger;
 
-/// Bodies named in one answer, or the rest of a group more; a repairer asks again when these are mended.
+/// The most bodies in one reply; the last group may exceed it. A repairer sends another audit when
+/// these are repaired.
 pub const MAX_LACKING: usize = 256;
 
-/// What an entry asks.
+/// The audit of an entry.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Audit {
@@ -29,26 +32,26 @@
     pub node: Node,
     /// Its session, whose steps it repairs.
     pub session: u64,
-    /// The entries that it sees; empty if it does not ask for bodies to repair.
+    /// The entries that it considers present; empty if it does not ask for bodies to repair.
     pub present: Vec<Holder>,
-    /// Whether it leaves, and asks for the bodies that would have too few holders without it; it
-    /// is then not among `present`.
+    /// Whether it is leaving and asks for the bodies that would have too few holders without it; it
+    /// is then not in `present`.
     pub leaving: bool,
-    /// Steps of which it holds bodies and wants to know which are still of use.
+    /// Steps of which it holds bodies, to find out which bodies are still needed.
     pub holds: Vec<StepKey>,
 }
 
-/// What the ledger answers.
+/// The reply to an audit.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct AuditReply {
-    /// Bodies that have too few holders, about [`MAX_LACKING`] at most.
+    /// Bodies with too few holders, about [`MAX_LACKING`] at most.
     pub lacking: Vec<UnderReplicated>,
-    /// For each step asked about, the groups whose bodies are still of use.
+    /// For each step in the audit, the groups whose bodies are still needed.
     pub wanted: Vec<NeededGroups>,
 }
 
-/// A body that has too few holders.
+/// A body with too few holders.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct UnderReplicated {
     /// The body.
@@ -59,18 +62,18 @@
     pub sealed: bool,
 }
 
-/// The groups of a step whose bodies are still of use.
+/// The groups of a step whose bodies are still needed.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct NeededGroups {
     /// The step.
     pub key: StepKey,
-    /// Runs of groups, first and last; none if the step has ended.
+    /// Ranges of groups, first and last; empty if the step has ended.
     pub groups: Vec<(Group, Group)>,
 }
 
 impl NeededGroups {
-    /// Tells whether the bodies of a group are of use.
-    pub fn has(&self, group: Group) -> bool {
+    /// Returns whether the bodies of a group are needed.
+    pub fn contains(&self, group: Group) -> bool {
         self.groups.iter().any(|(first, last)| (*first..=*last).contains(&group))
     }
 
@@ -83,21 +86,21 @@
 }
 
 impl Ledger {
-    /// Answers an entry's questions about bodies.
+    /// Answers an audit.
     pub fn audit(&self, audit: &Audit) -> AuditReply {
         let lacking = match audit {
             Audit { present, .. } if present.is_empty() => Vec::new(),
             Audit { leaving: true, .. } => self.lacking_without(audit),
-            _ => self.lacking(audit),
+            _ => self.lacking_for_owner(audit),
         };
-        let wanted = audit.holds.iter().map(|key| self.wanted(key)).collect();
+        let wanted = audit.holds.iter().map(|key| self.needed_groups(key)).collect();
         AuditReply { lacking, wanted }
     }
 
-    /// Lists bodies that have fewer holders among those present than there could be: those of
-    /// the asker's steps, and those in batches of steps that were closed, which nobody owns; of
-    /// these its first present holder takes care.
-    fn lacking(&self, audit: &Audit) -> Vec<UnderReplicated> {
+    /// Lists bodies that have fewer present holders than possible: those of the steps of the
+    /// entry's session, and those in batches of steps that were closed. The latter have no owner,
+    /// so the first present holder of each repairs it.
+    fn lacking_for_owner(&self, audit: &Audit) -> Vec<UnderReplicated> {
         let is_first = |record: &Record| {
             let first = holders(record).iter().find(|holder| audit.present.contains(holder));
             first.is_some_and(|first| first.node == audit.node)
@@ -108,71 +111,81 @@
         })
     }
 
-    /// Lists bodies that the asker holds and that have too few holders without it, whoever owns
-    /// their steps.
+    /// Lists bodies that the entry holds and that have too few holders without it, whichever
+    /// session owns their steps.
     fn lacking_without(&self, audit: &Audit) -> Vec<UnderReplicated> {
-        let is_here = |record: &Record| holders(record).iter().any(|h| h.node == audit.node);
+        let is_here =
+            |record: &Record| holders(record).iter().any(|holder| holder.node == audit.node);
         self.under_replicated(audit, |_, record| is_here(record))
     }
 
-    /// Lists bodies that have too few present holders, of those that concern the asker.
+    /// Lists the bodies with too few present holders that concern the entry.
     fn under_replicated(
         &self,
         audit: &Audit,
         concerns: impl Fn(&StepKey, &Record) -> bool,
     ) -> Vec<UnderReplicated> {
         let present: BTreeSet<&Holder> = audit.present.iter().collect();
-        let enough = HOLDERS_PER_BODY.min(present.len());
-        let is_short = |record: &Record| {
+        let required = HOLDERS_PER_BODY.min(present.len());
+        let has_too_few = |record: &Record| {
             let holders = holders(record);
-            let left = holders.iter().filter(|holder| present.contains(holder)).count();
-            !holders.is_empty() && left < enough
+            let remaining = holders.iter().filter(|holder| present.contains(holder)).count();
+            !holders.is_empty() && remaining < required
         };
-        let wanted = |key: &StepKey, record: &Record| is_short(record) && concerns(key, record);
-        let mut short = Vec::new();
+        let is_listed =
+            |key: &StepKey, record: &Record| has_too_few(record) && concerns(key, record);
+        let mut found = Vec::new();
         let batches = self.deliveries.values().filter_map(|delivery| delivery.batch.as_ref());
         for (key, group, number, record) in batches.flat_map(|batch| &batch.samples) {
-            if short.len() < MAX_LACKING && wanted(key, record) {
-                short.push(lacking((key, *group, *number), record, true));
+            if found.len() < MAX_LACKING && is_listed(key, record) {
+                found.push(under_replicated_body((key, *group, *number), record, true));
             }
         }
         for (key, step) in &self.steps {
             for (number, group) in (0..).map(Group).zip(&step.groups) {
-                if short.len() >= MAX_LACKING {
-                    return short;
+                if found.len() >= MAX_LACKING {
+                    return found;
                 }
-                let done = group.done.iter().filter(|(_, record)| wanted(key, record));
-                short.extend(done.map(|(no, r)| lacking((key, number, *no), r, false)));
+                let done = group.done.iter().filter(|(_, record)| is_listed(key, record));
+                found.extend(
+                    done.map(|(no, record)| {
+                        under_replicated_body((key, number, *no), record, false)
+                    }),
+                );
             }
         }
-        short
+        found
     }
 
     /// Lists the groups of a step that are not acknowledged. A batch outlives the closing of its
     /// step: the trainer may still pull it again.
-    fn wanted(&self, key: &StepKey) -> NeededGroups {
-        let mut wanted = NeededGroups { key: key.clone(), ..NeededGroups::default() };
+    fn needed_groups(&self, key: &StepKey) -> NeededGroups {
+        let mut needed = NeededGroups { key: key.clone(), ..NeededGroups::default() };
         let delivery = self.deliveries.get(&key.workspace);
         if let Some(step) = self.steps.get(key) {
             let acked = delivery.map(|delivery| delivery.acked).unwrap_or_default();
             for (number, group) in (0..).map(Group).zip(&step.groups) {
                 if group.batch.is_none_or(|batch| batch > acked) {
-                    wanted.add(number);
+                    needed.add(number);
                 }
             }
-            return wanted;
+            return needed;
         }
         let batch = delivery.and_then(|delivery| delivery.batch.as_ref());
         let samples = batch.iter().flat_map(|batch| &batch.samples);
         let groups: BTreeSet<Group> =
-            samples.filter(|(own, ..)| own == key).map(|(_, group, ..)| *group).collect();
-        groups.into_iter().for_each(|group| wanted.add(group));
-        wanted
+            samples.filter(|(step_key, ..)| step_key == key).map(|(_, group, ..)| *group).collect();
+        groups.into_iter().for_each(|group| needed.add(group));
+        needed
     }
 }
 
-fn lacking(place: (&StepKey, Group, SampleNo), record: &Record, sealed: bool) -> UnderReplicated {
-    let (key, group, number) = place;
+fn under_replicated_body(
+    sample: (&StepKey, Group, SampleNo),
+    record: &Record,
+    sealed: bool,
+) -> UnderReplicated {
+    let (key, group, number) = sample;
     let name = BodyName { key: key.clone(), group, number, digest: record.digest };
     UnderReplicated { name, from: holders(record).to_vec(), sealed }
 }
--- a/components/ledger/src/command.rs
+++ b/components/ledger/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands that move the ledger, and what each answers.
+//! The commands that change the ledger, and their replies.
 
 use bytes::Bytes;
 use chicoryford_types::Cursor;
@@ -22,11 +22,11 @@
 pub struct StepKey {
     /// The workspace.
     pub workspace: Workspace,
-    /// The trainer's number of the step.
+    /// The trainer's number for the step.
     pub step: Step,
 }
 
-/// What a trainer asks for when it opens a step.
+/// A trainer's request to open a step.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct StepSpec {
@@ -34,27 +34,28 @@
     pub workspace: Workspace,
     /// The step.
     pub step: Step,
-    /// The trainer; filled in from its token.
+    /// The trainer; set from its token.
     pub trainer: Principal,
     /// The model to sample from.
     pub model: Model,
     /// The prompts.
     pub groups: Vec<GroupSpec>,
-    /// Samples wanted of each group.
+    /// The number of samples required per group.
     pub samples: u32,
-    /// Samples begun beyond those wanted, of which the slowest are given up.
+    /// Samples started per group in addition to the required ones, to replace the slowest, which
+    /// are cancelled.
     pub extra: u32,
-    /// Tokens of a sample at most.
+    /// The most tokens per sample.
     pub max_tokens: u32,
     /// The sampling temperature, in thousandths.
     pub temperature: u32,
-    /// The seed from which each sample's seed is derived.
+    /// The seed from which the seed of each sample is derived.
     pub seed: u64,
-    /// Whether log-probabilities are wanted.
+    /// Whether log-probabilities are requested.
     pub logprobs: bool,
-    /// A tighter bound on staleness than the template's, in versions.
+    /// A staleness bound tighter than the template's, in versions.
     pub freshness: Option<u64>,
-    /// Milliseconds in which the step should be whole.
+    /// Milliseconds within which the step should be complete.
     pub budget_ms: u64,
 }
 
@@ -65,47 +66,47 @@
     pub prompt: String,
 }
 
-/// Where a sample's bytes are.
+/// The location of a sample's bytes.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum Body {
     /// In the ledger itself.
     Inline(Bytes),
-    /// At these processes, each of which holds all of them.
+    /// At these processes, each of which holds a full copy.
     Held(Vec<Holder>),
 }
 
-/// A finished sample as the ledger keeps it.
+/// A finished sample as recorded in the ledger.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Record {
-    /// Which versions produced which tokens.
+    /// The versions that generated its tokens.
     pub spans: Vec<Span>,
-    /// How many tokens it has.
+    /// Its number of tokens.
     pub tokens: u32,
-    /// The digest of its bytes: a `chicoryford_types::Sample` as JSON.
+    /// The digest of its bytes, which are a `chicoryford_types::Sample` in JSON.
     pub digest: Digest,
-    /// Where its bytes are.
+    /// The location of its bytes.
     pub body: Body,
 }
 
-/// A command for the ledger.
+/// A command to the ledger.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LedgerCommand {
-    /// Opens a step; a resend with the same content is answered the same.
+    /// Opens a step. Opening it again with the same content has the same reply.
     Open {
-        /// What is wanted.
+        /// The trainer's request.
         spec: StepSpec,
-        /// The staleness bound in force, in versions.
+        /// The current staleness bound, in versions.
         bound: u64,
     },
-    /// Takes a step that no session owns.
+    /// Takes ownership of a step that no session owns.
     Take {
         /// The step.
         key: StepKey,
         /// The session that takes it.
         session: u64,
     },
-    /// Records a finished sample; of several for one place the first wins.
+    /// Records a finished sample; the first record of a sample wins.
     Done {
         /// The step.
         key: StepKey,
@@ -113,79 +114,79 @@
         group: Group,
         /// The sample.
         number: SampleNo,
-        /// The session that ran it; an earlier owner's is refused.
+        /// The session that ran it; the command of a previous owner is refused.
         session: u64,
-        /// The sample.
+        /// The record.
         record: Record,
     },
-    /// Hands out the batch of a cursor; the same cursor again gives the same batch.
+    /// Delivers the batch of a cursor. The same cursor delivers the same batch again.
     Pull {
         /// The workspace.
         workspace: Workspace,
-        /// The cursor: one more than the last acknowledged, or that which was handed out last.
+        /// The cursor: one more than the last acknowledged one, or the one delivered last.
         cursor: Cursor,
-        /// Groups wanted at most.
+        /// The most groups in the batch.
         groups: u32,
         /// The newest version that the trainer has published.
         newest: Version,
     },
-    /// Acknowledges a batch, which may then be forgotten.
+    /// Acknowledges a batch, which may then be deleted.
     Ack {
         /// The workspace.
         workspace: Workspace,
         /// The cursor of the batch.
         cursor: Cursor,
     },
-    /// Gives up a step.
+    /// Abandons a step.
     Close {
         /// The step.
         key: StepKey,
     },
-    /// Asks how a step goes.
+    /// Returns the progress of a step.
     Progress {
         /// The step.
         key: StepKey,
     },
-    /// Asks for the steps that no session owns.
+    /// Lists the steps that no session owns.
     Orphans,
-    /// Names other holders of a body, if the record still names those that the repairer saw.
+    /// Replaces the holders of a body, if the record still names the expected ones.
     Rehold {
         /// The body.
         name: BodyName,
-        /// The holders that the repairer saw.
+        /// The holders that the repairer expects.
         from: Vec<Holder>,
-        /// The holders from now on, which acknowledged the bytes before.
+        /// The new holders, which have already acknowledged the bytes.
         to: Vec<Holder>,
     },
-    /// Tells that none of its holders has a body any more; its sample is run again.
+    /// Reports that no holder has the body any more, so that its sample is run again.
     Lost {
         /// The body.
         name: BodyName,
-        /// The holders that were asked.
+        /// The holders that were queried.
         from: Vec<Holder>,
     },
 }
 
-/// How a step goes.
+/// The progress of a step.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Progress {
-    /// What was asked for.
+    /// The trainer's request.
     pub spec: StepSpec,
     /// The staleness bound in force.
     pub bound: u64,
     /// The session that owns it.
     pub owner: Option<u64>,
-    /// The samples that are recorded and not yet stale.
+    /// The recorded samples that are not stale.
     pub done: Vec<(Group, SampleNo)>,
-    /// The groups that were handed out.
+    /// The groups that were delivered.
     pub delivered: Vec<Group>,
 }
 
-/// What the ledger answers.
+/// A reply of the ledger.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LedgerReply {
-    /// The step is open, now or since before.
+    /// The step is open, or was opened before.
     Opened,
     /// The step is open with other content, or was closed.
     Conflict,
@@ -195,44 +196,45 @@
     Owned(u64),
     /// The sample is recorded.
     Kept,
-    /// The sample's place was taken before; this one is dropped.
+    /// The sample was recorded before; this record is dropped.
     Duplicate,
     /// The session no longer owns the step; nothing was recorded.
     Fenced,
-    /// The sample has no version for some token, or is too old already; nothing was recorded.
+    /// The record is invalid: a token has no version, the sample is already stale, the bytes do not
+    /// match their digest, or the holders are too few or not distinct. Nothing was recorded.
     Undeliverable,
     /// The batch of the cursor.
     Batch {
         /// The cursor.
         cursor: Cursor,
-        /// Its samples in order, whole groups.
+        /// Its samples in order, as complete groups.
         samples: Vec<(StepKey, Group, SampleNo, Record)>,
-        /// Samples dropped as stale by this decision; their owner runs them again.
+        /// Samples dropped as stale by this pull; their owner runs them again.
         stale: u32,
     },
-    /// No whole group is there yet.
+    /// No group is complete yet.
     NotReady,
-    /// The cursor is neither the next nor the last.
+    /// The cursor is neither the next nor the last one.
     BadCursor {
         /// The cursor that may be pulled.
         expected: Cursor,
     },
-    /// The batch is acknowledged, now or before.
+    /// The batch is acknowledged, or was before.
     Acked,
-    /// How the step goes.
+    /// The progress of the step.
     Progress(Box<Progress>),
     /// The steps that no session owns.
     Orphans(Vec<StepKey>),
-    /// No such step, group or sample.
+    /// There is no such step, group or sample.
     Missing,
-    /// The step is given up.
+    /// The step is closed.
     Closed,
-    /// The body has these holders now, or had them before.
+    /// The body has these holders, or had them already.
     Reheld,
-    /// The record names other holders, or other bytes, than the repairer saw.
+    /// The record names other holders or other bytes than the repairer expected.
     Moved,
-    /// The sample's place is open again.
+    /// The sample will be run again.
     Reopened,
-    /// Something is full; nothing was recorded, and the same may be tried again later.
+    /// A limit is reached; nothing was recorded, and the command may be retried later.
     Full,
 }
--- a/components/ledger/src/delivery.rs
+++ b/components/ledger/src/delivery.rs
@@ -1,4 +1,4 @@
-//! What is handed to a workspace's trainer: one batch at a time, by a numbered cursor.
+//! Deliveries to a workspace's trainer: one batch at a time, by a numbered cursor.
 
 use std::collections::BTreeMap;
 
@@ -14,37 +14,37 @@
 use crate::command::Record;
 use crate::command::StepKey;
 
-/// Ended steps that are remembered by their content, for resent openings.
+/// The number of ended steps that are remembered with their digests, to answer resent openings.
 pub const REMEMBERED_STEPS: usize = 64;
 
-/// What is handed to a workspace's trainer.
+/// The deliveries to a workspace's trainer.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Delivery {
-    /// The last batch that was acknowledged.
+    /// The last acknowledged batch.
     pub acked: Cursor,
-    /// The batch that was handed out and not yet acknowledged.
+    /// The batch that was delivered and is not acknowledged yet.
     pub batch: Option<Batch>,
-    /// The steps that ended last, each with the digest of its request; none if it was given up.
+    /// The steps that ended last, each with the digest of its request; none if it was closed early.
     pub ended: BTreeMap<Step, Option<Digest>>,
-    /// Steps up to this one have ended, though they are no longer remembered one by one.
+    /// All steps up to this one have ended and are no longer remembered individually.
     pub floor: Option<Step>,
 }
 
-/// One batch; it never changes.
+/// A batch; its samples never change.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Batch {
     /// Its number.
     pub cursor: Cursor,
-    /// Its samples in order, whole groups.
+    /// Its samples in order, as complete groups.
     pub samples: Vec<(StepKey, Group, SampleNo, Record)>,
-    /// Samples dropped as stale by the decision that made it.
+    /// Samples dropped as stale by the pull that created it.
     pub stale: u32,
-    /// Taken when it was made, to notice any change.
+    /// A digest of its samples when it was created, to detect any change.
     pub seal: Digest,
 }
 
 impl Batch {
-    /// Makes a batch.
+    /// Creates a batch.
     pub fn new(
         cursor: Cursor,
         samples: Vec<(StepKey, Group, SampleNo, Record)>,
@@ -54,43 +54,43 @@
         Self { cursor, samples, stale, seal }
     }
 
-    /// Tells whether the batch is as it was made. The trainer may hold the first copy of it, and
-    /// would train on two different ones.
+    /// Returns whether the batch is unchanged. The trainer may have received it before and must not
+    /// train on two different versions of it.
     pub fn is_sealed(&self) -> bool {
         seal(&self.samples) == self.seal
     }
 
-    /// Gives the answer to a pull.
+    /// Returns the reply to a pull.
     pub fn reply(&self) -> LedgerReply {
         LedgerReply::Batch { cursor: self.cursor, samples: self.samples.clone(), stale: self.stale }
     }
 
-    /// Counts the bytes of the samples in it.
+    /// Returns the bytes of its samples.
     pub fn bytes(&self) -> usize {
         self.samples.iter().map(|(.., record)| record.size()).sum()
     }
 }
 
-/// Digests what identifies each sample; the digest in its record stands for its bytes.
+/// Digests the identity of each sample; the digest in its record covers its bytes.
 fn seal(samples: &[(StepKey, Group, SampleNo, Record)]) -> Digest {
-    let mut text = Vec::with_capacity(samples.len() * 64);
+    let mut identity = Vec::with_capacity(samples.len() * 64);
     for (key, group, number, record) in samples {
-        text.extend_from_slice(key.workspace.as_str().as_bytes());
-        text.extend_from_slice(&key.step.0.to_be_bytes());
-        text.extend_from_slice(&group.0.to_be_bytes());
-        text.extend_from_slice(&number.0.to_be_bytes());
-        text.extend_from_slice(&record.digest.0);
+        identity.extend_from_slice(key.workspace.as_str().as_bytes());
+        identity.extend_from_slice(&key.step.0.to_be_bytes());
+        identity.extend_from_slice(&group.0.to_be_bytes());
+        identity.extend_from_slice(&number.0.to_be_bytes());
+        identity.extend_from_slice(&record.digest.0);
     }
-    Digest::of(&text)
+    Digest::of(&identity)
 }
 
 impl Delivery {
-    /// Gives the cursor that may be pulled: that of the batch handed out, or the next.
+    /// Returns the cursor that may be pulled: that of the delivered batch, or the next one.
     pub fn expected(&self) -> Cursor {
         self.batch.as_ref().map_or(self.acked.next(), |batch| batch.cursor)
     }
 
-    /// Remembers that a step ended, so that a resent opening does not run it again.
+    /// Records that a step ended, so that a resent opening does not run it again.
     pub fn record_end(&mut self, step: Step, digest: Option<Digest>) {
         self.ended.insert(step, digest);
         if self.ended.len() > REMEMBERED_STEPS
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Answers an opening of a step that has ended; none if it has not.
+    /// Returns the reply to an opening of a step that has ended; none if it has not.
     pub fn ended(&self, step: Step, digest: Digest) -> Option<LedgerReply> {
         match self.ended.get(&step) {
             Some(Some(first)) if *first == digest => Some(LedgerReply::Opened),
--- a/components/ledger/src/group.rs
+++ b/components/ledger/src/group.rs
@@ -1,4 +1,4 @@
-//! The samples of one prompt, from the first record to the batch.
+//! The samples of one prompt, from their records to the batch.
 
 use std::collections::BTreeMap;
 
@@ -14,35 +14,36 @@
 /// The samples of one prompt.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Group {
-    /// The samples recorded and not yet handed out. Empty once the group is in a batch.
+    /// The recorded samples that are not delivered yet. Empty once the group is in a batch.
     pub done: BTreeMap<SampleNo, Record>,
-    /// The batch that the group is in.
+    /// The batch that contains the group.
     pub batch: Option<Cursor>,
-    /// No sample in `done` is older; spares looking at each.
+    /// The oldest version of the samples in `done`, cached to avoid a scan.
     oldest: Option<Version>,
 }
 
-/// What became of a record that was offered to a group.
+/// The outcome of recording a sample in a group.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KeepOutcome {
-    /// It is recorded.
+    /// The sample is recorded.
     Recorded,
-    /// The very same one is recorded already: its owner lost the answer and sent it again.
+    /// The same record exists already: its owner did not receive the reply and sent it again.
     AlreadyRecorded,
-    /// Another took its place, or the group has all it needs.
+    /// Another record of the sample exists, or the group is complete.
     Duplicate,
 }
 
 impl Group {
-    /// Records a sample unless its place is taken or the group is whole.
+    /// Records a sample unless it is already recorded or the group is complete.
     ///
-    /// Hedged and resumed attempts can both finish one sample. The first wins here, where every
-    /// replica decides alike; were the second kept, a sample could change after a trainer saw it.
-    pub fn keep(&mut self, number: SampleNo, record: Record, wanted: u32) -> KeepOutcome {
+    /// Hedged and resumed attempts can both finish one sample. The first record wins here, where
+    /// every replica decides the same. If a later one won, a sample could change after a trainer
+    /// received it.
+    pub fn keep(&mut self, number: SampleNo, record: Record, required: u32) -> KeepOutcome {
         if self.done.get(&number).is_some_and(|first| *first == record) {
             return KeepOutcome::AlreadyRecorded;
         }
-        if self.done.contains_key(&number) || self.is_whole(wanted) || self.batch.is_some() {
+        if self.done.contains_key(&number) || self.is_complete(required) || self.batch.is_some() {
             return KeepOutcome::Duplicate;
         }
         self.oldest = self.oldest.min(record.oldest()).or(record.oldest());
@@ -50,13 +51,13 @@
         KeepOutcome::Recorded
     }
 
-    /// Tells whether as many samples are recorded as are wanted.
-    pub fn is_whole(&self, wanted: u32) -> bool {
-        self.done.len() >= wanted as usize
+    /// Returns whether the group has all required samples.
+    pub fn is_complete(&self, required: u32) -> bool {
+        self.done.len() >= required as usize
     }
 
-    /// Drops the samples that are too old, whose places are then free again; returns how many
-    /// there were and how many bytes they had.
+    /// Drops the stale samples, which may then be recorded again. Returns their number and their
+    /// bytes.
     pub fn drop_stale(&mut self, newest: Version, bound: u64) -> (u32, usize) {
         if !self.oldest.is_some_and(|oldest| is_stale(oldest, newest, bound)) {
             return (0, 0);
@@ -69,13 +70,13 @@
         ((count - self.done.len()) as u32, bytes - self.bytes())
     }
 
-    /// Drops one sample, whose place is then free again.
+    /// Removes one sample, which may then be recorded again.
     pub fn remove(&mut self, number: SampleNo) {
         self.done.remove(&number);
         self.oldest = self.done.values().filter_map(Record::oldest).min();
     }
 
-    /// Counts the bytes of the samples recorded and not yet handed out.
+    /// Returns the bytes of the samples that are not delivered yet.
     pub fn bytes(&self) -> usize {
         self.done.values().map(Record::size).sum()
     }
--- a/components/ledger/src/holders.rs
+++ b/components/ledger/src/holders.rs
@@ -1,4 +1,4 @@
-//! Bodies of samples that lie outside the ledger: their names and their holders.
+//! The bodies of samples that are stored outside the ledger: their names and their holders.
 
 use std::collections::BTreeSet;
 
@@ -16,24 +16,24 @@
 use crate::command::StepKey;
 use crate::ledger::Ledger;
 
-/// Processes that hold a body. With three, the loss of any two VMs at once leaves one copy.
+/// The number of processes that hold a body. With three, one copy survives the loss of any two VMs.
 pub const HOLDERS_PER_BODY: usize = 3;
-/// What a held body counts against the ledger's bound, in bytes. The same however many holders
-/// there are, so that moving a body does not change the sum.
+/// The bytes that a held body counts against the ledger's limit. The same for any number of
+/// holders, so that a change of holders does not change the total.
 pub const HELD_BODY_SIZE: usize = 256;
 
-/// One start of a process that holds bodies. A process that restarted has lost its copies, which
-/// only its incarnation tells.
+/// One run of a process that holds bodies. A process that restarted has lost its copies; only the
+/// incarnation shows this.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct Holder {
     /// The process.
     pub node: Node,
-    /// Its start.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
-/// Names a sample's body. The digest alone would not do: two workspaces may have samples of the
-/// same bytes, and the end of one would drop the other's.
+/// Names a sample's body. The digest alone is not sufficient: two workspaces may have samples with
+/// the same bytes, and the end of one would drop the body of the other.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct BodyName {
     /// The step.
@@ -46,17 +46,17 @@
     pub digest: Digest,
 }
 
-/// Tells whether there are `HOLDERS` different processes in the list.
+/// Returns whether the list contains at least [`HOLDERS_PER_BODY`] different processes.
 pub fn has_enough_holders(holders: &[Holder]) -> bool {
     let nodes: BTreeSet<&Node> = holders.iter().map(|holder| &holder.node).collect();
     nodes.len() >= HOLDERS_PER_BODY
 }
 
 impl Ledger {
-    /// Names other holders of a body, if the record is still as the repairer saw it.
+    /// Replaces the holders of a body, if the record is still as the repairer expects.
     ///
-    /// Two repairers may work at once, the sample may have been run again or acknowledged
-    /// meanwhile. Without the comparison the slower one would name holders that have dropped
+    /// Two repairers may work concurrently, and the sample may have been run again or acknowledged
+    /// meanwhile. Without the comparison, the slower repairer would name holders that have dropped
     /// their copies.
     pub(crate) fn replace_holders(
         &mut self,
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Opens the place of a sample whose bytes no holder has any more. One that is in a batch
-    /// stays: the trainer may have it, and a batch never changes.
+    /// Removes a sample whose bytes no holder has any more, so that it is run again. A sample in a
+    /// batch stays: the trainer may have received it, and a batch never changes.
     pub(crate) fn reopen_lost(&mut self, name: &BodyName, from: &[Holder]) -> LedgerReply {
         let Some(step) = self.steps.get_mut(&name.key) else { return LedgerReply::Missing };
         let group = step.groups.get_mut(name.group.0 as usize);
@@ -97,20 +97,21 @@
         LedgerReply::Reopened
     }
 
-    /// Finds a record that waits to be handed out or acknowledged.
+    /// Finds a record that is not acknowledged yet.
     fn find_record(&mut self, name: &BodyName) -> Option<&mut Record> {
         let BodyName { key, group, number, digest } = name;
-        let open = self.steps.get_mut(key).and_then(|step| step.groups.get_mut(group.0 as usize));
-        let open = open.and_then(|group| group.done.get_mut(number));
-        if let Some(record) = open {
+        let recorded =
+            self.steps.get_mut(key).and_then(|step| step.groups.get_mut(group.0 as usize));
+        let recorded = recorded.and_then(|group| group.done.get_mut(number));
+        if let Some(record) = recorded {
             return (record.digest == *digest).then_some(record);
         }
         let delivery = self.deliveries.get_mut(&key.workspace)?;
         let samples = delivery.batch.iter_mut().flat_map(|batch| &mut batch.samples);
-        let place = |sample: &&mut (StepKey, _, _, Record)| {
+        let is_same = |sample: &&mut (StepKey, _, _, Record)| {
             sample.0 == *key && sample.1 == *group && sample.2 == *number
         };
-        let (.., record) = samples.into_iter().find(place)?;
+        let (.., record) = samples.into_iter().find(is_same)?;
         (record.digest == *digest).then_some(record)
     }
 }
--- a/components/ledger/src/ledger.rs
+++ b/components/ledger/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: what each command does to it.
+//! The ledger, and the effect of each command.
 
 use std::collections::BTreeMap;
 
@@ -22,34 +22,34 @@
 use crate::record::is_stale;
 use crate::step::Step;
 
-/// Steps that one workspace may have open at once.
+/// The most open steps per workspace.
 pub const MAX_OPEN_STEPS: usize = 16;
-/// Workspaces that may have a cursor.
+/// The most workspaces with a cursor.
 pub const MAX_WORKSPACES: usize = 4_096;
-/// Samples of one step at most, those beyond what is wanted included.
+/// The most samples in one step, including the extra ones.
 pub const MAX_STEP_SAMPLES: u64 = 1 << 20;
-/// Bytes of samples that wait to be handed out or acknowledged, at most. Past it only the step
-/// that was opened first may still record, so that it can end and make room.
+/// The most bytes of samples that are not acknowledged yet. Above it only the step that was opened
+/// first may record samples, so that it can end and free space.
 pub const MAX_SAMPLE_BYTES: usize = 128 << 20;
-/// Orphaned steps named in one answer at most.
+/// The most orphaned steps in one reply.
 const MAX_ORPHANS: usize = 256;
 
 /// The exactly-once ledger.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Ledger {
-    /// Promises found broken by this replica since it started; zero unless there is a fault.
+    /// Invariants found violated by this replica since it started; any value but zero is a bug.
     #[serde(skip)]
     pub violations: u64,
     pub(crate) steps: BTreeMap<StepKey, Step>,
     pub(crate) deliveries: BTreeMap<Workspace, Delivery>,
-    /// Bytes of all samples here, in steps and in batches.
+    /// Bytes of all samples, in steps and in batches.
     pub(crate) bytes: usize,
     opened: u64,
 }
 
 impl Ledger {
-    /// Applies a command. `newest` tells the newest published version of a model, as the
-    /// replicated state knows it.
+    /// Applies a command. `newest` returns the newest published version of a model in the
+    /// replicated state.
     pub fn apply(
         &mut self,
         command: LedgerCommand,
@@ -59,10 +59,10 @@
             LedgerCommand::Open { spec, bound } => self.open(spec, bound),
             LedgerCommand::Take { key, session } => self.take(&key, session),
             LedgerCommand::Done { key, group, number, session, record } => {
-                self.done(&key, (group, number), session, record, newest)
+                self.record_sample(&key, (group, number), session, record, newest)
             }
-            LedgerCommand::Pull { workspace, cursor, groups, newest: told } => {
-                self.pull(&workspace, cursor, groups, |model| newest(model).max(told))
+            LedgerCommand::Pull { workspace, cursor, groups, newest: published } => {
+                self.pull(&workspace, cursor, groups, |model| newest(model).max(published))
             }
             LedgerCommand::Ack { workspace, cursor } => self.ack(&workspace, cursor),
             LedgerCommand::Close { key } => self.close(&key),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Takes back the recorded samples that a newly published version makes too old.
+    /// Drops the recorded samples that became stale by a newly published version.
     pub fn drop_stale_samples(&mut self, model: &Model, newest: Version) {
         for step in self.steps.values_mut().filter(|step| step.spec.model == *model) {
             let (_, bytes) = step.drop_stale(newest);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes a session's steps away from it; any other may take them then.
+    /// Releases the steps of a session, so that any session may take them.
     pub fn release(&mut self, session: u64) {
         for step in self.steps.values_mut() {
             if step.owner == Some(session) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Lists steps that no session owns.
+    /// Lists the steps that no session owns.
     pub fn orphans(&self) -> Vec<StepKey> {
         let orphans = self.steps.iter().filter(|(_, step)| step.owner.is_none());
         orphans.map(|(key, _)| key.clone()).take(MAX_ORPHANS).collect()
@@ -106,12 +106,12 @@
         self.steps.iter()
     }
 
-    /// Counts the open steps.
+    /// Returns the number of open steps.
     pub fn open_steps(&self) -> usize {
         self.steps.len()
     }
 
-    /// Counts the bytes of samples that wait to be handed out or acknowledged.
+    /// Returns the bytes of the samples that are not acknowledged yet.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -122,7 +122,8 @@
     }
 
     fn open(&mut self, spec: StepSpec, bound: u64) -> LedgerReply {
-        let digest = Digest::of(&serde_json::to_vec(&spec).expect("a step is plain data"));
+        let digest =
+            Digest::of(&serde_json::to_vec(&spec).expect("a step spec is always serialisable"));
         let key = StepKey { workspace: spec.workspace.clone(), step: spec.step };
         if let Some(step) = self.steps.get(&key) {
             let is_resend = step.digest == digest;
@@ -132,7 +133,7 @@
         if let Some(reply) = delivery.and_then(|delivery| delivery.ended(key.step, digest)) {
             return reply;
         }
-        if !self.has_room(&spec) {
+        if !self.has_capacity(&spec) {
             return LedgerReply::Full;
         }
         self.opened += 1;
@@ -141,13 +142,13 @@
         LedgerReply::Opened
     }
 
-    fn has_room(&self, spec: &StepSpec) -> bool {
+    fn has_capacity(&self, spec: &StepSpec) -> bool {
         let open = self.steps.keys().filter(|key| key.workspace == spec.workspace).count();
-        let begun = u64::from(spec.samples) + u64::from(spec.extra);
-        let knows = self.deliveries.contains_key(&spec.workspace);
+        let max_samples = u64::from(spec.samples) + u64::from(spec.extra);
+        let is_known = self.deliveries.contains_key(&spec.workspace);
         open < MAX_OPEN_STEPS
-            && begun.saturating_mul(spec.groups.len() as u64) <= MAX_STEP_SAMPLES
-            && (knows || self.deliveries.len() < MAX_WORKSPACES)
+            && max_samples.saturating_mul(spec.groups.len() as u64) <= MAX_STEP_SAMPLES
+            && (is_known || self.deliveries.len() < MAX_WORKSPACES)
     }
 
     fn take(&mut self, key: &StepKey, session: u64) -> LedgerReply {
@@ -161,25 +162,25 @@
         }
     }
 
-    fn done(
+    fn record_sample(
         &mut self,
         key: &StepKey,
-        place: (Group, SampleNo),
+        sample: (Group, SampleNo),
         session: u64,
         record: Record,
         newest: impl Fn(&Model) -> Version,
     ) -> LedgerReply {
-        let is_full = self.bytes >= MAX_SAMPLE_BYTES && !self.is_oldest_step(key);
+        let exceeds_limit = self.bytes >= MAX_SAMPLE_BYTES && !self.is_oldest_step(key);
         let Some(step) = self.steps.get_mut(key) else { return LedgerReply::Missing };
         if step.owner != Some(session) {
             return LedgerReply::Fenced;
         }
         let spec = &step.spec;
-        let (wanted, begun) = (spec.samples, spec.samples.saturating_add(spec.extra));
-        let Some(group) = step.groups.get_mut(place.0.0 as usize) else {
+        let (required, max_samples) = (spec.samples, spec.samples.saturating_add(spec.extra));
+        let Some(group) = step.groups.get_mut(sample.0.0 as usize) else {
             return LedgerReply::Missing;
         };
-        if place.1.0 >= begun {
+        if sample.1.0 >= max_samples {
             return LedgerReply::Missing;
         }
         let newest = newest(&spec.model);
@@ -187,11 +188,11 @@
         if is_old || !record.is_attributed() || !record.is_intact() {
             return LedgerReply::Undeliverable;
         }
-        if is_full {
+        if exceeds_limit {
             return LedgerReply::Full;
         }
         let size = record.size();
-        match group.keep(place.1, record, wanted) {
+        match group.keep(sample.1, record, required) {
             KeepOutcome::Recorded => {
                 self.bytes += size;
                 LedgerReply::Kept
@@ -223,7 +224,8 @@
         LedgerReply::Acked
     }
 
-    /// Counts the groups of an acknowledged batch as finished and ends the steps that are whole.
+    /// Counts the groups of an acknowledged batch as finished, and ends the steps whose groups are
+    /// all finished.
     fn finish_groups(&mut self, workspace: &Workspace, cursor: Cursor) {
         let mut finished = Vec::new();
         for (key, step) in &mut self.steps {
--- a/components/ledger/src/lib.rs
+++ b/components/ledger/src/lib.rs
@@ -1,6 +1,6 @@
 //! The exactly-once ledger of steps, groups, samples and deliveries.
 //!
-//! It is a part of the replicated state (docs/STEPS.md): pure, deterministic, the same on every
+//! It is part of the replicated state (docs/STEPS.md): pure, deterministic, and identical on every
 //! replica.
 
 pub mod audit;
--- a/components/ledger/src/pull.rs
+++ b/components/ledger/src/pull.rs
@@ -1,4 +1,4 @@
-//! The decision that hands samples out.
+//! The delivery of samples.
 
 use chicoryford_types::Cursor;
 use chicoryford_types::Group;
@@ -17,12 +17,12 @@
 type Sample = (StepKey, Group, SampleNo, Record);
 
 impl Ledger {
-    /// Hands out the batch of a cursor.
+    /// Delivers the batch of a cursor.
     ///
-    /// A trainer who lost the answer pulls the same cursor again, perhaps through another entry,
-    /// and is given the very same batch. Only a cursor that is new makes a batch, and only then
-    /// is the age of each sample judged: checked any earlier, a version published in between
-    /// would let an over-stale sample out.
+    /// A trainer that did not receive the reply pulls the same cursor again, possibly through
+    /// another entry, and receives the same batch. Only a new cursor creates a batch, and the
+    /// staleness of its samples is checked then: after an earlier check, a version could be
+    /// published before the delivery, and a stale sample would be delivered.
     pub(crate) fn pull(
         &mut self,
         workspace: &Workspace,
@@ -65,47 +65,48 @@
         dropped
     }
 
-    /// Moves whole groups into the batch of `cursor`, the oldest steps first.
-    fn collect(&mut self, workspace: &Workspace, cursor: Cursor, most: u32) -> Vec<Sample> {
+    /// Moves complete groups into the batch of `cursor`, from the oldest steps first.
+    fn collect(&mut self, workspace: &Workspace, cursor: Cursor, max_groups: u32) -> Vec<Sample> {
         let mut samples = Vec::new();
-        let mut doubled = false;
-        let mut left = most;
+        let mut in_two_batches = false;
+        let mut remaining = max_groups;
         let steps = self.steps.iter_mut().filter(|(key, _)| key.workspace == *workspace);
         for (key, step) in steps {
-            let wanted = step.spec.samples;
+            let required = step.spec.samples;
             for (number, group) in (0..).map(Group).zip(&mut step.groups) {
-                if left == 0 {
+                if remaining == 0 {
                     break;
                 }
-                if group.batch.is_some() || wanted == 0 || !group.is_whole(wanted) {
+                if group.batch.is_some() || required == 0 || !group.is_complete(required) {
                     continue;
                 }
-                doubled |= group.batch.replace(cursor).is_some();
+                in_two_batches |= group.batch.replace(cursor).is_some();
                 let done = std::mem::take(&mut group.done);
                 let done = done.into_iter().map(|(no, record)| (key.clone(), number, no, record));
                 samples.extend(done);
-                left -= 1;
+                remaining -= 1;
             }
         }
-        if doubled {
+        if in_two_batches {
             self.report_violation("sample_in_two_batches", workspace);
         }
         samples
     }
 
-    /// Asserts the staleness bound over what is about to leave, whatever the steps before did.
+    /// Checks the staleness bound of the samples to be delivered, independently of the previous
+    /// steps.
     fn check_ages(
         &mut self,
         workspace: &Workspace,
         samples: &[Sample],
         newest: impl Fn(&Model) -> Version,
     ) {
-        let is_over = |(key, _, _, record): &Sample| {
+        let exceeds_bound = |(key, _, _, record): &Sample| {
             let Some(step) = self.steps.get(key) else { return true };
             let newest = newest(&step.spec.model);
             record.oldest().is_none_or(|oldest| is_stale(oldest, newest, step.bound))
         };
-        if samples.iter().any(is_over) {
+        if samples.iter().any(exceeds_bound) {
             self.report_violation("stale_sample_delivered", workspace);
         }
     }
--- a/components/ledger/src/step.rs
+++ b/components/ledger/src/step.rs
@@ -1,4 +1,4 @@
-//! One open step.
+//! An open step.
 
 use chicoryford_types::Digest;
 use chicoryford_types::Version;
@@ -9,36 +9,36 @@
 use crate::command::StepSpec;
 use crate::group::Group;
 
-/// One open step.
+/// An open step.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Step {
-    /// What was asked for.
+    /// The trainer's request.
     pub spec: StepSpec,
     /// The staleness bound in force when it was opened, in versions.
     pub bound: u64,
-    /// The digest of the request, by which a resend is recognised.
+    /// The digest of the request, to recognise a resend.
     pub digest: Digest,
-    /// Counts the steps opened, to tell which was first.
+    /// The number of the step in the order of opening.
     pub order: u64,
     /// The session that owns it.
     pub owner: Option<u64>,
     /// Its groups.
     pub groups: Vec<Group>,
-    /// How many groups were handed out and acknowledged.
+    /// The number of acknowledged groups.
     pub acked: usize,
-    /// Samples dropped as stale so far.
+    /// The number of samples dropped as stale so far.
     pub stale: u64,
 }
 
 impl Step {
-    /// Opens a step. A trainer may tighten the workspace's bound, never loosen it.
+    /// Opens a step. A trainer may tighten the workspace's bound, but not loosen it.
     pub fn new(spec: StepSpec, bound: u64, digest: Digest, order: u64) -> Self {
         let bound = spec.freshness.map_or(bound, |own| own.min(bound));
         let groups = vec![Group::default(); spec.groups.len()];
         Self { spec, bound, digest, order, groups, ..Self::default() }
     }
 
-    /// Drops the samples that are too old; returns how many there were and their bytes.
+    /// Drops the stale samples. Returns their number and their bytes.
     pub fn drop_stale(&mut self, newest: Version) -> (u32, usize) {
         let mut dropped = (0, 0);
         for group in &mut self.groups {
@@ -50,17 +50,17 @@
         dropped
     }
 
-    /// Tells whether all groups were handed out and acknowledged.
+    /// Returns whether all groups were delivered and acknowledged.
     pub fn is_finished(&self) -> bool {
         self.acked == self.groups.len()
     }
 
-    /// Counts the bytes of samples that wait to be handed out.
+    /// Returns the bytes of the samples that are not delivered yet.
     pub fn bytes(&self) -> usize {
         self.groups.iter().map(Group::bytes).sum()
     }
 
-    /// Tells how the step goes.
+    /// Returns the progress of the step.
     pub fn progress(&self) -> Progress {
         let numbered = || (0..).map(chicoryford_types::Group).zip(&self.groups);
         let done = numbered()
--- a/components/ledger/tests/bodies.rs
+++ b/components/ledger/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies outside the ledger: their holders, their repair, their loss.
+//! Tests of bodies outside the ledger: their holders, repair and loss.
 
 use chicoryford_ledger::Audit;
 use chicoryford_ledger::Body;
@@ -43,21 +43,21 @@
     ledger.apply(command, |_| Version(0))
 }
 
-fn done(ledger: &mut Ledger, holders: Vec<Holder>) -> LedgerReply {
+fn record_done(ledger: &mut Ledger, holders: Vec<Holder>) -> LedgerReply {
     let spans = vec![Span { from: 0, to: 4, version: Version(0) }];
     let BodyName { key, group, number, digest } = name();
     let record = Record { spans, tokens: 4, digest, body: Body::Held(holders) };
     apply(ledger, LedgerCommand::Done { key, group, number, session: 7, record })
 }
 
-fn held() -> Ledger {
+fn ledger_with_held_body() -> Ledger {
     let mut ledger = Ledger::default();
     let StepKey { workspace, step } = key();
     let groups = vec![GroupSpec::default()];
     let spec = StepSpec { workspace, step, groups, samples: 1, ..StepSpec::default() };
     apply(&mut ledger, LedgerCommand::Open { spec, bound: 2 });
     apply(&mut ledger, LedgerCommand::Take { key: key(), session: 7 });
-    assert_eq!(done(&mut ledger, holders([1, 2, 3])), LedgerReply::Kept);
+    assert_eq!(record_done(&mut ledger, holders([1, 2, 3])), LedgerReply::Kept);
     ledger
 }
 
@@ -66,7 +66,7 @@
     apply(ledger, LedgerCommand::Rehold { name: name(), from, to })
 }
 
-fn lose(ledger: &mut Ledger, from: [u64; 3]) -> LedgerReply {
+fn report_lost(ledger: &mut Ledger, from: [u64; 3]) -> LedgerReply {
     apply(ledger, LedgerCommand::Lost { name: name(), from: holders(from) })
 }
 
@@ -82,57 +82,57 @@
 }
 
 #[test]
-fn errors_on_a_body_that_two_processes_hold() {
-    // Symptom: a recorded sample is lost with two VMs.
-    // Sequence: an entry records a sample with two holders, or with one named twice; both fail.
-    // Cause: the rule that there are three stood only in the entry's code.
-    let mut ledger = held();
-    assert_eq!(lose(&mut ledger, [1, 2, 3]), LedgerReply::Reopened);
-    assert_eq!(done(&mut ledger, vec![holder(1), holder(2)]), LedgerReply::Undeliverable);
-    assert_eq!(done(&mut ledger, holders([1, 2, 2])), LedgerReply::Undeliverable);
-    assert_eq!(done(&mut ledger, holders([1, 2, 4])), LedgerReply::Kept);
+fn errors_on_a_body_with_two_holders() {
+    // Guards against the loss of a recorded sample with two VMs: an entry records it with two
+    // holders, or with one of them named twice, and both fail. The ledger must require three
+    // different holders itself, not only the entry.
+    let mut ledger = ledger_with_held_body();
+    assert_eq!(report_lost(&mut ledger, [1, 2, 3]), LedgerReply::Reopened);
+    assert_eq!(record_done(&mut ledger, vec![holder(1), holder(2)]), LedgerReply::Undeliverable);
+    assert_eq!(record_done(&mut ledger, holders([1, 2, 2])), LedgerReply::Undeliverable);
+    assert_eq!(record_done(&mut ledger, holders([1, 2, 4])), LedgerReply::Kept);
 }
 
 #[test]
-fn of_two_repairers_the_slower_changes_nothing() {
-    // Symptom: a record names a holder that has dropped its copy.
-    // Sequence: two entries repair one body; the second's command is late, or comes twice.
-    // Cause: holders were replaced without comparing them with those that the repairer saw.
-    let mut ledger = held();
+fn the_slower_of_two_repairers_changes_nothing() {
+    // Guards against a record that names a holder which has dropped its copy: two entries repair
+    // the same body, and the second one's command arrives late or twice. Holders may be replaced
+    // only if they are the ones that the repairer expects.
+    let mut ledger = ledger_with_held_body();
     assert_eq!(rehold(&mut ledger, [1, 2, 3], [1, 2, 4]), LedgerReply::Reheld);
     assert_eq!(rehold(&mut ledger, [1, 2, 3], [1, 2, 5]), LedgerReply::Moved);
     assert_eq!(rehold(&mut ledger, [1, 2, 3], [1, 2, 4]), LedgerReply::Reheld);
-    assert_eq!(lose(&mut ledger, [1, 2, 3]), LedgerReply::Moved);
+    assert_eq!(report_lost(&mut ledger, [1, 2, 3]), LedgerReply::Moved);
     let first = pull(&mut ledger);
     assert_eq!(rehold(&mut ledger, [1, 2, 4], [2, 4, 5]), LedgerReply::Reheld);
     let LedgerReply::Batch { samples, .. } = pull(&mut ledger) else { panic!("{first:?}") };
     assert_eq!(samples[0].3.body, Body::Held(holders([2, 4, 5])));
-    assert_eq!(ledger.violations, 0, "other holders are not another batch");
+    assert_eq!(ledger.violations, 0, "a change of holders does not change the batch");
 }
 
 #[test]
-fn a_lost_sample_runs_again_unless_it_was_handed_out() {
-    // Symptom: a trainer gets two different samples for one place.
-    // Sequence: a batch is handed out, then all holders of one of its bodies are lost.
-    // Cause: the place was opened again though the trainer may hold the first sample.
-    let mut ledger = held();
-    assert_eq!(lose(&mut ledger, [1, 2, 3]), LedgerReply::Reopened);
+fn a_lost_sample_runs_again_unless_it_was_delivered() {
+    // Guards against two different samples at a trainer for the same position: a batch is
+    // delivered, and then all holders of one of its bodies are lost. A delivered sample must not be
+    // run again.
+    let mut ledger = ledger_with_held_body();
+    assert_eq!(report_lost(&mut ledger, [1, 2, 3]), LedgerReply::Reopened);
     assert_eq!((pull(&mut ledger), ledger.bytes()), (LedgerReply::NotReady, 0));
-    done(&mut ledger, holders([4, 5, 6]));
+    record_done(&mut ledger, holders([4, 5, 6]));
     pull(&mut ledger);
-    assert_eq!(lose(&mut ledger, [4, 5, 6]), LedgerReply::Missing);
+    assert_eq!(report_lost(&mut ledger, [4, 5, 6]), LedgerReply::Missing);
     let ack = LedgerCommand::Ack { workspace: key().workspace, cursor: Cursor(1) };
     assert_eq!(apply(&mut ledger, ack), LedgerReply::Acked);
     assert_eq!((ledger.open_steps(), ledger.bytes()), (0, 0));
 }
 
 #[test]
-fn an_audit_names_what_the_asker_should_mend() {
-    let mut ledger = held();
+fn an_audit_lists_the_bodies_that_an_entry_should_repair() {
+    let mut ledger = ledger_with_held_body();
     assert_eq!(lacking(&ledger, 7, 9, &[1, 2, 3, 9]), 0);
     assert_eq!(lacking(&ledger, 7, 9, &[1, 2, 9]), 1);
-    assert_eq!(lacking(&ledger, 7, 9, &[1, 2]), 0, "there is nobody to copy it to");
-    assert_eq!(lacking(&ledger, 8, 9, &[1, 2, 9]), 0, "the step is another's");
+    assert_eq!(lacking(&ledger, 7, 9, &[1, 2]), 0, "no other process can hold a copy");
+    assert_eq!(lacking(&ledger, 8, 9, &[1, 2, 9]), 0, "another session owns the step");
     pull(&mut ledger);
     let closed = LedgerCommand::Close { key: key() };
     assert_eq!(apply(&mut ledger, closed), LedgerReply::Closed);
@@ -141,33 +141,33 @@
 }
 
 #[test]
-fn an_audit_tells_which_bodies_are_of_use() {
-    let mut ledger = held();
-    let ask = |ledger: &Ledger| {
+fn an_audit_lists_the_groups_that_are_still_needed() {
+    let mut ledger = ledger_with_held_body();
+    let needed = |ledger: &Ledger| {
         let audit = Audit { holds: vec![key()], ..Audit::default() };
-        ledger.audit(&audit).wanted[0].has(Group(0))
+        ledger.audit(&audit).wanted[0].contains(Group(0))
     };
-    assert!(ask(&ledger));
+    assert!(needed(&ledger));
     pull(&mut ledger);
     apply(&mut ledger, LedgerCommand::Close { key: key() });
-    assert!(ask(&ledger), "the trainer may pull the batch again");
+    assert!(needed(&ledger), "the trainer may pull the batch again");
     apply(&mut ledger, LedgerCommand::Ack { workspace: key().workspace, cursor: Cursor(1) });
-    assert!(!ask(&ledger));
+    assert!(!needed(&ledger));
 }
 
 #[test]
-fn a_leaving_holder_hears_what_still_needs_it() {
-    // Symptom: a planned restart of all entries, one after the other, loses samples.
-    // Sequence: a holder leaves while another, just restarted, has no copies yet.
-    // Cause: an entry left without asking whether its copies were made elsewhere.
-    let ledger = held();
-    let ask = |present: &[u64]| {
+fn an_audit_lists_the_bodies_that_need_a_leaving_holder() {
+    // Guards against samples lost in a rolling restart of all entries: a holder leaves while
+    // another, which has just restarted, has no copies yet. An entry must ask before it leaves
+    // which of its copies are still needed.
+    let ledger = ledger_with_held_body();
+    let lacking_count = |present: &[u64]| {
         let present = present.iter().copied().map(holder).collect();
         let audit = Audit { node: holder(3).node, present, leaving: true, ..Audit::default() };
         ledger.audit(&audit).lacking.len()
     };
-    assert_eq!(ask(&[1, 2]), 0, "there is nobody to copy it to");
-    assert_eq!(ask(&[1, 9]), 1);
-    assert_eq!(ask(&[1, 2, 9]), 1);
-    assert_eq!(ask(&[]), 0);
+    assert_eq!(lacking_count(&[1, 2]), 0, "no other process can hold a copy");
+    assert_eq!(lacking_count(&[1, 9]), 1);
+    assert_eq!(lacking_count(&[1, 2, 9]), 1);
+    assert_eq!(lacking_count(&[]), 0);
 }
