--- a/components/bodies/src/lib.rs
+++ b/components/bodies/src/lib.rs
@@ -1,16 +1,16 @@
-//! Holds samples' bytes outside the replicated log (docs/STEPS.md): a bounded store, the choice
-//! of the processes that hold a body, and when to ask the ledger about them. All of it is pure;
-//! the entry role carries the bytes.
+//! Stores the bytes of samples outside the replicated log (docs/STEPS.md): a bounded store, the
+//! choice of the processes that hold a body, and the schedule of audits with the ledger. All of it
+//! is pure; the entry role transfers the bytes.
 
 pub mod auditor;
 pub mod message;
-pub mod place;
+pub mod placement;
 pub mod store;
 
 pub use auditor::Auditor;
-pub use place::Candidate;
-pub use place::is_inline;
-pub use place::order;
+pub use placement::Candidate;
+pub use placement::is_inline;
+pub use placement::rank_candidates;
 pub use store::PutError;
 pub use store::Store;
-pub use store::is_genuine;
+pub use store::matches_digest;
--- a/components/bodies/src/message.rs
+++ b/components/bodies/src/message.rs
@@ -1,4 +1,4 @@
-//! What entries send each other about bodies.
+//! The messages about bodies between entries.
 
 use bytes::Bytes;
 use chicoryford_ledger::BodyName;
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Asks a process to hold a body.
+/// Requests a process to store a body.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Put {
     /// The body.
@@ -15,38 +15,38 @@
     pub bytes: Bytes,
 }
 
-/// The process holds the body, in this start of it.
+/// The reply of a process that stored a body. It is valid for this incarnation of the process.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Stored {
-    /// The process as the ledger names it.
+    /// The process, as named in the ledger.
     pub holder: Holder,
 }
 
-/// Asks for bodies.
+/// Requests bodies.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Get {
     /// The bodies.
     pub names: Vec<BodyName>,
 }
 
-/// Bodies in the order in which they were asked for; none for one that is not held. The list may
-/// be shorter than the question, in which case the rest is asked for again.
+/// Bodies in the order of the request; none for a body that is not stored. The list may be shorter
+/// than the request; the rest must be requested again.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Found {
     /// The bodies.
     pub bodies: Vec<Option<Bytes>>,
 }
 
-/// Tells that bodies are of no use any more.
+/// Reports bodies that are no longer needed.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Drop {
     /// The bodies.
     pub names: Vec<BodyName>,
 }
 
-/// The bodies were dropped, or were not held.
+/// The bodies were dropped, or were not stored.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Dropped {
-    /// How many were held.
+    /// The number of bodies that were stored.
     pub count: u32,
 }
--- a/components/bodies/src/store.rs
+++ b/components/bodies/src/store.rs
@@ -1,4 +1,4 @@
-//! The bodies that one process holds.
+//! The bodies that one process stores.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,116 +11,118 @@
 use chicoryford_types::Millis;
 use thiserror::Error;
 
-/// Milliseconds for which a body is kept whatever an audit says. A leader that has just taken
-/// over may not yet have applied the opening of the step that the body belongs to.
-pub const YOUNG: u64 = 60_000;
+/// Milliseconds for which a body is kept regardless of audits. A leader that has just taken over
+/// may not have applied the opening of the body's step yet.
+pub const MIN_AGE_MS: u64 = 60_000;
 
-/// A body was not taken.
+/// Why a body was not stored.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum PutError {
-    /// There is no room.
-    #[error("{bytes} of {bound} bytes are taken")]
+    /// The store is full.
+    #[error("{bytes} of {bound} bytes are in use")]
     Full {
-        /// Bytes that are held.
+        /// Bytes in use.
         bytes: usize,
-        /// Bytes that may be held.
+        /// The limit in bytes.
         bound: usize,
     },
-    /// The bytes are not those that the name's digest was taken of.
+    /// The bytes do not match the digest in the name.
     #[error("the bytes do not match their digest")]
-    Garbled,
+    DigestMismatch,
 }
 
-/// The bodies that one process holds, in memory: a restart loses them, and the others repair.
+/// The bodies that one process stores, in memory. A restart loses them, and the other processes
+/// repair them.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     bound: usize,
     bytes: usize,
-    bodies: BTreeMap<BodyName, Held>,
+    bodies: BTreeMap<BodyName, StoredBody>,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct StoredBody {
     bytes: Bytes,
-    since: Millis,
+    stored_at: Millis,
 }
 
-/// Tells whether bytes are those that a name stands for. Who reads a body checks this: a holder
-/// whose memory or code is at fault must not put wrong bytes into a trainer's batch.
-pub fn is_genuine(name: &BodyName, bytes: &[u8]) -> bool {
+/// Returns whether bytes match the digest in a name. Every reader of a body must check this: a
+/// holder with faulty memory or code must not add wrong bytes to a trainer's batch.
+pub fn matches_digest(name: &BodyName, bytes: &[u8]) -> bool {
     Digest::of(bytes) == name.digest
 }
 
 impl Store {
-    /// Makes an empty store that holds at most `bound` bytes.
+    /// Returns an empty store for at most `bound` bytes.
     pub fn new(bound: usize) -> Self {
         Self { bound, ..Self::default() }
     }
 
-    /// Holds a body; one that is held already is held on.
+    /// Stores a body. A body that is already stored is kept longer.
     ///
     /// # Errors
     ///
-    /// [`PutError`] if there is no room, or the bytes are not what the name says.
+    /// Returns [`PutError`] if the store is full or the bytes do not match the name.
     pub fn put(&mut self, name: BodyName, bytes: Bytes, now: Millis) -> Result<(), PutError> {
-        if !is_genuine(&name, &bytes) {
-            return Err(PutError::Garbled);
+        if !matches_digest(&name, &bytes) {
+            return Err(PutError::DigestMismatch);
         }
-        if let Some(held) = self.bodies.get_mut(&name) {
-            held.since = now;
+        if let Some(body) = self.bodies.get_mut(&name) {
+            body.stored_at = now;
             return Ok(());
         }
         if self.bytes.saturating_add(bytes.len()) > self.bound {
             return Err(PutError::Full { bytes: self.bytes, bound: self.bound });
         }
         self.bytes += bytes.len();
-        self.bodies.insert(name, Held { bytes, since: now });
+        self.bodies.insert(name, StoredBody { bytes, stored_at: now });
         Ok(())
     }
 
-    /// Gives a body.
+    /// Returns a body.
     pub fn get(&self, name: &BodyName) -> Option<Bytes> {
-        self.bodies.get(name).map(|held| held.bytes.clone())
+        self.bodies.get(name).map(|body| body.bytes.clone())
     }
 
-    /// Drops a body; tells whether it was held.
+    /// Removes a body. Returns whether it was stored.
     pub fn remove(&mut self, name: &BodyName) -> bool {
-        let Some(held) = self.bodies.remove(name) else { return false };
-        self.bytes -= held.bytes.len();
+        let Some(body) = self.bodies.remove(name) else { return false };
+        self.bytes -= body.bytes.len();
         true
     }
 
-    /// Drops the bodies that the ledger has no use for, of the steps that it was asked about.
-    /// Returns how many there were.
-    pub fn retain(&mut self, wanted: &[NeededGroups], now: Millis) -> usize {
-        let wanted: BTreeMap<&StepKey, &NeededGroups> =
-            wanted.iter().map(|w| (&w.key, w)).collect();
-        let is_idle = |name: &BodyName, held: &Held| {
-            let step = wanted.get(&name.key);
-            now.since(held.since) >= YOUNG && step.is_some_and(|step| !step.contains(name.group))
+    /// Drops the bodies that the ledger no longer needs, among the steps in the audit reply.
+    /// Returns their number.
+    pub fn retain(&mut self, needed: &[NeededGroups], now: Millis) -> usize {
+        let needed: BTreeMap<&StepKey, &NeededGroups> =
+            needed.iter().map(|groups| (&groups.key, groups)).collect();
+        let is_not_needed = |name: &BodyName, body: &StoredBody| {
+            let step = needed.get(&name.key);
+            now.since(body.stored_at) >= MIN_AGE_MS
+                && step.is_some_and(|step| !step.contains(name.group))
         };
-        let idle = self.bodies.iter().filter(|(name, held)| is_idle(name, held));
-        let idle: Vec<BodyName> = idle.map(|(name, _)| name.clone()).collect();
-        idle.iter().filter(|name| self.remove(name)).count()
+        let not_needed = self.bodies.iter().filter(|(name, body)| is_not_needed(name, body));
+        let not_needed: Vec<BodyName> = not_needed.map(|(name, _)| name.clone()).collect();
+        not_needed.iter().filter(|name| self.remove(name)).count()
     }
 
-    /// Lists the steps of which bodies are held.
+    /// Lists the steps of the stored bodies.
     pub fn steps(&self) -> Vec<StepKey> {
         let steps: BTreeSet<&StepKey> = self.bodies.keys().map(|name| &name.key).collect();
         steps.into_iter().cloned().collect()
     }
 
-    /// Counts the bytes that are held.
+    /// Returns the stored bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Counts the bodies that are held.
+    /// Returns the number of bodies.
     pub fn len(&self) -> usize {
         self.bodies.len()
     }
 
-    /// Tells whether nothing is held.
+    /// Returns whether the store is empty.
     pub fn is_empty(&self) -> bool {
         self.bodies.is_empty()
     }
--- a/components/bodies/tests/world/mod.rs
+++ b/components/bodies/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A ledger, entries that hold bodies, and a trainer that checks what it is given.
+//! A ledger, entries that hold bodies, and a trainer that checks the batches that it receives.
 
 use std::collections::BTreeMap;
 
@@ -6,9 +6,9 @@
 use chicoryford_bodies::Candidate;
 use chicoryford_bodies::PutError;
 use chicoryford_bodies::Store;
-use chicoryford_bodies::is_genuine;
 use chicoryford_bodies::is_inline;
-use chicoryford_bodies::order;
+use chicoryford_bodies::matches_digest;
+use chicoryford_bodies::rank_candidates;
 use chicoryford_ledger::Audit;
 use chicoryford_ledger::Body;
 use chicoryford_ledger::BodyName;
@@ -40,26 +40,26 @@
 const GROUPS: u32 = 6;
 const SAMPLES: u32 = 2;
 const SIZE: usize = 3_000;
-const ROOM: usize = 10 * SIZE;
-/// Copies of anything that may be lost between two repairs.
+const STORE_BYTES: usize = 10 * SIZE;
+/// The most copies of a body that may be lost between two repairs.
 const LOSSES: usize = 2;
 
-/// One event.
+/// An event.
 #[derive(Clone, Debug)]
 pub enum Op {
-    /// A sample is finished; `text` tells attempts apart.
+    /// A sample finishes; `text` distinguishes attempts.
     Done { group: u32, number: u32, text: u8 },
     /// A holder dies.
     Die(usize),
-    /// A holder starts again, empty.
+    /// A holder restarts without its bodies.
     Restart(usize),
-    /// A holder's memory turns bad.
+    /// A holder's memory is corrupted.
     Corrupt(usize),
-    /// The step's owner repairs.
+    /// The owner of the step repairs bodies.
     Repair,
-    /// All holders ask what is still of use.
-    Tidy,
-    /// The trainer pulls, and pulls again.
+    /// All holders drop the bodies that are no longer needed.
+    DropUnneeded,
+    /// The trainer pulls, possibly the same batch again.
     Pull,
     /// The trainer acknowledges.
     Ack,
@@ -78,23 +78,23 @@
             52..=65 => Self::Restart(entry),
             66..=67 => Self::Corrupt(entry),
             68..=83 => Self::Repair,
-            84..=86 => Self::Tidy,
+            84..=86 => Self::DropUnneeded,
             87..=94 => Self::Pull,
             _ => Self::Ack,
         }
     }
 }
 
-/// Which protections are on.
+/// Which protections are enabled.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct Protections {
     pub repair: bool,
     pub verify: bool,
     pub copies: usize,
     pub incarnations: bool,
 }
 
-impl Default for Rules {
+impl Default for Protections {
     fn default() -> Self {
         Self {
             repair: true,
@@ -105,7 +105,7 @@
     }
 }
 
-/// What a run met.
+/// The events that occurred in a run.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     held: u64,
@@ -113,16 +113,17 @@
     full: u64,
     deaths: u64,
     repaired: u64,
-    wrong: u64,
-    tidied: u64,
+    corrupted: u64,
+    dropped: u64,
     pulled: u64,
     steps: u64,
 }
 
 impl Counts {
     fn all(&self) -> [u64; 9] {
-        let Self { held, inline, full, deaths, repaired, wrong, tidied, pulled, steps } = *self;
-        [held, inline, full, deaths, repaired, wrong, tidied, pulled, steps]
+        let Self { held, inline, full, deaths, repaired, corrupted, dropped, pulled, steps } =
+            *self;
+        [held, inline, full, deaths, repaired, corrupted, dropped, pulled, steps]
     }
 
     pub fn add(&mut self, other: &Self) {
@@ -131,13 +132,13 @@
         self.full += other.full;
         self.deaths += other.deaths;
         self.repaired += other.repaired;
-        self.wrong += other.wrong;
-        self.tidied += other.tidied;
+        self.corrupted += other.corrupted;
+        self.dropped += other.dropped;
         self.pulled += other.pulled;
         self.steps += other.steps;
     }
 
-    pub fn all_met(&self) -> bool {
+    pub fn all_occurred(&self) -> bool {
         self.all().iter().all(|count| *count > 0)
     }
 }
@@ -151,7 +152,7 @@
 
 pub struct World {
     pub counts: Counts,
-    rules: Rules,
+    protections: Protections,
     ledger: Ledger,
     entries: Vec<Entry>,
     step: u64,
@@ -167,12 +168,16 @@
 }
 
 impl World {
-    pub fn new(rules: Rules) -> Self {
-        let entry =
-            |_| Entry { store: Store::new(ROOM), incarnation: 1, alive: true, corrupt: Vec::new() };
+    pub fn new(protections: Protections) -> Self {
+        let entry = |_| Entry {
+            store: Store::new(STORE_BYTES),
+            incarnation: 1,
+            alive: true,
+            corrupt: Vec::new(),
+        };
         let mut world = Self {
             counts: Counts::default(),
-            rules,
+            protections,
             ledger: Ledger::default(),
             entries: (0..ENTRIES).map(entry).collect(),
             step: 0,
@@ -209,8 +214,8 @@
         match op {
             Op::Done { group, number, text } => self.done(group, number, text),
             Op::Die(index) => {
-                if self.spent() < LOSSES && self.entries[index].alive {
-                    self.die(index);
+                if self.lost_copies() < LOSSES && self.entries[index].alive {
+                    self.kill(index);
                 }
                 Ok(())
             }
@@ -224,14 +229,14 @@
             }
             Op::Corrupt(index) => {
                 let entry = &mut self.entries[index];
-                if entry.alive && self.lost == 0 && self.spent() == 0 {
+                if entry.alive && self.lost == 0 && self.lost_copies() == 0 {
                     self.corrupt(index);
                 }
                 Ok(())
             }
             Op::Repair => self.repair(),
-            Op::Tidy => {
-                self.tidy();
+            Op::DropUnneeded => {
+                self.drop_unneeded();
                 Ok(())
             }
             Op::Pull => self.pull(),
@@ -239,21 +244,21 @@
         }
     }
 
-    /// Counts the copies that a body may have lost since the last repair.
-    fn spent(&self) -> usize {
+    /// Returns the number of copies that a body may have lost since the last repair.
+    fn lost_copies(&self) -> usize {
         let faulty = self.entries.iter().filter(|entry| entry.alive && !entry.corrupt.is_empty());
         self.lost + faulty.count()
     }
 
-    fn die(&mut self, index: usize) {
+    fn kill(&mut self, index: usize) {
         let entry = &mut self.entries[index];
         *entry = Entry {
-            store: Store::new(ROOM),
+            store: Store::new(STORE_BYTES),
             incarnation: entry.incarnation,
             alive: false,
             corrupt: Vec::new(),
         };
-        // A faulty copy was counted before, and stays lost until the next repair.
+        // A corrupted copy was counted before, and remains lost until the next repair.
         self.lost += 1;
         self.counts.deaths += 1;
     }
@@ -267,7 +272,7 @@
 
     fn names(&self) -> Vec<BodyName> {
         let mut names = Vec::new();
-        for (group, number, text) in places() {
+        for (group, number, text) in attempts() {
             let digest = Digest::of(&content(self.step, group, number, text));
             let (group, number) = (Group(group), SampleNo(number));
             names.push(BodyName { key: self.key(), group, number, digest });
@@ -276,7 +281,8 @@
     }
 
     fn holder(&self, index: usize) -> Holder {
-        let incarnation = if self.rules.incarnations { self.entries[index].incarnation } else { 1 };
+        let incarnation =
+            if self.protections.incarnations { self.entries[index].incarnation } else { 1 };
         Holder { node: name_of(index), incarnation: Incarnation(incarnation) }
     }
 
@@ -292,10 +298,10 @@
         self.present().into_iter().map(candidate).collect()
     }
 
-    /// Puts a body at up to `wanted` processes that do not hold it yet.
+    /// Stores a body at up to `wanted` processes that do not hold it yet.
     fn put(&mut self, name: &BodyName, bytes: &Bytes, kept: &[Node], wanted: usize) -> Vec<Holder> {
         let mut stored = Vec::new();
-        for node in order(name, &self.candidates(), kept) {
+        for node in rank_candidates(name, &self.candidates(), kept) {
             if stored.len() >= wanted {
                 break;
             }
@@ -303,7 +309,7 @@
             match self.entries[index].store.put(name.clone(), bytes.clone(), self.now) {
                 Ok(()) => stored.push(self.holder(index)),
                 Err(PutError::Full { .. }) => self.counts.full += 1,
-                Err(PutError::Garbled) => {}
+                Err(PutError::DigestMismatch) => {}
             }
         }
         stored
@@ -314,13 +320,13 @@
         let digest = Digest::of(&bytes);
         let (group, number) = (Group(group), SampleNo(number));
         let name = BodyName { key: self.key(), group, number, digest };
-        let copies = self.rules.copies;
+        let copies = self.protections.copies;
         let mut body = Body::Inline(bytes.clone());
         if !is_inline(bytes.len(), self.candidates().len()) {
             let mut holders = self.put(&name, &bytes, &[], copies);
             if holders.len() == copies {
                 if copies < chicoryford_ledger::HOLDERS_PER_BODY {
-                    // The mutation must get past the ledger's own check.
+                    // Adds a holder so that the disabled protection passes the ledger's own check.
                     holders.push(Holder { node: Node::from("nobody"), ..Holder::default() });
                 }
                 body = Body::Held(holders);
@@ -347,53 +353,53 @@
                 continue;
             };
             let Some(bytes) = entry.store.get(name) else { continue };
-            let is_bad = entry.corrupt.contains(name);
-            let bytes = if is_bad { Bytes::from_static(b"{}") } else { bytes };
-            if !self.rules.verify || is_genuine(name, &bytes) {
+            let is_corrupt = entry.corrupt.contains(name);
+            let bytes = if is_corrupt { Bytes::from_static(b"{}") } else { bytes };
+            if !self.protections.verify || matches_digest(name, &bytes) {
                 return Some(bytes);
             }
-            self.counts.wrong += 1;
+            self.counts.corrupted += 1;
         }
         None
     }
 
     fn repair(&mut self) -> Result<(), String> {
-        if self.rules.repair {
+        if self.protections.repair {
             let present = self.present().into_iter().map(|index| self.holder(index)).collect();
             let audit = Audit { session: 1, present, ..Audit::default() };
             for lacking in self.ledger.audit(&audit).lacking {
-                self.mend(lacking, &audit.present)?;
+                self.repair_body(lacking, &audit.present)?;
             }
         }
         self.lost = self.still_lost();
         Ok(())
     }
 
-    /// Counts the copies that a repair could not make, for want of room or of processes. A
-    /// mutation that does not repair believes that it did.
+    /// Returns the number of copies that a repair could not create, because of too little space or
+    /// too few processes. If repairs are disabled, the run assumes that they succeeded.
     fn still_lost(&self) -> usize {
-        if !self.rules.repair {
+        if !self.protections.repair {
             return 0;
         }
         let present: Vec<Holder> = self.present().into_iter().map(|i| self.holder(i)).collect();
-        let scarce = chicoryford_ledger::HOLDERS_PER_BODY.saturating_sub(present.len());
+        let missing_processes = chicoryford_ledger::HOLDERS_PER_BODY.saturating_sub(present.len());
         let audit = Audit { session: 1, present: present.clone(), ..Audit::default() };
         let missing = |lacking: &UnderReplicated| {
             let left = lacking.from.iter().filter(|holder| present.contains(holder)).count();
             chicoryford_ledger::HOLDERS_PER_BODY - left
         };
-        let short = self.ledger.audit(&audit).lacking.iter().map(missing).max();
-        short.unwrap_or_default().max(scarce)
+        let missing_copies = self.ledger.audit(&audit).lacking.iter().map(missing).max();
+        missing_copies.unwrap_or_default().max(missing_processes)
     }
 
-    fn mend(&mut self, lacking: UnderReplicated, present: &[Holder]) -> Result<(), String> {
+    fn repair_body(&mut self, lacking: UnderReplicated, present: &[Holder]) -> Result<(), String> {
         let UnderReplicated { name, from, .. } = lacking;
         let Some(bytes) = self.read(&name, &from) else {
             return Err(format!("no holder has {name:?} any more"));
         };
         let mut to: Vec<Holder> = from.iter().filter(|h| present.contains(h)).cloned().collect();
         let kept: Vec<Node> = to.iter().map(|holder| holder.node.clone()).collect();
-        let wanted = self.rules.copies.saturating_sub(to.len());
+        let wanted = self.protections.copies.saturating_sub(to.len());
         to.extend(self.put(&name, &bytes, &kept, wanted));
         if to.len() == kept.len() {
             return Ok(());
@@ -405,11 +411,11 @@
         }
     }
 
-    fn tidy(&mut self) {
+    fn drop_unneeded(&mut self) {
         for entry in &mut self.entries {
             let audit = Audit { holds: entry.store.steps(), ..Audit::default() };
             let audited = self.ledger.audit(&audit);
-            self.counts.tidied += entry.store.retain(&audited.wanted, self.now) as u64;
+            self.counts.dropped += entry.store.retain(&audited.wanted, self.now) as u64;
         }
     }
 
@@ -427,16 +433,16 @@
             };
             let bytes = bytes.ok_or(format!("a pull found no holder of {name:?}"))?;
             if Digest::of(&bytes) != record.digest {
-                return Err(format!("the trainer got wrong bytes of {name:?}"));
+                return Err(format!("the trainer received wrong bytes of {name:?}"));
             }
             if self.pulled.is_none() {
-                let place = (name.key.step.0, name.group.0, name.number.0);
-                *self.received.entry(place).or_default() += 1;
+                let sample = (name.key.step.0, name.group.0, name.number.0);
+                *self.received.entry(sample).or_default() += 1;
             }
             bodies.push(bytes);
         }
         if self.pulled.as_ref().is_some_and(|before| *before != bodies) {
-            return Err("a second pull gave other bytes".to_owned());
+            return Err("a second pull returned other bytes".to_owned());
         }
         self.pulled = Some(bodies);
         self.counts.pulled += 1;
@@ -455,21 +461,21 @@
             return Ok(());
         }
         self.counts.steps += 1;
-        let expected = places().iter().filter(|(.., text)| *text == 0).count();
-        let own = self.received.iter().filter(|((step, ..), _)| *step == self.step);
-        let once = own.filter(|(_, count)| **count == 1).count();
-        if once != expected {
-            return Err(format!("{once} of {expected} samples came exactly once"));
+        let expected = attempts().iter().filter(|(.., text)| *text == 0).count();
+        let of_step = self.received.iter().filter(|((step, ..), _)| *step == self.step);
+        let exactly_once = of_step.filter(|(_, count)| **count == 1).count();
+        if exactly_once != expected {
+            return Err(format!("{exactly_once} of {expected} samples were received exactly once"));
         }
         self.open();
         Ok(())
     }
 
-    /// Ends the step that is open.
+    /// Completes the open step.
     pub fn finish(&mut self) -> Result<(), String> {
         let last = self.step;
         for _ in 0..100 {
-            for (group, number, _) in places() {
+            for (group, number, _) in attempts() {
                 if self.step == last {
                     self.done(group, number, 0)?;
                 }
@@ -480,20 +486,22 @@
                 break;
             }
         }
-        let broken = self.ledger.violations;
-        let is_done = self.step != last && broken == 0;
-        is_done.then_some(()).ok_or(format!("the step did not end; {broken} promises broken"))
+        let violations = self.ledger.violations;
+        let is_done = self.step != last && violations == 0;
+        is_done
+            .then_some(())
+            .ok_or(format!("the step did not end; {violations} invariants violated"))
     }
 }
 
-fn places() -> Vec<(u32, u32, u8)> {
-    let mut places = Vec::new();
+fn attempts() -> Vec<(u32, u32, u8)> {
+    let mut attempts = Vec::new();
     for group in 0..GROUPS {
         for number in 0..SAMPLES {
-            places.extend((0..4).map(|text| (group, number, text)));
+            attempts.extend((0..4).map(|text| (group, number, text)));
         }
     }
-    places
+    attempts
 }
 
 fn content(step: u64, group: u32, number: u32, text: u8) -> Vec<u8> {
--- a/components/depot/src/depot.rs
+++ b/components/depot/src/depot.rs
@@ -18,28 +18,28 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Bytes of one file; a whole file is removed when no part in it is wanted any more.
-const SEGMENT: u64 = 4 << 20;
+/// Bytes per file. A whole file is removed once none of its parts is needed any more.
+const SEGMENT_BYTES: u64 = 4 << 20;
 
 /// The depot cannot be used.
 #[derive(Debug, Error)]
 pub enum DepotError {
-    /// The disk failed, or what was synced is damaged.
+    /// The disk failed, or synced data is corrupt.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// An entry cannot be read; another release wrote it.
-    #[error("an entry of the depot cannot be read")]
+    /// An entry cannot be decoded; another release wrote it.
+    #[error("an entry of the depot cannot be decoded")]
     Unreadable(#[from] rmp_serde::decode::Error),
 }
 
 #[derive(Deserialize, Serialize)]
-struct Kept {
+struct StoredPart {
     part: PartId,
     bytes: Bytes,
 }
 
 impl DepotError {
-    /// Tells whether all that is wrong is that the disk has no room at present.
+    /// Returns whether the only problem is that the disk is full.
     pub fn is_full(&self) -> bool {
         matches!(self, Self::Storage(error) if error.is_full())
     }
@@ -49,62 +49,65 @@
 pub struct Depot {
     storage: Storage,
     identity: u64,
-    places: BTreeMap<PartId, u64>,
-    /// The entries before this one are not kept any more.
+    index: BTreeMap<PartId, u64>,
+    /// Entries before this one are no longer kept.
     base: u64,
-    /// Parts that came since the last [`Depot::keep`]; the one who asks may not know them yet.
-    fresh: BTreeSet<PartId>,
+    /// Parts added since the last [`Depot::retain`]; the caller may not have included them in its
+    /// list yet.
+    recent: BTreeSet<PartId>,
 }
 
 impl Depot {
-    /// Opens a folder, or creates it with an identity of its own. A folder that was lost comes
-    /// back with another identity, so that nobody counts on what it held.
+    /// Opens a folder, or creates it with a new identity. A folder that was lost gets another
+    /// identity, so that nobody relies on its previous parts.
     ///
     /// # Errors
     ///
-    /// [`DepotError`].
+    /// Returns [`DepotError`] if the folder cannot be opened or read.
     pub fn open(folder: &Path, disk: Disk) -> Result<Self, DepotError> {
         let identity = Incarnation(rand::random());
-        let settings = StorageSettings { segment: SEGMENT, kept: 0, identity };
+        let settings = StorageSettings { segment: SEGMENT_BYTES, kept: 0, identity };
         let (storage, recovered) = Storage::open(folder, settings, disk)?;
-        let mut places = BTreeMap::new();
+        let mut index = BTreeMap::new();
         for entry in recovered.entries {
-            let kept: Kept = rmp_serde::from_slice(&entry.body)?;
-            places.insert(kept.part, entry.index);
+            let stored: StoredPart = rmp_serde::from_slice(&entry.body)?;
+            index.insert(stored.part, entry.index);
         }
         let base = recovered.snapshot.map_or(0, |snapshot| snapshot.index);
-        let fresh = places.keys().copied().collect();
-        Ok(Self { storage, identity: recovered.identity.0, places, base, fresh })
+        let recent = index.keys().copied().collect();
+        Ok(Self { storage, identity: recovered.identity.0, index, base, recent })
     }
 
-    /// Gives the identity of the folder.
+    /// Returns the identity of the folder.
     pub fn identity(&self) -> u64 {
         self.identity
     }
 
-    /// Writes a part; it lasts only after [`Depot::sync`]. A part that is there stays.
+    /// Writes a part, which is durable only after [`Depot::sync`]. A part that exists already is
+    /// unchanged.
     ///
     /// # Errors
     ///
-    /// [`DepotError`]; nothing is written any more then, unless the disk only lacks room.
+    /// Returns [`DepotError`] if the part was not written. Unless the disk is only full, no further
+    /// writes succeed.
     pub fn put(&mut self, part: PartId, bytes: &Bytes) -> Result<(), DepotError> {
-        if self.places.contains_key(&part) {
+        if self.index.contains_key(&part) {
             return Ok(());
         }
-        let kept = Kept { part, bytes: bytes.clone() };
-        let body = rmp_serde::to_vec(&kept).expect("parts are plain data").into();
+        let stored = StoredPart { part, bytes: bytes.clone() };
+        let body = rmp_serde::to_vec(&stored).expect("parts are always serialisable").into();
         let index = self.storage.last() + 1;
         self.storage.append(&[Entry { index, epoch: Epoch(1), body }])?;
-        self.places.insert(part, index);
-        self.fresh.insert(part);
+        self.index.insert(part, index);
+        self.recent.insert(part);
         Ok(())
     }
 
-    /// Waits until all that was written is on the disk.
+    /// Waits until all writes are on the disk.
     ///
     /// # Errors
     ///
-    /// [`DepotError`]; what was written since the last call may be lost.
+    /// Returns [`DepotError`]; writes since the last sync may be lost.
     pub fn sync(&mut self) -> Result<(), DepotError> {
         Ok(self.storage.sync()?)
     }
@@ -113,40 +116,40 @@
     ///
     /// # Errors
     ///
-    /// [`DepotError`] if it is there and cannot be read.
+    /// Returns [`DepotError`] if it exists and cannot be read.
     pub fn get(&self, part: PartId) -> Result<Option<Bytes>, DepotError> {
-        let Some(index) = self.places.get(&part) else { return Ok(None) };
+        let Some(index) = self.index.get(&part) else { return Ok(None) };
         let Some(entry) = self.storage.read(*index)? else { return Ok(None) };
-        let kept: Kept = rmp_serde::from_slice(&entry.body)?;
-        Ok(Some(kept.bytes))
+        let stored: StoredPart = rmp_serde::from_slice(&entry.body)?;
+        Ok(Some(stored.bytes))
     }
 
-    /// Forgets all parts but these, and those that came since this was called last. Gives how
-    /// many it forgot.
+    /// Drops all parts except `wanted` and those added since the previous call. Returns the number
+    /// of dropped parts.
     ///
     /// # Errors
     ///
-    /// [`DepotError`] if files that are not wanted any more cannot be removed.
-    pub fn keep(&mut self, wanted: &BTreeSet<PartId>) -> Result<usize, DepotError> {
-        let before = self.places.len();
-        let fresh = std::mem::take(&mut self.fresh);
-        self.places.retain(|part, _| wanted.contains(part) || fresh.contains(part));
+    /// Returns [`DepotError`] if files that are no longer needed cannot be removed.
+    pub fn retain(&mut self, wanted: &BTreeSet<PartId>) -> Result<usize, DepotError> {
+        let before = self.index.len();
+        let recent = std::mem::take(&mut self.recent);
+        self.index.retain(|part, _| wanted.contains(part) || recent.contains(part));
         let last = self.storage.last();
-        let needless = self.places.values().min().map_or(last, |first| first - 1);
-        if needless > self.base && before > self.places.len() {
-            let snapshot = Snapshot { index: needless, epoch: Epoch(1), body: Bytes::new() };
+        let dropped_to = self.index.values().min().map_or(last, |first| first - 1);
+        if dropped_to > self.base && before > self.index.len() {
+            let snapshot = Snapshot { index: dropped_to, epoch: Epoch(1), body: Bytes::new() };
             self.storage.save_snapshot(&snapshot)?;
-            self.base = needless;
+            self.base = dropped_to;
         }
-        Ok(before - self.places.len())
+        Ok(before - self.index.len())
     }
 
-    /// Counts the parts.
+    /// Returns the number of parts.
     pub fn count(&self) -> usize {
-        self.places.len()
+        self.index.len()
     }
 
-    /// Counts the bytes of the files.
+    /// Returns the bytes of the files.
     pub fn bytes(&self) -> u64 {
         self.storage.bytes()
     }
--- a/components/depot/src/worker.rs
+++ b/components/depot/src/worker.rs
@@ -1,8 +1,8 @@
-//! The duty that owns the depot, on a thread of its own, so that a slow disk holds up nothing
-//! else of its process.
+//! The duty that owns the depot, on a thread of its own, so that a slow disk does not block the
+//! rest of the process.
 //!
-//! While the disk has no room, parts are refused at once, so that they go to other stores, and
-//! those that are there are still given.
+//! While the disk is full, parts are refused at once, so that they go to other stores, and existing
+//! parts are still read.
 
 use std::collections::BTreeSet;
 use std::sync::mpsc;
@@ -14,78 +14,80 @@
 use crate::depot::Depot;
 use crate::depot::DepotError;
 
-/// Jobs that one sync serves at most.
-const GROUP: usize = 64;
+/// The most jobs per sync.
+const MAX_JOBS_PER_SYNC: usize = 64;
 
 enum Job {
     Put(PartId, Bytes, oneshot::Sender<bool>),
     Get(PartId, oneshot::Sender<Option<Bytes>>),
-    Keep(BTreeSet<PartId>),
+    Retain(BTreeSet<PartId>),
 }
 
-/// The way to the depot's thread.
+/// A handle to the depot's thread.
 pub struct Worker {
     jobs: mpsc::Sender<Job>,
     identity: u64,
 }
 
 impl Worker {
-    /// Starts the thread. `failed` is told when the disk fails; nothing is kept any more then.
+    /// Starts the thread. `failed` is called if the disk fails; the depot stores nothing after
+    /// that.
     ///
     /// # Errors
     ///
-    /// Why there is no thread.
+    /// Returns the operating system's error if the thread cannot be started.
     pub fn start(
         mut depot: Depot,
         failed: impl FnOnce(DepotError) + Send + 'static,
     ) -> std::io::Result<Self> {
         let (jobs, queue) = mpsc::channel();
         let identity = depot.identity();
-        let work = move || {
+        let body = move || {
             if let Err(error) = run(&mut depot, &queue) {
                 failed(error);
             }
         };
-        std::thread::Builder::new().name("depot".to_owned()).spawn(work)?;
+        std::thread::Builder::new().name("depot".to_owned()).spawn(body)?;
         Ok(Self { jobs, identity })
     }
 
-    /// Gives the identity of the depot's folder.
+    /// Returns the identity of the depot's folder.
     pub fn identity(&self) -> u64 {
         self.identity
     }
 
-    /// Keeps a part; tells whether it is on the disk.
+    /// Stores a part. Returns whether it is on the disk.
     pub async fn put(&self, part: PartId, bytes: Bytes) -> bool {
-        let (done, told) = oneshot::channel();
-        // A thread that has ended drops the sender, which reads as not kept.
-        let _ = self.jobs.send(Job::Put(part, bytes, done));
-        told.await.unwrap_or(false)
+        let (replier, reply) = oneshot::channel();
+        // A thread that has ended drops the sender, which counts as not stored.
+        let _ = self.jobs.send(Job::Put(part, bytes, replier));
+        reply.await.unwrap_or(false)
     }
 
     /// Reads a part.
     pub async fn get(&self, part: PartId) -> Option<Bytes> {
-        let (done, told) = oneshot::channel();
-        let _ = self.jobs.send(Job::Get(part, done));
-        told.await.unwrap_or(None)
+        let (replier, reply) = oneshot::channel();
+        let _ = self.jobs.send(Job::Get(part, replier));
+        reply.await.unwrap_or(None)
     }
 
-    /// Forgets all parts but these.
-    pub fn keep(&self, wanted: BTreeSet<PartId>) {
-        let _ = self.jobs.send(Job::Keep(wanted));
+    /// Drops all parts except `wanted` and recent ones.
+    pub fn retain(&self, wanted: BTreeSet<PartId>) {
+        let _ = self.jobs.send(Job::Retain(wanted));
     }
 }
 
-/// Tells of a disk that is full, and of one that has room again, once each.
+/// Logs when the disk becomes full and when it has space again, once each.
 #[derive(Default)]
-struct Room {
+struct DiskSpace {
     full: bool,
 }
 
-impl Room {
-    /// Notes what became of a write; tells whether it was done. Other errors are handed on.
-    fn note(&mut self, written: Result<(), DepotError>) -> Result<bool, DepotError> {
-        match written {
+impl DiskSpace {
+    /// Records the result of a write. Returns whether it succeeded; passes on errors other than a
+    /// full disk.
+    fn record(&mut self, write: Result<(), DepotError>) -> Result<bool, DepotError> {
+        match write {
             Err(error) if error.is_full() => {
                 if !self.full {
                     tracing::error!(event = "disk_full", %error);
@@ -106,55 +108,60 @@
 }
 
 fn run(depot: &mut Depot, queue: &mpsc::Receiver<Job>) -> Result<(), DepotError> {
-    let mut room = Room::default();
+    let mut space = DiskSpace::default();
     while let Ok(first) = queue.recv() {
         let mut jobs = vec![first];
-        while jobs.len() < GROUP {
+        while jobs.len() < MAX_JOBS_PER_SYNC {
             let Ok(job) = queue.try_recv() else { break };
             jobs.push(job);
         }
-        let mut synced = Vec::new();
+        let mut awaiting_sync = Vec::new();
         for job in jobs {
             match job {
-                Job::Put(part, bytes, done) => {
-                    if room.note(depot.put(part, &bytes))? {
-                        synced.push(done);
+                Job::Put(part, bytes, replier) => {
+                    if space.record(depot.put(part, &bytes))? {
+                        awaiting_sync.push(replier);
                     } else {
-                        // Whoever asked may have left.
-                        let _ = done.send(false);
+                        // The caller may have gone.
+                        let _ = replier.send(false);
                     }
                 }
-                Job::Get(part, done) => answer(depot, part, done),
-                Job::Keep(wanted) => forget(depot, &wanted, &mut room)?,
+                Job::Get(part, replier) => send_part(depot, part, replier),
+                Job::Retain(wanted) => drop_parts(depot, &wanted, &mut space)?,
             }
         }
-        if !synced.is_empty() {
+        if !awaiting_sync.is_empty() {
             depot.sync()?;
         }
-        for done in synced {
-            // Whoever asked may have left.
-            let _ = done.send(true);
+        for replier in awaiting_sync {
+            // The caller may have gone.
+            let _ = replier.send(true);
         }
     }
     Ok(())
 }
 
-/// Forgets parts. If the disk has no room to note it, their files go with the next that are forgotten.
-fn forget(depot: &mut Depot, wanted: &BTreeSet<PartId>, room: &mut Room) -> Result<(), DepotError> {
+/// Drops parts. If the disk is too full to record it, their files are removed with the next dropped
+/// parts.
+fn drop_parts(
+    depot: &mut Depot,
+    wanted: &BTreeSet<PartId>,
+    space: &mut DiskSpace,
+) -> Result<(), DepotError> {
     let before = depot.count();
-    let kept = depot.keep(wanted);
-    if room.note(kept.map(drop))? && depot.count() < before {
+    let result = depot.retain(wanted);
+    if space.record(result.map(drop))? && depot.count() < before {
         let (forgotten, parts, bytes) = (before - depot.count(), depot.count(), depot.bytes());
         tracing::info!(event = "parts_forgotten", forgotten, parts, bytes);
     }
     Ok(())
 }
 
-fn answer(depot: &Depot, part: PartId, done: oneshot::Sender<Option<Bytes>>) {
-    let found = depot.get(part).unwrap_or_else(|error| {
-        // Other copies hold it too; this one counts as lost.
+fn send_part(depot: &Depot, part: PartId, replier: oneshot::Sender<Option<Bytes>>) {
+    let part_bytes = depot.get(part).unwrap_or_else(|error| {
+        // Other copies exist; this one counts as lost.
         tracing::error!(event = "part_unreadable", part = part.0, %error);
         None
     });
-    let _ = done.send(found);
+    let _ = replier.send(part_bytes);
 }
--- a/components/depot/tests/depot.rs
+++ b/components/depot/tests/depot.rs
@@ -1,4 +1,5 @@
-//! The depot: parts that were synced come back, and those that nobody wants leave the disk.
+//! Tests of the depot: synced parts survive a restart, and unneeded parts are removed from the
+//! disk.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -25,12 +26,12 @@
     Depot::open(folder, Disk::default()).unwrap()
 }
 
-/// Opens a folder as soon as the thread that had it has let go of it.
+/// Opens a folder as soon as the previous thread has released its lock.
 fn reopen(folder: &std::path::Path) -> Depot {
-    let until = Instant::now() + Duration::from_secs(5);
+    let deadline = Instant::now() + Duration::from_secs(5);
     loop {
         match Depot::open(folder, Disk::default()) {
-            Err(DepotError::Storage(StorageError::Locked(_))) if Instant::now() < until => {
+            Err(DepotError::Storage(StorageError::Locked(_))) if Instant::now() < deadline => {
                 std::thread::sleep(Duration::from_millis(5));
             }
             opened => return opened.unwrap(),
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn parts_come_back_after_a_restart_under_the_same_identity() {
+fn parts_and_identity_survive_a_restart() {
     let folder = tempfile::tempdir().unwrap();
     let mut depot = open(folder.path());
     let identity = depot.identity();
@@ -62,16 +63,15 @@
 }
 
 #[test]
-fn a_lost_folder_comes_back_as_another() {
+fn a_new_folder_has_another_identity() {
     let (one, two) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
     assert_ne!(open(one.path()).identity(), open(two.path()).identity());
 }
 
-/// Symptom: a part that was just written is gone.
-/// Sequence: the leader lists what it wants kept; a part is written; the list arrives.
-/// Cause: the list was older than the part.
+/// Guards against the loss of a part that was just written: the leader lists the parts to keep, a
+/// part is written, and then the list, which is older than the part, arrives.
 #[test]
-fn what_is_not_wanted_leaves_the_disk_but_not_at_first_sight() {
+fn unneeded_parts_are_removed_but_not_recent_ones() {
     let folder = tempfile::tempdir().unwrap();
     let mut depot = open(folder.path());
     for number in 0..60 {
@@ -81,8 +81,8 @@
     depot.sync().unwrap();
     let full = depot.bytes();
     let wanted = BTreeSet::from([PartId(58), PartId(59)]);
-    assert_eq!(depot.keep(&wanted).unwrap(), 0, "they are fresh");
-    assert_eq!(depot.keep(&wanted).unwrap(), 58);
+    assert_eq!(depot.retain(&wanted).unwrap(), 0, "they are recent");
+    assert_eq!(depot.retain(&wanted).unwrap(), 58);
     assert!(depot.bytes() < full / 2, "{} of {full}", depot.bytes());
     assert_eq!(depot.get(PartId(59)).unwrap(), Some(part(59).1));
     drop(depot);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_worker_answers_for_its_depot() {
+fn a_worker_writes_and_reads_its_depot() {
     let folder = tempfile::tempdir().unwrap();
     let worker = Worker::start(open(folder.path()), |error| panic!("{error}")).unwrap();
     let (id, bytes) = part(7);
@@ -103,11 +103,11 @@
     });
 }
 
-/// Symptom: a store ends itself again and again, and what it holds cannot be read meanwhile.
-/// Sequence: its disk fills; a part cannot be written; the process ends, starts again, and is asked
-/// to keep the next part. Cause: a disk without room was taken for one that fails.
+/// Guards against a store that repeatedly ends itself and cannot be read meanwhile: a full disk
+/// must not be treated as a failed one, because the process would end at each write that fails,
+/// restart, and be asked to store the next part.
 #[test]
-fn a_store_without_room_refuses_parts_and_still_gives_those_it_has() {
+fn a_full_store_refuses_parts_and_still_reads_existing_ones() {
     let folder = tempfile::tempdir().unwrap();
     let full = Arc::new(AtomicBool::new(false));
     let refusing = full.clone();
@@ -127,16 +127,16 @@
         full.store(true, Ordering::SeqCst);
         for number in 2..20 {
             let (id, bytes) = part(number);
-            assert!(!worker.put(id, bytes).await, "it is not on the disk");
+            assert!(!worker.put(id, bytes).await, "the disk is full");
             assert_eq!(worker.get(id).await, None);
         }
-        worker.keep(BTreeSet::new());
-        worker.keep(BTreeSet::new());
+        worker.retain(BTreeSet::new());
+        worker.retain(BTreeSet::new());
         assert_eq!(worker.get(PartId(2)).await, None);
         full.store(false, Ordering::SeqCst);
         for number in 30..50 {
             let (id, bytes) = part(number);
-            assert!(worker.put(id, bytes).await, "there is room again");
+            assert!(worker.put(id, bytes).await, "the disk has space again");
         }
     });
     drop(worker);
--- a/components/entry/src/bodies/audit.rs
+++ b/components/entry/src/bodies/audit.rs
@@ -46,14 +46,14 @@
         }
         self.is_released.set(false);
         let stored = || context.bodies.store().steps();
-        let audit = self.auditor.borrow_mut().question(present, stored, context.now())?;
+        let audit = self.auditor.borrow_mut().next_audit(present, stored, context.now())?;
         Some(Audit { node: context.node.clone(), session, ..audit })
     }
 
     /// Applies the reply to an audit: drops bodies that are no longer needed, and starts to repair
     /// those that lack holders.
     pub fn apply_reply(&self, context: &Context, audited: Option<&AuditReply>) {
-        self.auditor.borrow_mut().answered(audited);
+        self.auditor.borrow_mut().handle_reply(audited);
         let Some(audited) = audited else { return };
         let dropped = context.bodies.store().retain(&audited.wanted, context.now());
         if dropped > 0 {
--- a/components/entry/src/bodies/fetch.rs
+++ b/components/entry/src/bodies/fetch.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chicoryford_bodies::is_genuine;
+use chicoryford_bodies::matches_digest;
 use chicoryford_bodies::message::Found;
 use chicoryford_bodies::message::Get;
 use chicoryford_ledger::BodyName;
@@ -160,7 +160,7 @@
 }
 
 fn check(context: &Context, node: &Node, name: &BodyName, bytes: &Bytes) -> bool {
-    let is_genuine = is_genuine(name, bytes);
+    let is_genuine = matches_digest(name, bytes);
     if !is_genuine {
         let BodyName { key, group, number, .. } = name;
         let (workspace, step) = (&key.workspace, key.step);
--- a/components/entry/src/bodies/repair.rs
+++ b/components/entry/src/bodies/repair.rs
@@ -1,7 +1,7 @@
 //! Copies bodies that lost a holder, and reopens samples that lost all holders.
 
 use bytes::Bytes;
-use chicoryford_bodies::order;
+use chicoryford_bodies::rank_candidates;
 use chicoryford_ledger::HOLDERS_PER_BODY;
 use chicoryford_ledger::Holder;
 use chicoryford_ledger::LedgerCommand;
@@ -60,7 +60,7 @@
     let is_up = |h: &&Holder| entries.iter().any(|member| holder(member) == **h);
     let mut to: Vec<Holder> = from.iter().filter(is_up).cloned().collect();
     let kept: Vec<Node> = to.iter().map(|holder| holder.node.clone()).collect();
-    let queue = order(&name, &replicate::candidates(&entries), &kept);
+    let queue = rank_candidates(&name, &replicate::candidates(&entries), &kept);
     let wanted = HOLDERS_PER_BODY.saturating_sub(to.len());
     let added = replicate::put(context, &name, bytes, queue, wanted).await;
     if added.is_empty() {
--- a/components/entry/src/bodies/replicate.rs
+++ b/components/entry/src/bodies/replicate.rs
@@ -11,7 +11,7 @@
 use chicoryford_bodies::message::Dropped;
 use chicoryford_bodies::message::Put;
 use chicoryford_bodies::message::Stored;
-use chicoryford_bodies::order;
+use chicoryford_bodies::rank_candidates;
 use chicoryford_kernel::Phase;
 use chicoryford_ledger::Body;
 use chicoryford_ledger::BodyName;
@@ -60,7 +60,7 @@
     if is_inline(bytes.len(), candidates.len()) {
         return Body::Inline(bytes.clone());
     }
-    let queue = order(name, &candidates, &[]);
+    let queue = rank_candidates(name, &candidates, &[]);
     let holders = put(context, name, bytes, queue, HOLDERS_PER_BODY).await;
     if holders.len() < HOLDERS_PER_BODY {
         tracing::warn!(event = "body_kept_inline", holders = holders.len(), size = bytes.len());
--- a/components/entry/src/bodies/routes.rs
+++ b/components/entry/src/bodies/routes.rs
@@ -53,7 +53,7 @@
             let failure = Failure::not_run(Code::Overloaded, error.to_string());
             return Err(failure.retry_after(FULL_RETRY_MS));
         }
-        Err(error @ PutError::Garbled) => {
+        Err(error @ PutError::DigestMismatch) => {
             return Err(Failure::not_run(Code::BadRequest, error.to_string()));
         }
     }
--- a/components/kernel/src/dump.rs
+++ b/components/kernel/src/dump.rs
@@ -1,4 +1,4 @@
-//! State dumps: each service adds a part, an operator asks for the whole.
+//! State dumps: each service adds a part, and an operator requests all of them.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -8,18 +8,19 @@
 
 use serde_json::Value;
 
-/// A part of a dump on its way.
+/// The future of one part of a dump.
 pub type Part = Pin<Box<dyn Future<Output = Value>>>;
 type Source = Arc<dyn Fn() -> Part + Send + Sync>;
 
-/// Collects the parts of a process's state dump by name.
+/// The parts of a process's state dump, by name.
 #[derive(Default)]
 pub struct Dumps {
     sources: Mutex<BTreeMap<&'static str, Source>>,
 }
 
 impl Dumps {
-    /// Adds a part. It must hold no secrets: dumps go to operators and into tickets.
+    /// Adds a part. It must not contain secrets, because dumps are sent to operators and attached
+    /// to tickets.
     pub fn add<F, Fut>(&self, name: &'static str, source: F)
     where
         F: Fn() -> Fut + Send + Sync + 'static,
@@ -29,16 +30,16 @@
         sources.insert(name, Arc::new(move || Box::pin(source())));
     }
 
-    /// Takes the whole dump.
+    /// Collects all parts.
     pub async fn take(&self) -> Value {
         let sources = {
             let sources = self.sources.lock().expect("no duty panics while it holds this lock");
             sources.clone()
         };
-        let mut whole = serde_json::Map::new();
+        let mut dump = serde_json::Map::new();
         for (name, source) in sources {
-            whole.insert(name.to_owned(), source().await);
+            dump.insert(name.to_owned(), source().await);
         }
-        Value::Object(whole)
+        Value::Object(dump)
     }
 }
--- a/components/kernel/src/duty.rs
+++ b/components/kernel/src/duty.rs
@@ -1,4 +1,4 @@
-//! Duties: one thread each.
+//! Duties, each on a thread of its own.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -11,23 +11,22 @@
 use crate::Kernel;
 use crate::phase::Phase;
 
-/// A duty's thread could not be started.
+/// The thread of a duty could not be started.
 #[derive(Debug, Error)]
 #[error("cannot start the thread of duty {name}")]
 pub struct DutyError {
     /// The duty.
     pub name: &'static str,
-    /// What the operating system said.
+    /// The operating system's error.
     pub source: std::io::Error,
 }
 
-/// Lists the duties that run, so that the end of a process can wait for them and a dump can
-/// show them.
+/// The running duties. The process waits for them at its end, and dumps list them.
 #[derive(Debug, Default)]
 pub struct Duties(Mutex<Vec<&'static str>>);
 
 impl Duties {
-    /// Names the duties that run.
+    /// Returns the names of the running duties.
     pub fn running(&self) -> Vec<&'static str> {
         self.0.lock().expect("no duty panics while it holds this lock").clone()
     }
@@ -38,8 +37,8 @@
 
     fn end(&self, name: &'static str) {
         let mut names = self.0.lock().expect("no duty panics while it holds this lock");
-        if let Some(place) = names.iter().position(|n| *n == name) {
-            names.swap_remove(place);
+        if let Some(index) = names.iter().position(|running| *running == name) {
+            names.swap_remove(index);
         }
     }
 }
@@ -47,66 +46,65 @@
 impl Kernel {
     /// Runs an async duty on a thread of its own.
     ///
-    /// A duty that panics would leave the process half alive: requests would wait for answers
-    /// that nobody gives. The thread's end by panic is noticed here and stops the process, whose
-    /// supervisor restarts it whole.
+    /// If a duty panicked and the process continued, requests would wait for answers that are never
+    /// sent. A panic therefore stops the process, and its supervisor restarts it as a whole.
     ///
     /// # Errors
     ///
-    /// [`DutyError`] if the operating system refuses the thread.
+    /// Returns [`DutyError`] if the operating system refuses the thread.
     pub fn duty<F, Fut>(&self, name: &'static str, run: F) -> Result<JoinHandle<()>, DutyError>
     where
         F: FnOnce(Kernel) -> Fut + Send + 'static,
         Fut: Future<Output = ()>,
     {
         let kernel = self.clone();
-        let body = move || {
-            let guard = EndGuard::new(name, &kernel);
+        let thread_main = move || {
+            let guard = DutyGuard::new(name, &kernel);
             actix_rt::System::new().block_on(run(kernel));
             drop(guard);
         };
         thread::Builder::new()
             .name(name.to_owned())
-            .spawn(body)
+            .spawn(thread_main)
             .map_err(|source| DutyError { name, source })
     }
 
-    /// Runs a duty that blocks, such as one that syncs files, on a thread of its own.
+    /// Runs a blocking duty, such as one that syncs files, on a thread of its own.
     ///
     /// # Errors
     ///
-    /// [`DutyError`] if the operating system refuses the thread.
+    /// Returns [`DutyError`] if the operating system refuses the thread.
     pub fn blocking_duty<F>(&self, name: &'static str, run: F) -> Result<JoinHandle<()>, DutyError>
     where
         F: FnOnce(Kernel) + Send + 'static,
     {
         let kernel = self.clone();
-        let body = move || {
-            let guard = EndGuard::new(name, &kernel);
+        let thread_main = move || {
+            let guard = DutyGuard::new(name, &kernel);
             run(kernel);
             drop(guard);
         };
         thread::Builder::new()
             .name(name.to_owned())
-            .spawn(body)
+            .spawn(thread_main)
             .map_err(|source| DutyError { name, source })
     }
 }
 
-struct EndGuard {
+struct DutyGuard {
     name: &'static str,
     phases: crate::Phases,
     duties: Arc<Duties>,
 }
 
-impl EndGuard {
+impl DutyGuard {
     fn new(name: &'static str, kernel: &Kernel) -> Self {
         kernel.duties.begin(name);
         Self { name, phases: kernel.phases.clone(), duties: kernel.duties.clone() }
     }
 }
 
-impl Drop for EndGuard {
+impl Drop for DutyGuard {
     fn drop(&mut self) {
         self.duties.end(self.name);
         if thread::panicking() {
--- a/components/kernel/src/lib.rs
+++ b/components/kernel/src/lib.rs
@@ -1,5 +1,5 @@
-//! The micro-kernel: services find each other by name, duties run on threads of their own, and
-//! bounded rings join them. docs/ARCHITECTURE.md shows which duties each role has.
+//! The microkernel: a registry of services by name, duties that run on threads of their own, and
+//! the bounded rings that connect them. docs/ARCHITECTURE.md lists the duties of each role.
 
 pub mod dump;
 pub mod duty;
@@ -20,24 +20,24 @@
 pub use ring::Sender;
 pub use ring::ring;
 
-/// What a duty is given at its start: the ways to find the rest of the process.
+/// Gives a duty access to the rest of the process.
 #[derive(Clone)]
 pub struct Kernel {
     /// Services by name.
     pub registry: Arc<Registry>,
     /// State dumps by name.
     pub dumps: Arc<Dumps>,
-    /// The duties that run.
+    /// The running duties.
     pub duties: Arc<Duties>,
-    /// Whether the process runs, drains or stops.
+    /// The phase of the process.
     pub phases: Phases,
-    /// Where metrics go.
+    /// The destination of metrics.
     pub metrics: Metrics,
     clock: std::time::Instant,
 }
 
 impl Kernel {
-    /// Makes the kernel of a process that has no services yet.
+    /// Returns the kernel of a process that has no services yet.
     pub fn new(metrics: Metrics) -> Self {
         Self {
             registry: Arc::new(Registry::default()),
@@ -55,8 +55,8 @@
     }
 }
 
-/// Reads the wall clock, which only people and idempotency keys depend on.
+/// Reads the wall clock. Only displayed times and idempotency keys depend on it.
 pub fn unix() -> chicoryford_types::Unix {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    chicoryford_types::Unix(since.map_or(0, |d| d.as_millis() as u64))
+    chicoryford_types::Unix(since.map_or(0, |duration| duration.as_millis() as u64))
 }
--- a/components/kernel/src/metrics.rs
+++ b/components/kernel/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, sent by UDP in the statsd form.
+//! Metrics, sent over UDP in the statsd format.
 
 use std::net::SocketAddr;
 use std::net::UdpSocket;
@@ -16,28 +16,29 @@
 /// The metrics socket could not be set up.
 #[derive(Debug, Error)]
 pub enum MetricsError {
-    /// No UDP socket could be opened.
+    /// The UDP socket could not be opened.
     #[error("cannot open a UDP socket for metrics")]
     Socket(#[source] std::io::Error),
-    /// The address was not usable.
+    /// The address cannot be used.
     #[error("cannot send metrics to {0}")]
     Address(SocketAddr, #[source] cadence::MetricError),
 }
 
-/// Room for metrics that wait to be sent; past it they are dropped, never waited for.
-const QUEUE: usize = 4_096;
+/// The capacity of the queue of metrics to send. Further metrics are dropped rather than waited
+/// for.
+const QUEUE_CAPACITY: usize = 4_096;
 
-/// Where a process's metrics go. A metric that cannot be sent is lost silently by design: the
-/// work itself must not wait for it.
+/// The metrics of a process. A metric that cannot be sent is dropped silently by design, because
+/// requests must not wait for metrics.
 #[derive(Clone)]
 pub struct Metrics(Arc<StatsdClient>);
 
 impl Metrics {
-    /// Sends metrics to `address`, or nowhere.
+    /// Sends metrics to `address`, or drops them if there is none.
     ///
     /// # Errors
     ///
-    /// [`MetricsError`] if no socket can be opened.
+    /// Returns [`MetricsError`] if the socket cannot be opened or the address cannot be used.
     pub fn new(address: Option<SocketAddr>) -> Result<Self, MetricsError> {
         let Some(address) = address else {
             return Ok(Self(Arc::new(StatsdClient::from_sink("chicoryford", NopMetricSink))));
@@ -46,7 +47,7 @@
         socket.set_nonblocking(true).map_err(MetricsError::Socket)?;
         let sink = UdpMetricSink::from(address, socket)
             .map_err(|error| MetricsError::Address(address, error))?;
-        let sink = QueuingMetricSink::with_capacity(sink, QUEUE);
+        let sink = QueuingMetricSink::with_capacity(sink, QUEUE_CAPACITY);
         Ok(Self(Arc::new(StatsdClient::from_sink("chicoryford", sink))))
     }
 
@@ -55,7 +56,7 @@
         let _ = self.0.count(name, n);
     }
 
-    /// Reports the present value of something.
+    /// Reports the current value of a gauge.
     pub fn gauge(&self, name: &str, value: u64) {
         let _ = self.0.gauge(name, value);
     }
--- a/components/kernel/src/phase.rs
+++ b/components/kernel/src/phase.rs
@@ -1,20 +1,20 @@
-//! The phases of a process's life: it runs, it drains, it stops.
+//! The phases of a process: running, draining, stopping.
 
 use tokio::sync::watch;
 
-/// A phase of a process's life.
+/// The phase of a process.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Phase {
-    /// The process takes work.
+    /// The process accepts work.
     #[default]
     Running,
-    /// The process takes no new work and finishes what is in progress.
+    /// The process accepts no new work and finishes the work in progress.
     Draining,
     /// The process ends.
     Stopping,
 }
 
-/// Tells every duty the process's phase; a process never goes back to an earlier phase.
+/// Publishes the phase of the process to every duty. A process never returns to an earlier phase.
 #[derive(Clone)]
 pub struct Phases(std::sync::Arc<watch::Sender<Phase>>);
 
@@ -30,26 +30,26 @@
         Self(std::sync::Arc::new(watch::Sender::new(Phase::Running)))
     }
 
-    /// Gives the present phase.
+    /// Returns the current phase.
     pub fn now(&self) -> Phase {
         *self.0.borrow()
     }
 
-    /// Moves on to `phase`, unless the process is already there or further.
+    /// Advances to `phase`, unless the process has already reached it.
     pub fn advance(&self, phase: Phase) {
-        self.0.send_if_modified(|now| {
-            let moves = phase > *now;
-            if moves {
-                *now = phase;
+        self.0.send_if_modified(|current| {
+            let advances = phase > *current;
+            if advances {
+                *current = phase;
             }
-            moves
+            advances
         });
     }
 
     /// Waits until the process has reached `phase`.
     pub async fn reached(&self, phase: Phase) {
         let mut receiver = self.0.subscribe();
-        // The sender lives as long as self, so waiting cannot fail.
-        let _ = receiver.wait_for(|now| *now >= phase).await;
+        // The sender exists as long as self, so waiting cannot fail.
+        let _ = receiver.wait_for(|current| *current >= phase).await;
     }
 }
--- a/components/kernel/src/registry.rs
+++ b/components/kernel/src/registry.rs
@@ -1,4 +1,4 @@
-//! Services by name.
+//! The registry of services by name.
 
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -7,19 +7,19 @@
 
 use thiserror::Error;
 
-/// A service was asked for that nothing offers under that name and type.
+/// No service is registered under this name and type.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-#[error("no service named {0:?} of the wanted type is offered in this process")]
+#[error("no service named {0:?} of the requested type is registered in this process")]
 pub struct MissingService(pub &'static str);
 
-/// Holds the services of a process, which find each other by name.
+/// The services of a process by name.
 #[derive(Default)]
 pub struct Registry {
     services: Mutex<BTreeMap<&'static str, Arc<dyn Any + Send + Sync>>>,
 }
 
 impl Registry {
-    /// Offers a service; a later offer under the same name replaces it.
+    /// Registers a service. It replaces a previous one of the same name.
     pub fn offer<T: Send + Sync + 'static>(&self, name: &'static str, service: T) {
         let mut services = self.services.lock().expect("no duty panics while it holds this lock");
         services.insert(name, Arc::new(service));
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// [`MissingService`] if nothing of type `T` is offered under `name`.
+    /// Returns [`MissingService`] if no service of type `T` is registered under `name`.
     pub fn find<T: Send + Sync + 'static>(
         &self,
         name: &'static str,
@@ -39,7 +39,7 @@
         service.downcast().map_err(|_| MissingService(name))
     }
 
-    /// Lists the names under which services are offered.
+    /// Lists the names of the registered services.
     pub fn names(&self) -> Vec<&'static str> {
         let services = self.services.lock().expect("no duty panics while it holds this lock");
         services.keys().copied().collect()
--- a/components/kernel/src/ring.rs
+++ b/components/kernel/src/ring.rs
@@ -1,15 +1,15 @@
-//! Bounded rings between duties.
+//! Bounded channels between duties, called rings.
 //!
-//! A full ring refuses instead of growing, so that overload shows where it starts and memory
-//! stays bounded; the sender decides what a refusal means.
+//! A full ring refuses items instead of growing, so that overload is visible where it starts and
+//! memory stays bounded. The sender decides how to handle a refusal.
 
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Why a ring did not take an item; the item comes back.
+/// Why an item was not sent; it is returned to the sender.
 #[derive(Debug, Error)]
 pub enum RingError<T> {
-    /// The ring is full: the receiving duty does not keep up.
+    /// The ring is full: the receiving duty is too slow.
     #[error("the ring is full")]
     Full(T),
     /// The receiving duty has ended.
@@ -17,13 +17,13 @@
     Closed(T),
 }
 
-/// The sending end of a ring.
+/// The sending half of a ring.
 pub struct Sender<T>(mpsc::Sender<T>);
 
-/// The receiving end of a ring; one duty holds it.
+/// The receiving half of a ring, owned by one duty.
 pub struct Receiver<T>(mpsc::Receiver<T>);
 
-/// Makes a ring that holds at most `capacity` items.
+/// Creates a ring with a capacity in items.
 pub fn ring<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
     let (sender, receiver) = mpsc::channel(capacity);
     (Sender(sender), Receiver(receiver))
@@ -36,11 +36,11 @@
 }
 
 impl<T> Sender<T> {
-    /// Puts an item into the ring without waiting.
+    /// Sends an item without waiting.
     ///
     /// # Errors
     ///
-    /// [`RingError`] with the item if the ring is full or its receiver is gone.
+    /// Returns [`RingError`] with the item if the ring is full or its receiver was dropped.
     pub fn offer(&self, item: T) -> Result<(), RingError<T>> {
         self.0.try_send(item).map_err(|error| match error {
             mpsc::error::TrySendError::Full(item) => RingError::Full(item),
@@ -48,47 +48,47 @@
         })
     }
 
-    /// Puts an item into the ring, waiting for room.
+    /// Sends an item, waiting while the ring is full.
     ///
     /// # Errors
     ///
-    /// [`RingError::Closed`] with the item if the receiver is gone.
+    /// Returns [`RingError::Closed`] with the item if the receiver was dropped.
     pub async fn send(&self, item: T) -> Result<(), RingError<T>> {
         self.0.send(item).await.map_err(|error| RingError::Closed(error.0))
     }
 
-    /// Puts an item into the ring from a thread that has no async runtime, waiting for room.
+    /// Sends an item from a thread without an async runtime, waiting while the ring is full.
     ///
     /// # Errors
     ///
-    /// [`RingError::Closed`] with the item if the receiver is gone.
+    /// Returns [`RingError::Closed`] with the item if the receiver was dropped.
     pub fn send_blocking(&self, item: T) -> Result<(), RingError<T>> {
         self.0.blocking_send(item).map_err(|error| RingError::Closed(error.0))
     }
 
-    /// Counts the free places.
+    /// Returns the free capacity.
     pub fn room(&self) -> usize {
         self.0.capacity()
     }
 }
 
 impl<T> Receiver<T> {
-    /// Takes the next item, or none when all senders are gone.
+    /// Receives the next item, or none once all senders are dropped.
     pub async fn next(&mut self) -> Option<T> {
         self.0.recv().await
     }
 
-    /// Takes the next item on a thread that has no async runtime.
+    /// Receives the next item on a thread without an async runtime.
     pub fn next_blocking(&mut self) -> Option<T> {
         self.0.blocking_recv()
     }
 
-    /// Tells whether nobody sends any more; what was sent before may still be there.
+    /// Returns whether all senders are dropped. Items that were sent before may still be queued.
     pub fn is_closed(&self) -> bool {
         self.0.is_closed()
     }
 
-    /// Takes an item if one is there.
+    /// Receives an item if one is queued.
     pub fn take(&mut self) -> Option<T> {
         self.0.try_recv().ok()
     }
--- a/components/kernel/tests/registry.rs
+++ b/components/kernel/tests/registry.rs
@@ -1,10 +1,10 @@
-//! Services are found by name and type.
+//! Tests that services are found by name and type.
 
 use chicoryford_kernel::Registry;
 use chicoryford_kernel::registry::MissingService;
 
 #[test]
-fn can_find_what_is_offered() {
+fn can_find_a_registered_service() {
     let registry = Registry::default();
     registry.offer("answer", 42_u32);
     assert_eq!(*registry.find::<u32>("answer").unwrap(), 42);
--- a/components/node/src/link.rs
+++ b/components/node/src/link.rs
@@ -376,7 +376,7 @@
                 }
                 StoreRequest::Get(part) => StoreReply::Part(depot.get(part).await),
                 StoreRequest::Keep(wanted) => {
-                    depot.keep(wanted);
+                    depot.retain(wanted);
                     return;
                 }
             };
