--- a/components/admission/src/queue.rs
+++ b/components/admission/src/queue.rs
@@ -107,7 +107,7 @@
         self.by_order.first_key_value().map(|(key, _)| key.0)
     }
 
-    /// Returns the earliest latest start among the requests.
+    /// Returns when the next request expires, which is the earliest of the latest starts.
     pub fn next_expiry(&self) -> Option<Millis> {
         self.by_latest_start.first_key_value().map(|((latest_start, _), _)| *latest_start)
     }
--- a/components/admission/tests/admit.rs
+++ b/components/admission/tests/admit.rs
@@ -40,8 +40,8 @@
 
 #[test]
 fn can_refuse_a_queued_request_that_cannot_meet_its_deadline() {
-    // Guards against a caller that is told only at its deadline that its request never started: a
-    // queued request must be refused as soon as it can no longer finish in time.
+    // Guards against a refusal that is sent only at the request's deadline: a queued request must
+    // be refused as soon as it can no longer finish in time.
     let mut admission = Admission::new(Settings::default(), 1);
     assert_eq!(admit(&mut admission, 0, 1, Class::Normal, 10), Decision::Wait);
     let wake = admission.wake().unwrap();
--- a/components/depot/src/worker.rs
+++ b/components/depot/src/worker.rs
@@ -122,7 +122,7 @@
                     if space.record(depot.put(part, &bytes))? {
                         awaiting_sync.push(replier);
                     } else {
-                        // The caller may have gone.
+                        // The caller may have stopped waiting.
                         let _ = replier.send(false);
                     }
                 }
@@ -134,7 +134,7 @@
             depot.sync()?;
         }
         for replier in awaiting_sync {
-            // The caller may have gone.
+            // The caller may have stopped waiting.
             let _ = replier.send(true);
         }
     }
--- a/components/ledger/src/audit.rs
+++ b/components/ledger/src/audit.rs
@@ -1,5 +1,5 @@
-//! Audits of bodies: an entry reports the bodies that it holds and learns which ones to repair or
-//! drop.
+//! Audits of bodies: an entry reports the bodies that it holds, and the reply lists those to repair
+//! and those still needed.
 //!
 //! The leader answers from its state, together with a renewal of the entry's session; nothing is
 //! written to the log.
--- a/components/routing/src/capacity.rs
+++ b/components/routing/src/capacity.rs
@@ -47,7 +47,7 @@
             load += endpoint_load;
             started_since_report += state.own_in_flight as f32 - state.own_reported as f32;
             let limit = if self.settings.adapt { state.limit.get() } else { state.slots as f32 };
-            // Slots do not stand for the resource that is exhausted first: long prompts exhaust
+            // The slots do not represent the resource that is exhausted first: long prompts exhaust
             // prefill, and traffic between engines the link, while memory is free. The smallest
             // headroom decides (Polyulya, "Multi-Resource Capacity and the Price of Anarchy",
             // definition 4; docs/ADMISSION.md).
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -87,7 +87,7 @@
             Rule::LeastInFlight => self.least_in_flight(now, request, random),
             Rule::TwoChoices => self.best_of_random(now, request, 2, |score| score.load_share),
             Rule::Probing => self.best_of_random(now, request, self.settings.draws, probing_rank),
-            Rule::LeastFinish => self.least_finish(now, request),
+            Rule::LeastFinish => self.earliest_finish(now, request),
         };
         best.or_else(|| self.first_eligible(now, request, random))
             .or_else(|| self.outside_subset(now, request, random))
@@ -177,10 +177,10 @@
     ) -> Option<ScoredEndpoint> {
         let len = self.pools.get(request.model)?.subset.len();
         let mut best: Option<ScoredEndpoint> = None;
-        let mut left = draws;
+        let mut remaining = draws;
         // Draws of an ineligible endpoint are repeated a limited number of times.
         for _ in 0..draws * 4 {
-            if left == 0 || len == 0 {
+            if remaining == 0 || len == 0 {
                 break;
             }
             let n = self.rng.random_range(0..len);
@@ -189,7 +189,7 @@
             if !self.eligible(now, request, id) {
                 continue;
             }
-            left -= 1;
+            remaining -= 1;
             let score = self.score(now, request, pool, id, 0.0);
             let rank = rank(&score);
             if best.is_none_or(|best| rank < best.rank) {
@@ -202,7 +202,11 @@
 
     /// Returns the endpoint with the earliest expected finish, of a few random ones, those that
     /// have cached the prefix and the home of the prefix.
-    fn least_finish(&mut self, now: Millis, request: &RouteRequest<'_>) -> Option<ScoredEndpoint> {
+    fn earliest_finish(
+        &mut self,
+        now: Millis,
+        request: &RouteRequest<'_>,
+    ) -> Option<ScoredEndpoint> {
         let best = self.best_of_random(now, request, self.settings.draws, |score| score.rank)?;
         let Some(prefix) = request.prefix else {
             return Some(best);
@@ -270,7 +274,7 @@
         let state = self.state_of(entry.endpoint);
         if entry.at < state.cache_reset || now.since(entry.at) > self.settings.believe_ms {
             0.0
-        } else if state.gap_at.is_some_and(|gap| entry.at < gap) {
+        } else if state.gap_at.is_some_and(|gap_at| entry.at < gap_at) {
             GAP_CONFIDENCE
         } else {
             1.0
--- a/components/routing/src/endpoint.rs
+++ b/components/routing/src/endpoint.rs
@@ -32,10 +32,10 @@
     Failed,
 }
 
-/// The address of an endpoint.
+/// The address and location of an endpoint.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Target {
-    /// The endpoint.
+    /// The name of the endpoint.
     pub endpoint: Endpoint,
     /// Its agent.
     pub agent: Node,
@@ -61,7 +61,7 @@
 /// What a router records about an endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointState {
-    /// Its address.
+    /// Its address and location.
     pub target: Target,
     /// Its models, each with its weight version.
     pub versions: Vec<(Model, Version)>,
@@ -223,14 +223,14 @@
         self.tokens_due += u64::from(tokens);
     }
 
-    /// Counts the end of an attempt. `left` tokens of it will not be generated.
-    pub fn ended(&mut self, now: Millis, left: u32) {
+    /// Counts the end of an attempt. `unused_tokens` of it will not be generated.
+    pub fn ended(&mut self, now: Millis, unused_tokens: u32) {
         self.history.record(now, self.own_in_flight, self.own_in_flight - 1);
         self.own_in_flight -= 1;
         self.tokens_due = if self.own_in_flight == 0 {
             0
         } else {
-            self.tokens_due.saturating_sub(u64::from(left))
+            self.tokens_due.saturating_sub(u64::from(unused_tokens))
         };
     }
 
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Records the end of an attempt that took `ms` and generated `tokens`. `left` of the tokens
-    /// passed to [`Self::started`] will not be generated.
+    /// Records the end of an attempt that took `ms` and generated `tokens`. `unused_tokens` of the
+    /// tokens passed to [`Self::started`] will not be generated.
     pub fn finished(
         &mut self,
         now: Millis,
@@ -170,14 +170,14 @@
         outcome: AttemptOutcome,
         ms: u64,
         tokens: u32,
-        left: u32,
+        unused_tokens: u32,
     ) {
         let Some(state) = self.states.get_mut(id.0 as usize) else { return };
         if state.own_in_flight == 0 {
             self.report_violation("in_flight_not_negative");
             return;
         }
-        state.ended(now, left);
+        state.ended(now, unused_tokens);
         for (model, _) in &state.versions {
             if let Some(pool) = self.pools.get_mut(model) {
                 pool.own_in_flight = pool.own_in_flight.saturating_sub(1);
@@ -189,7 +189,7 @@
         self.record_outcome(now, id, outcome);
     }
 
-    /// Returns the address of an endpoint.
+    /// Returns the address and location of an endpoint.
     pub fn target(&self, id: EndpointId) -> Option<&Target> {
         self.states.get(id.0 as usize).map(|state| &state.target)
     }
--- a/components/weights/examples/measure_weights.rs
+++ b/components/weights/examples/measure_weights.rs
@@ -12,7 +12,7 @@
 use chicoryford_weights::PlannerSettings;
 
 use fleet::Fleet;
-use fleet::Speeds;
+use fleet::Timings;
 
 const SIZES: [usize; 4] = [10, 100, 400, 1_600];
 const TIMEOUT_MS: u64 = 3_600_000;
@@ -25,9 +25,9 @@
     );
     for percent in [25, 50] {
         for failures in [0.0, 0.05] {
-            for samplers in SIZES {
+            for n in SIZES {
                 for relay in [false, true] {
-                    measure(samplers, failures, percent, relay, seed);
+                    measure(n, failures, percent, relay, seed);
                 }
             }
         }
@@ -40,23 +40,23 @@
     }
 }
 
-fn measure(samplers: usize, failures: f64, percent: u32, relay: bool, seed: u64) {
+fn measure(n: usize, failures: f64, percent: u32, relay: bool, seed: u64) {
     let settings = PlannerSettings { relay, swap_percent: percent, ..PlannerSettings::default() };
-    let speeds = Speeds { failures, ..Speeds::default() };
-    let mut fleet = Fleet::new(samplers, settings, speeds, seed);
+    let timings = Timings { failures, ..Timings::default() };
+    let mut fleet = Fleet::new(n, settings, timings, seed);
     // Starts with a settled leader, so that the delay after a change of leader does not count.
     fleet.run(4_000);
     let clock = Instant::now();
     fleet.publish(2);
     let began = fleet.now;
-    while fleet.holders(2) * 100 < samplers * 99 && fleet.now.since(began) < TIMEOUT_MS {
+    while fleet.holders(2) * 100 < n * 99 && fleet.now.since(began) < TIMEOUT_MS {
         fleet.run(50);
     }
-    let most_updated_ms = fleet.now.since(began);
+    let most_ms = fleet.now.since(began);
     let all_updated_ms = fleet.until_complete(2, TIMEOUT_MS);
     let cpu_ms = clock.elapsed().as_millis();
     println!(
-        "{samplers:8}  {failures:8}  {percent:5}  {:5}  {most_updated_ms:7}  {:7}  {:7}  {:6}  {:8}  {:6}  {cpu_ms:6}",
+        "{n:8}  {failures:8}  {percent:5}  {:5}  {most_ms:7}  {:7}  {:7}  {:6}  {:8}  {:6}  {cpu_ms:6}",
         if relay { "relay" } else { "store" },
         all_updated_ms.map_or("over".to_owned(), |ms| ms.to_string()),
         fleet.given_up.len(),
@@ -74,9 +74,13 @@
         let settings =
             PlannerSettings { feeds, swap_percent: percent, ..PlannerSettings::default() };
         let fetch = load * 9 / 10;
-        let speeds =
-            Speeds { store_ms: fetch, relay_ms: fetch, swap_ms: load - fetch, ..Speeds::default() };
-        let mut fleet = Fleet::new(1_600, settings, speeds, seed);
+        let timings = Timings {
+            store_ms: fetch,
+            relay_ms: fetch,
+            swap_ms: load - fetch,
+            ..Timings::default()
+        };
+        let mut fleet = Fleet::new(1_600, settings, timings, seed);
         fleet.run(4_000);
         fleet.publish(2);
         let holds = fleet.until_complete(2, 24_000).is_some();
--- a/components/weights/src/sampler.rs
+++ b/components/weights/src/sampler.rs
@@ -24,7 +24,7 @@
     pub models: BTreeMap<Model, Version>,
     /// Whether it is healthy and not draining.
     pub ready: bool,
-    /// The address at which it serves its weights to other endpoints, if its engine can.
+    /// The address at which other endpoints can fetch its weights, if its engine supports it.
     pub source: Option<String>,
 }
 
@@ -79,9 +79,9 @@
 
     /// Drops confirmed versions that were not announced in time.
     ///
-    /// An engine can lose a swap right after its agent saw it succeed. If it returns to the old
-    /// weights before the agent checks again, its announcement does not change. The endpoint would
-    /// stay on old weights for good, which its samples would show.
+    /// An engine can lose a swap right after its agent observed its success. If it returns to the
+    /// old weights before the agent checks again, its announcement does not change. The endpoint
+    /// would stay on old weights for good, which its samples would show.
     pub(crate) fn expire_confirmed(&mut self, now: Millis) {
         if self.confirmed_until.is_some_and(|until| now >= until) {
             self.confirmed_until = None;
--- a/components/weights/src/settings.rs
+++ b/components/weights/src/settings.rs
@@ -7,9 +7,9 @@
     pub swap_percent: u32,
     /// The most concurrent fetches from the weight store.
     pub store_fetches: usize,
-    /// The most endpoints that one holder of a version serves it to concurrently.
+    /// The most endpoints that fetch a version from one holder concurrently.
     pub feeds: usize,
-    /// Whether holders serve their weights to other endpoints.
+    /// Whether endpoints may fetch weights from other holders, and not only from the store.
     pub relay: bool,
     /// The timeout of an order, in milliseconds.
     pub order_ms: u64,
@@ -35,8 +35,8 @@
 pub struct Protections {
     /// At most a share of a model's samplers is out of service.
     pub share: bool,
-    /// A version older than the loaded one, or not newer than the newest published one, is never
-    /// loaded.
+    /// A version is never loaded if it is older than the one in use, or if a newer one was
+    /// published before it.
     pub newer: bool,
     /// An endpoint has at most one order at a time.
     pub single: bool,
--- a/components/weights/tests/fleet/mod.rs
+++ b/components/weights/tests/fleet/mod.rs
@@ -29,7 +29,7 @@
 
 /// Durations and failure rates.
 #[derive(Clone, Debug)]
-pub struct Speeds {
+pub struct Timings {
     /// A fetch from the store, in milliseconds.
     pub store_ms: u64,
     /// A fetch from a holder, in milliseconds.
@@ -42,7 +42,7 @@
     pub lost: f64,
 }
 
-impl Default for Speeds {
+impl Default for Timings {
     fn default() -> Self {
         Self { store_ms: 2_000, relay_ms: 2_000, swap_ms: 300, failures: 0.0, lost: 0.0 }
     }
@@ -76,7 +76,7 @@
     pub now: Millis,
     pub planner: Planner,
     pub engines: BTreeMap<Endpoint, Engine>,
-    pub speeds: Speeds,
+    pub timings: Timings,
     pub given_up: Vec<Endpoint>,
     pub complete: Vec<(Version, u64, usize)>,
     pub max_swapping: usize,
@@ -92,7 +92,7 @@
 }
 
 impl Fleet {
-    pub fn new(n: usize, settings: PlannerSettings, speeds: Speeds, seed: u64) -> Self {
+    pub fn new(n: usize, settings: PlannerSettings, timings: Timings, seed: u64) -> Self {
         let mut engines = BTreeMap::new();
         for n in 0..n {
             let endpoint = Endpoint(format!("sampler-{n:04}"));
@@ -111,7 +111,7 @@
             now: Millis(0),
             planner: Planner::new(settings),
             engines,
-            speeds,
+            timings,
             given_up: Vec::new(),
             complete: Vec::new(),
             max_swapping: 0,
@@ -193,11 +193,11 @@
         }
         self.orders += 1;
         let from_store = sources.first().is_some_and(|source| source == STORE);
-        let fetch_ms = if from_store { self.speeds.store_ms } else { self.speeds.relay_ms };
-        let total_ms = fetch_ms + self.speeds.swap_ms;
+        let fetch_ms = if from_store { self.timings.store_ms } else { self.timings.relay_ms };
+        let total_ms = fetch_ms + self.timings.swap_ms;
         let (duration, outcome) = match self.random.random::<f64>() {
-            x if x < self.speeds.failures / 3.0 => (60_000, LoadOutcome::Silent),
-            x if x < self.speeds.failures => {
+            x if x < self.timings.failures / 3.0 => (60_000, LoadOutcome::Silent),
+            x if x < self.timings.failures => {
                 (self.random.random_range(0..total_ms), LoadOutcome::Failed)
             }
             _ => (total_ms + self.random.random_range(0..=total_ms / 20), LoadOutcome::Done),
@@ -271,7 +271,7 @@
     /// Draws a random number only if replies may be lost, so that the other runs keep their random
     /// sequence.
     fn is_reply_lost(&mut self) -> bool {
-        self.speeds.lost > 0.0 && self.random.random::<f64>() < self.speeds.lost
+        self.timings.lost > 0.0 && self.random.random::<f64>() < self.timings.lost
     }
 
     pub fn holders(&self, version: u64) -> usize {
--- a/components/weights/tests/planner.rs
+++ b/components/weights/tests/planner.rs
@@ -16,14 +16,14 @@
 use chicoryford_weights::SamplerStatus;
 
 use fleet::Fleet;
-use fleet::Speeds;
+use fleet::Timings;
 use fleet::model;
 
 const SEED: u64 = 3;
 const LONG_MS: u64 = 300_000;
 
 fn fleet(n: usize, failures: f64) -> Fleet {
-    Fleet::new(n, PlannerSettings::default(), Speeds { failures, ..Speeds::default() }, SEED)
+    Fleet::new(n, PlannerSettings::default(), Timings { failures, ..Timings::default() }, SEED)
 }
 
 #[test]
@@ -68,8 +68,8 @@
     assert!(fleet.until_complete(2, LONG_MS).is_some());
     assert_eq!(fleet.given_up.len(), 4);
     assert_eq!(fleet.complete[0].2, 4);
-    // A newer version is tried again at the endpoints that were given up.
-    fleet.speeds.failures = 0.0;
+    // The planner tries a newer version on the endpoints that it gave up on.
+    fleet.timings.failures = 0.0;
     fleet.publish(3);
     assert!(fleet.until_complete(3, LONG_MS).is_some());
     assert_eq!(fleet.holders(3), 4);
@@ -185,11 +185,11 @@
     fn handle(&mut self, event: Event, now: u64) -> Vec<(Endpoint, Order)> {
         let mut actions = Vec::new();
         self.0.handle(event, Millis(now), &mut actions);
-        let given = actions.into_iter().filter_map(|action| match action {
+        let orders = actions.into_iter().filter_map(|action| match action {
             Action::SendOrder { endpoint, order } => Some((endpoint, order)),
             _ => None,
         });
-        given.collect()
+        orders.collect()
     }
 
     fn publish(&mut self) -> (Endpoint, Order) {
@@ -199,8 +199,8 @@
 
     fn reply_to(&mut self, sent: &(Endpoint, Order), reply: OrderReply, now: u64) -> Vec<Order> {
         let (endpoint, number) = (sent.0.clone(), sent.1.number);
-        let given = self.handle(Event::Reply { endpoint, number, reply }, now);
-        given.into_iter().map(|(_, order)| order).collect()
+        let orders = self.handle(Event::Reply { endpoint, number, reply }, now);
+        orders.into_iter().map(|(_, order)| order).collect()
     }
 }
 
--- a/components/weights/tests/random.rs
+++ b/components/weights/tests/random.rs
@@ -17,7 +17,7 @@
 use quickcheck::TestResult;
 
 use fleet::Fleet;
-use fleet::Speeds;
+use fleet::Timings;
 
 const RUNS: u64 = 100;
 const SIZE: usize = 20;
@@ -105,8 +105,8 @@
 fn check_plan(plan: &Plan, protections: Protections) -> TestResult {
     let relay = plan.relay;
     let settings = PlannerSettings { relay, protections, ..PlannerSettings::default() };
-    let speeds = Speeds { failures: plan.failures, lost: plan.lost, ..Speeds::default() };
-    let mut fleet = Fleet::new(plan.samplers, settings, speeds, plan.seed);
+    let timings = Timings { failures: plan.failures, lost: plan.lost, ..Timings::default() };
+    let mut fleet = Fleet::new(plan.samplers, settings, timings, plan.seed);
     let mut epoch = 1;
     for step in &plan.steps {
         apply_step(&mut fleet, step, &mut epoch);
@@ -117,8 +117,8 @@
     for n in 0..plan.samplers {
         apply_step(&mut fleet, &Step::Repaired(n), &mut epoch);
     }
-    fleet.speeds.failures = 0.0;
-    fleet.speeds.lost = 0.0;
+    fleet.timings.failures = 0.0;
+    fleet.timings.lost = 0.0;
     fleet.publish(1_000);
     let took = fleet.until_complete(1_000, RECOVERY_MS);
     if fleet.planner.violations() > 0 {
