--- a/components/entry/src/bodies/replicate.rs
+++ b/components/entry/src/bodies/replicate.rs
@@ -50,8 +50,8 @@
     admit::check_not_draining(phase, &config, &context.node, &context.data_centre).is_err()
 }
 
-/// Stores a body at [`HOLDERS_PER_BODY`] processes before it is recorded in the ledger. The body is kept
-/// inline in the ledger if it is small or too few processes accept it.
+/// Stores a body at [`HOLDERS_PER_BODY`] processes before it is recorded in the ledger. The body is
+/// kept inline in the ledger if it is small or too few processes accept it.
 ///
 /// If the stores of all entries are full, the ledger's own limit refuses the sample. The ledger
 /// exempts the oldest step, so that it can complete and free capacity.
