--- a/components/routing/src/limit.rs
+++ b/components/routing/src/limit.rs
@@ -1,52 +1,55 @@
-//! The adaptive limit of attempts at one endpoint (docs/ADMISSION.md).
+//! The adaptive concurrency limit of one endpoint (docs/ADMISSION.md).
 
-/// Milliseconds a token that an endpoint took at its best fade into the present this slowly.
-const FADE: f32 = 0.001;
-/// Latency of this multiple of the best still lets the limit grow.
-const TOLERANCE: f32 = 2.5;
-/// The share that a slow attempt takes off the limit.
-const BACK: f32 = 0.05;
-/// The least share of the slots to which a limit falls.
-const LEAST: f32 = 0.25;
+/// The weight of a new observation in the best latency, so that the best slowly follows the present
+/// one.
+const BEST_WEIGHT: f32 = 0.001;
+/// Latency above this multiple of the best is slow and reduces the limit.
+const SLOW_FACTOR: f32 = 2.5;
+/// The share by which a slow attempt reduces the limit.
+const DECREASE_SHARE: f32 = 0.05;
+/// The smallest limit, as a share of the slots.
+const MIN_SHARE: f32 = 0.25;
 
-/// A limit that falls by a share when attempts are slow and grows by one in a round when not.
+/// An AIMD limit: it shrinks by a share on a slow attempt, and otherwise grows by one per limit's
+/// worth of attempts.
 ///
-/// The number of slots that an agent announces is a guess: long prompts fill an engine's memory
-/// before its slots. An engine past that point thrashes, every attempt at it gets slow, and
-/// nothing but the latency shows it.
+/// The number of slots that an agent announces is a guess, because long prompts fill an engine's
+/// memory before its slots. Beyond that point the engine thrashes and every attempt there becomes
+/// slow, which only the latency shows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Limit {
-    now: f32,
+pub struct AdaptiveLimit {
+    current: f32,
     slots: f32,
-    best: f32,
+    best_token_ms: f32,
 }
 
-impl Limit {
-    /// Sets the most that the limit may grow to.
-    pub fn cap(&mut self, slots: u32) {
+impl AdaptiveLimit {
+    /// Sets the largest limit and resets the current one to it if it changed.
+    pub fn set_max(&mut self, slots: u32) {
         let slots = slots as f32;
         if self.slots != slots {
             self.slots = slots;
-            self.now = slots;
+            self.current = slots;
         }
     }
 
-    /// Learns from an attempt that took `token_ms` for each token.
-    pub fn learn(&mut self, token_ms: f32) {
-        if self.best == 0.0 || token_ms < self.best {
-            self.best = token_ms;
+    /// Updates the limit from an attempt that took `token_ms` per token.
+    pub fn record(&mut self, token_ms: f32) {
+        if self.best_token_ms == 0.0 || token_ms < self.best_token_ms {
+            self.best_token_ms = token_ms;
         } else {
-            self.best += FADE * (token_ms - self.best);
+            self.best_token_ms += BEST_WEIGHT * (token_ms - self.best_token_ms);
         }
-        if token_ms > TOLERANCE * self.best {
-            self.now = (self.now * (1.0 - BACK)).max((self.slots * LEAST).max(1.0));
+        if token_ms > SLOW_FACTOR * self.best_token_ms {
+            self.current =
+                (self.current * (1.0 - DECREASE_SHARE)).max((self.slots * MIN_SHARE).max(1.0));
         } else {
-            self.now = (self.now + 1.0 / self.now.max(1.0)).min(self.slots);
+            self.current = (self.current + 1.0 / self.current.max(1.0)).min(self.slots);
         }
     }
 
-    /// Gives the limit.
+    /// Returns the limit.
     pub fn get(&self) -> f32 {
-        self.now.max(1.0)
+        self.current.max(1.0)
     }
 }
--- a/components/weights/src/lib.rs
+++ b/components/weights/src/lib.rs
@@ -1,7 +1,8 @@
-//! Plans how new weights reach every sampler.
+//! Plans the rollout of new weights to all samplers.
 //!
 //! [`Planner`] decides which endpoint loads which version next and from where, without sockets or
-//! clocks; the leader's "orders" duty drives it. docs/WEIGHTS.md tells how, and what was measured.
+//! clocks. The leader's "orders" duty drives it. docs/WEIGHTS.md describes the algorithm and its
+//! measurements.
 
 pub mod planner;
 pub mod sampler;
@@ -11,7 +12,7 @@
 pub use planner::Event;
 pub use planner::Planner;
 pub use planner::Progress;
-pub use planner::Trouble;
-pub use sampler::Offer;
+pub use planner::SamplerFailure;
+pub use sampler::SamplerStatus;
 pub use settings::PlannerSettings;
 pub use settings::Protections;
