--- a/tests/faults/crashes.rs
+++ b/tests/faults/crashes.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each engine that runs it.
+//! A prompt that crashes every engine that runs it.
 
 use chicoryford_standin::engine::CRASH_MARK;
 use chicoryford_standin::engine::EngineSettings;
@@ -6,29 +6,29 @@
 use serde_json::json;
 
 use crate::calls::check_answered;
-use crate::calls::desk;
-use crate::standins::Calling;
+use crate::calls::desk_settings;
+use crate::standins::CallerRun;
 use crate::standins::Engine;
 use crate::standins::TEMPLATE;
 use crate::standins::check_calls;
 use crate::system::System;
 
-/// Crashes until a content is convicted in any company (docs/SUSPECTS.md).
-const CRASHES: usize = 6;
+/// The most crashes before a prompt is convicted, whatever ran concurrently (docs/SUSPECTS.md).
+const MAX_CRASHES: usize = 6;
 
 #[test]
 fn a_prompt_that_crashes_engines_is_convicted_everywhere() {
-    // Symptom: one engine after the other crashes, and callers with harmless prompts are refused
-    // or get nothing. Sequence: a prompt crashes each engine that runs it, its caller sends it
-    // again under a new id through both entries. Cause: nobody recognises the content, or whoever
-    // ran beside it is blamed as well.
+    // Guards against a prompt that crashes one engine after another, and against harmless prompts
+    // that are refused or get no answer because they ran concurrently with it. The caller sends the
+    // prompt again under a new request id through both entries, so it must be recognised by its
+    // content, and only that content may be convicted.
     let mut system = System::start(1);
-    let entries = [system.entry("e1", "dc-1"), system.entry("e2", "dc-1")];
+    let entries = [system.start_entry("e1", "dc-1"), system.start_entry("e2", "dc-1")];
     let start = |i| Engine::start(&mut system, &format!("engine-{i}"), EngineSettings::default());
     let engines: Vec<Engine> = (1..=6).map(start).collect();
     system.wait_endpoints(&entries, engines.len());
     system.apply(&entries, TEMPLATE);
-    let calling = Calling::start(&system, &entries, desk(12.0));
+    let caller = CallerRun::start(&system, &entries, desk_settings(12.0));
     let prompt = format!("{CRASH_MARK} pages 1 to 0");
     let body = json!({"model": "model", "prompt": prompt, "max_tokens": 8}).to_string();
     let mut sent = 0;
@@ -38,17 +38,20 @@
         answers.iter().all(|answer| answer.code() == "convicted" && answer.outcome() == "not_run")
     });
     let crashes = || engines.iter().map(Engine::crashes).sum::<usize>();
-    let lost = crashes();
+    let crashes_before = crashes();
     for at in entries {
         let again = system.post(at, paths::COMPLETIONS, "caller-token", &body);
         assert_eq!(again.code(), "convicted", "{again:?}");
     }
-    let (_, calls) = calling.finish();
+    let (_, calls) = caller.finish();
     check_answered(&calls);
     let all: Vec<&Engine> = engines.iter().collect();
     check_calls(&all, &system.path("desk.jsonl"));
-    assert_eq!(crashes(), lost, "the convicted prompt crashed another engine");
-    assert!((1..=CRASHES).contains(&lost), "{lost} crashes by {sent} requests");
+    assert_eq!(crashes(), crashes_before, "the convicted prompt crashed another engine");
+    assert!(
+        (1..=MAX_CRASHES).contains(&crashes_before),
+        "{crashes_before} crashes by {sent} requests"
+    );
     for at in entries {
         let config = system.get(at, paths::CONFIG);
         let convicted = config["convictions"].as_object().map_or(0, |convicted| convicted.len());
--- a/tests/faults/main.rs
+++ b/tests/faults/main.rs
@@ -1,7 +1,7 @@
-//! The brief's promises under the brief's faults, with real processes over loopback: the daemons
-//! and the operators' client of this repository, and stand-ins for everything else. Each test is
-//! judged by what callers, trainers, operators, engines and services recorded themselves.
-//! docs/FAULTS.md lists which test proves what.
+//! Tests of the service's guarantees under faults, with real processes over loopback: the daemons
+//! and the operators' client of this repository, and stand-ins for everything else. Each test
+//! checks the records that callers, trainers, operators, engines and services wrote themselves.
+//! docs/FAULTS.md lists which test covers which guarantee.
 
 mod calls;
 mod changes;
--- a/tests/faults/pairs.rs
+++ b/tests/faults/pairs.rs
@@ -1,35 +1,35 @@
-//! Two faults at once.
+//! Two concurrent faults.
 
 use std::thread;
 use std::time::Duration;
 
 use crate::calls::check_answered;
 use crate::calls::check_labels;
-use crate::calls::desk;
-use crate::calls::packing;
-use crate::standins::Calling;
+use crate::calls::desk_settings;
+use crate::calls::packing_settings;
+use crate::standins::CallerRun;
 use crate::standins::Engine;
-use crate::standins::Training;
+use crate::standins::TrainerRun;
 use crate::standins::check_calls;
-use crate::standins::printer;
-use crate::steps::engines;
-use crate::steps::training;
+use crate::standins::start_printer;
+use crate::steps::start_engines;
+use crate::steps::trainer_settings;
 use crate::system::System;
 
 #[test]
 fn callers_and_trainers_survive_the_leader_and_an_entry_together() {
-    // Symptom: samples are lost or doubled, labels doubled, callers left without an answer.
-    // Sequence: the leader of the control processes and an entry that owns steps and calls are
-    // killed at the same moment, and start again. Cause: what takes over from the one relies on
-    // the other.
+    // Guards against lost or duplicated samples, duplicated labels and unanswered callers when the
+    // leader of the control processes and an entry that owns steps and calls are killed at the same
+    // moment and restarted. Recovery from one failure must not depend on the other process.
     let mut system = System::start(3);
-    let entries = [system.entry("e1", "dc-1"), system.entry("e2", "dc-1")];
-    let records = [printer(&mut system, "labels", 100)];
+    let entries = [system.start_entry("e1", "dc-1"), system.start_entry("e2", "dc-1")];
+    let records = [start_printer(&mut system, "labels", 100)];
     system.wait_endpoints(&entries, 1);
-    let engines = engines_beside(&mut system, 3);
+    let engines = start_engines_with_printer(&mut system, 3);
     let all: Vec<&Engine> = engines.iter().collect();
-    let training = Training::start(&system, &entries, training(18.0));
-    let callers = [desk(12.0), packing(8.0)].map(|s| Calling::start(&system, &entries, s));
+    let trainer = TrainerRun::start(&system, &entries, trainer_settings(18.0));
+    let callers = [desk_settings(12.0), packing_settings(8.0)]
+        .map(|settings| CallerRun::start(&system, &entries, settings));
     thread::sleep(Duration::from_secs(3));
     let leader = system.leader(&system.addresses(&["c1", "c2", "c3"])).unwrap();
     system.kill(&leader);
@@ -37,16 +37,16 @@
     thread::sleep(Duration::from_secs(4));
     system.restart("e1");
     system.restart(&leader);
-    let [desk, packing] = callers.map(|calling| calling.finish().1);
+    let [desk, packing] = callers.map(|caller| caller.finish().1);
     check_answered(&desk);
     check_calls(&all, &system.path("desk.jsonl"));
     check_labels(&records, &packing);
-    training.check(&all);
+    trainer.check(&all);
     system.check_logs();
 }
 
-/// Starts engines where the printer is an endpoint already.
-fn engines_beside(system: &mut System, count: usize) -> Vec<Engine> {
+/// Starts engines in a system whose only endpoint so far is a printer.
+fn start_engines_with_printer(system: &mut System, count: usize) -> Vec<Engine> {
     let start = |i| Engine::start(system, &format!("engine-{i}"), Default::default());
     let engines: Vec<Engine> = (1..=count).map(start).collect();
     let at = system.addresses(&["e1", "e2"]);
@@ -57,14 +57,14 @@
 
 #[test]
 fn samples_keep_their_versions_when_an_agent_dies_during_a_swap() {
-    // Symptom: samples name a version that did not produce them, or an engine stays at an old one.
-    // Sequence: an agent is killed while its engine swaps weights, and starts again without a
-    // memory; the same happens at the next engine. Cause: the agent's memory of the order, or the
-    // order itself, was taken for what the engine runs.
+    // Guards against samples that name a version that did not produce them, and against an engine
+    // that stays at an old version. Each agent in turn is killed while its engine swaps weights,
+    // and restarts without its in-memory state. The version must be read from the engine, not from
+    // the agent's record of the order or from the order itself.
     let mut system = System::start(3);
-    let entries = [system.entry("e1", "dc-1"), system.entry("e2", "dc-1")];
-    let engines = engines(&mut system, &["e1", "e2"], 3);
-    let training = Training::start(&system, &entries, training(16.0));
+    let entries = [system.start_entry("e1", "dc-1"), system.start_entry("e2", "dc-1")];
+    let engines = start_engines(&mut system, &["e1", "e2"], 3);
+    let trainer = TrainerRun::start(&system, &entries, trainer_settings(16.0));
     for (number, engine) in engines.iter().enumerate() {
         system.wait("a swap is under way", || engine.engine.state().swapping > 0);
         let agent = format!("agent-engine-{}", number + 1);
@@ -73,7 +73,7 @@
         system.restart(&agent);
     }
     let all: Vec<&Engine> = engines.iter().collect();
-    let report = training.check(&all);
+    let report = trainer.check(&all);
     system.wait("all engines run the newest version", || {
         engines.iter().all(|engine| engine.version() == report.version)
     });
--- a/tests/faults/replicas.rs
+++ b/tests/faults/replicas.rs
@@ -1,4 +1,4 @@
-//! Control processes that are killed, frozen, replaced or out of disk.
+//! Control processes that are killed, frozen, replaced or out of disk space.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -16,33 +16,33 @@
 use chicoryford_wire::paths;
 use serde_json::Value;
 
+use crate::operator::ChangeOutcome;
 use crate::operator::Operator;
-use crate::operator::Said;
 use crate::operator::in_force;
 use crate::standins::Engine;
-use crate::standins::weight_store;
+use crate::standins::start_weight_store;
 use crate::system::System;
 
 const FIVE: [&str; 5] = ["c1", "c2", "c3", "c4", "c5"];
 
-/// Gives the names of `all` but one.
+/// Returns `all` without `one`.
 fn others<'a>(all: &[&'a str], one: &str) -> Vec<&'a str> {
     all.iter().copied().filter(|name| *name != one).collect()
 }
 
-/// Waits until all of `names` have the operator's last change in force.
+/// Waits until all of `names` have the operator's last accepted change in force.
 fn wait_in_force(system: &System, names: &[&str], operator: &Operator) {
-    system.wait("all are at the last change", || {
+    system.wait("all processes have the last change in force", || {
         names.iter().all(|name| in_force(system, system.address(name)).0 >= operator.last)
     });
 }
 
 #[test]
 fn loses_nothing_when_any_two_of_five_are_killed() {
-    // Symptom: an accepted change is gone, or one that was refused as "not run" is in force.
-    // Sequence: two control processes of five are killed, the leader among them, changes go on; a
-    // third is killed; all start again. Cause: an answer before a majority has synced, or a
-    // minority that accepts or keeps what it refused.
+    // Guards against losing an accepted change, and against applying one that was refused as not
+    // run. Two of five control processes are killed, the leader among them, while changes continue;
+    // a third is killed; all are restarted. This fails if a change is acknowledged before a
+    // majority has synced it, or if a minority accepts a change or keeps one that it refused.
     let mut system = System::start(5);
     let mut operator = Operator::new();
     let all = system.addresses(&FIVE);
@@ -62,19 +62,19 @@
     system.kill(third);
     let two = system.addresses(&left);
     let mut number = 0;
-    system.wait("a minority refuses", || {
+    system.wait("a minority refuses a change", || {
         number += 1;
-        let said = operator.try_change(&system, two[number % 2], &format!("refused-{number}"));
-        assert!(!matches!(said, Said::Accepted(..)), "a minority accepted {said:?}");
-        said == Said::NotRun("no_quorum".to_owned())
+        let outcome = operator.try_change(&system, two[number % 2], &format!("refused-{number}"));
+        assert!(!matches!(outcome, ChangeOutcome::Accepted(..)), "a minority accepted {outcome:?}");
+        outcome == ChangeOutcome::NotRun("no_quorum".to_owned())
     });
     for name in [leader.as_str(), second, third] {
         system.restart(name);
     }
-    // What a minority could not say for certain may still be accepted; whoever reads the version
-    // in force goes on from there.
+    // Changes with an unknown outcome may still be accepted, so the operator reads the version in
+    // force before its next change.
     operator.check(&system, &all);
-    operator.reread(&system, &all);
+    operator.read_newest(&system, &all);
     operator.change(&system, &all, "after");
     wait_in_force(&system, &FIVE, &operator);
     operator.check(&system, &all);
@@ -83,9 +83,9 @@
 
 #[test]
 fn a_leader_back_from_a_freeze_takes_nothing_back() {
-    // Symptom: an old configuration or old weights return. Sequence: the leader stands still for
-    // longer than its lease, 500 changes and new weights are accepted without it, it goes on and
-    // believes that it leads. Cause: orders or answers of an epoch that is over were obeyed.
+    // Guards against the return of an old configuration or old weights. The leader is frozen for
+    // longer than its lease while 500 changes and new weights are accepted, and resumes with the
+    // assumption that it still leads. Orders and answers of an earlier epoch must be refused.
     let mut system = System::start(3);
     let engine = Engine::start(&mut system, "engine", EngineSettings::default());
     let names = ["c1", "c2", "c3"];
@@ -95,26 +95,26 @@
     operator.change(&system, &all, "first");
     let old: Value = system.get(all[0], paths::CONTROL_STATUS);
     let leader = system.leader(&all).unwrap();
-    let store = weight_store();
-    publish(&system, &all, 2, &store);
+    let store = start_weight_store();
+    publish_weights(&system, &all, 2, &store);
     system.wait("version 2 runs", || engine.version() == 2);
-    system.of(&leader).process.freeze().unwrap();
+    system.daemon_mut(&leader).process.freeze().unwrap();
     let two = system.addresses(&others(&names, &leader));
     for i in 0..500 {
         operator.change(&system, &two, &format!("change-{i}"));
     }
-    publish(&system, &two, 3, &store);
+    publish_weights(&system, &two, 3, &store);
     system.wait("version 3 runs", || engine.version() == 3);
-    system.of(&leader).process.thaw().unwrap();
+    system.daemon_mut(&leader).process.thaw().unwrap();
     let mut highest = in_force(&system, system.address(&leader));
-    system.wait("the old leader is at the last change", || {
+    system.wait("the old leader has the last change in force", || {
         let now = in_force(&system, system.address(&leader));
         assert!(now >= highest, "{now:?} after {highest:?}");
         highest = now;
         now.0 >= operator.last
     });
     let epoch = Epoch(old["epoch"].as_u64().unwrap());
-    let refused = order(&system, "agent-engine", epoch, 2);
+    let refused = send_order(&system, "agent-engine", epoch, 2);
     assert!(matches!(refused, Some(OrderReply::Fenced(newer)) if newer > epoch), "{refused:?}");
     assert_eq!(engine.version(), 3);
     assert_eq!(engine.swaps(), [2, 3]);
@@ -126,8 +126,8 @@
     system.check_logs();
 }
 
-/// Gives an order as a leader of `epoch` would.
-fn order(system: &System, agent: &str, epoch: Epoch, version: u64) -> Option<OrderReply> {
+/// Sends an order to an agent as a leader of `epoch` would.
+fn send_order(system: &System, agent: &str, epoch: Epoch, version: u64) -> Option<OrderReply> {
     let address = system.address(agent);
     let members = system.get(address, paths::MEMBERS);
     let incarnation = members["known"][agent]["member"]["incarnation"].as_u64()?;
@@ -140,7 +140,7 @@
     rmp_serde::from_slice(&raw::ask_bytes(address, &question)).ok()
 }
 
-fn publish(system: &System, at: &[SocketAddr], version: u64, store: &str) {
+fn publish_weights(system: &System, at: &[SocketAddr], version: u64, store: &str) {
     let version = version.to_string();
     let done = system.client(at, &["weights", "publish", "model", &version, store]);
     assert!(done.status.success(), "{done:?}");
@@ -148,9 +148,9 @@
 
 #[test]
 fn survives_the_loss_of_another_right_after_a_repair() {
-    // Symptom: accepted changes are gone after two losses that did not overlap. Sequence: a VM is
-    // lost with its disk and replaced, and at once another one is lost. Cause: the replacement
-    // counted towards majorities before it held what the lost one held.
+    // Guards against losing accepted changes in two losses that do not overlap. A VM is lost with
+    // its disk and replaced, and another one is lost immediately afterwards. The replacement must
+    // not count towards majorities before it holds what the lost process held.
     let mut system = System::start(3);
     let names = ["c1", "c2", "c3"];
     let all = system.addresses(&names);
@@ -162,11 +162,11 @@
     let lost = others(&names, &leader)[0].to_owned();
     system.kill(&lost);
     fs::remove_dir_all(system.path(&lost)).unwrap();
-    let address = system.joining("c4").to_string();
+    let address = system.start_joining("c4").to_string();
     let kept = system.addresses(&others(&names, &lost));
     let replaced = system.client(&kept, &["control", "replace", &lost, "c4", &address]);
     assert!(replaced.status.success(), "{replaced:?}");
-    system.wait("the new one has a vote", || {
+    system.wait("the new process has a vote", || {
         let status = system.get(system.address("c4"), paths::CONTROL_STATUS);
         status["voter"] == true
     });
@@ -183,9 +183,9 @@
 
 #[test]
 fn a_full_disk_stops_one_and_not_the_others() {
-    // Symptom: an accepted change is gone, or nothing is accepted any more. Sequence: the disk of
-    // one control process runs full under a stream of changes. Cause: a failed write was answered
-    // as if it had been synced, or the process stayed in the way of the others.
+    // Guards against losing an accepted change, and against refusing all changes, when the disk of
+    // one control process fills up during a stream of changes. A failed write must not be
+    // acknowledged as synced, and the failed process must not block the others.
     let mut system = System::start(3);
     let names = ["c1", "c2", "c3"];
     let all = system.addresses(&names);
@@ -193,11 +193,11 @@
     operator.change(&system, &all, "first");
     let full = system.leader(&all).unwrap();
     system.kill(&full);
-    system.restart_on_a_full_disk(&full, 100_000);
+    system.restart_on_full_disk(&full, 100_000);
     let left = others(&names, &full);
     let long = "x".repeat(2_000);
     let mut number = 0;
-    system.wait("the full disk is noticed", || {
+    system.wait("the process with the full disk reports its failure", || {
         for _ in 0..20 {
             operator.change(&system, &all, &format!("{number} {long}"));
             number += 1;
@@ -206,8 +206,11 @@
         status["role"] == "failed"
     });
     let status = system.get(system.address(&full), paths::CONTROL_STATUS);
-    let why = status["storage"]["failure"].as_str().unwrap_or_default().to_owned();
-    assert!(why.to_lowercase().contains("file too large"), "the reason is {why:?}");
+    let failure = status["storage"]["failure"].as_str().unwrap_or_default().to_owned();
+    assert!(
+        failure.to_lowercase().contains("file too large"),
+        "the reported failure is {failure:?}"
+    );
     for i in 0..10 {
         operator.change(&system, &system.addresses(&left), &format!("later-{i}"));
     }
--- a/tests/faults/standins.rs
+++ b/tests/faults/standins.rs
@@ -1,5 +1,5 @@
-//! Stand-ins beside the daemons: engines and a label printer, a store, trainers and callers, each
-//! on a thread of its own within the test.
+//! Stand-ins for what the daemons talk to: engines, a label printer, a weight store, trainers and
+//! callers. Each runs on its own thread of the test process.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -34,7 +34,7 @@
 
 use crate::system::System;
 
-/// One workspace for callers, trainers and the label printer.
+/// The template of the one workspace that callers, trainers and the label printer use.
 pub const TEMPLATE: &str = "\
 workspace: desk
 models: [model, labels]
@@ -48,8 +48,8 @@
   percent: 100
 ";
 
-/// Starts what `make` gives on a thread of its own, within an actix system that never ends.
-fn keep<T: Send + 'static>(make: impl FnOnce() -> T + Send + 'static) -> T {
+/// Runs `make` in an actix system on a new thread, and returns its result. The system never ends.
+fn spawn_in_actix<T: Send + 'static>(make: impl FnOnce() -> T + Send + 'static) -> T {
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
         actix_rt::System::new().block_on(async move {
@@ -60,92 +60,93 @@
     receiver.recv().unwrap()
 }
 
-/// A model engine with an agent beside it.
+/// A model engine and its agent.
 pub struct Engine {
     pub engine: Arc<engine::Engine>,
+    /// The file in which the engine records its requests.
     pub record: PathBuf,
 }
 
 impl Engine {
-    /// Starts an engine of `model` in the first data centre.
+    /// Starts an engine of `model` and its agent in `dc-1`.
     pub fn start(system: &mut System, name: &str, settings: EngineSettings) -> Self {
         Self::start_in(system, "dc-1", name, settings)
     }
 
-    /// Starts an engine of `model`.
+    /// Starts an engine of `model` and its agent in a data centre.
     pub fn start_in(
         system: &mut System,
-        centre: &str,
+        data_centre: &str,
         name: &str,
         settings: EngineSettings,
     ) -> Self {
         let record = system.path(&format!("{name}.jsonl"));
         let records = Recorder::open(&record).unwrap();
         let address = ports::address();
-        let engine = keep(move || engine::start(address, settings, records).unwrap().1);
-        system.agent(name, centre, "engine", address, "model");
+        let engine = spawn_in_actix(move || engine::start(address, settings, records).unwrap().1);
+        system.start_agent(name, data_centre, "engine", address, "model");
         Self { engine, record }
     }
 
-    /// Gives the version that it runs.
+    /// Returns the version that the engine runs.
     pub fn version(&self) -> u64 {
         self.engine.state().models["model"]
     }
 
-    /// Gives the versions that it loaded, in order.
+    /// Returns the versions that the engine loaded, in order.
     pub fn swaps(&self) -> Vec<u64> {
         let swaps = self.lines().into_iter().filter(|line| line.event == "swap");
         swaps.map(|line| line.count).collect()
     }
 
-    /// Counts its crashes.
+    /// Counts the engine's crashes.
     pub fn crashes(&self) -> usize {
         self.lines().iter().filter(|line| line.event == "crash").count()
     }
 
-    /// Gives its record.
+    /// Returns the lines of the engine's record.
     pub fn lines(&self) -> Vec<EngineLine> {
         read(&self.record)
     }
 }
 
-/// Starts a label printer with an agent beside it, and gives its record.
-pub fn printer(system: &mut System, name: &str, delay_ms: u64) -> PathBuf {
+/// Starts a label printer and its agent, and returns the path of the printer's record.
+pub fn start_printer(system: &mut System, name: &str, delay_ms: u64) -> PathBuf {
     let record = system.path(&format!("{name}.jsonl"));
     let records = Recorder::open(&record).unwrap();
     let address = ports::address();
     let settings = ServiceSettings { delay_ms, ..ServiceSettings::default() };
-    keep(move || service::start(address, settings, records).unwrap().address);
-    system.agent(name, "dc-1", "service", address, "labels");
+    spawn_in_actix(move || service::start(address, settings, records).unwrap().address);
+    system.start_agent(name, "dc-1", "service", address, "labels");
     record
 }
 
-/// Gives the keys that printers ran.
-pub fn printed(records: &[PathBuf]) -> Vec<String> {
+/// Returns the idempotency keys of the printed labels, one for each print.
+pub fn printed_keys(records: &[PathBuf]) -> Vec<String> {
     let lines = records.iter().flat_map(|record| read::<ServiceLine>(record));
     lines.map(|line| line.key).filter(|key| !key.is_empty()).collect()
 }
 
-/// Starts a weight store and gives where it is.
-pub fn weight_store() -> String {
+/// Starts a weight store and returns its URL.
+pub fn start_weight_store() -> String {
     let settings = StoreSettings { size: 64 << 10, ..StoreSettings::default() };
-    let running = keep(move || store::start(ports::address(), settings).unwrap().address);
+    let running = spawn_in_actix(move || store::start(ports::address(), settings).unwrap().address);
     format!("http://{running}")
 }
 
-/// A caller that runs.
-pub struct Calling {
+/// A running caller.
+pub struct CallerRun {
     pub record: PathBuf,
     thread: JoinHandle<Counts>,
 }
 
-impl Calling {
-    /// Starts a caller; `settings` says what it does, but not to whom and where it is recorded.
+impl CallerRun {
+    /// Starts a caller. The entries, token, workspace, model and record in `settings` are replaced.
     pub fn start(system: &System, entries: &[SocketAddr], settings: CallerSettings) -> Self {
         let record = system.path(&format!("{}.jsonl", settings.name));
         let records = Recorder::open(&record).unwrap();
         let settings = CallerSettings {
-            entries: texts(entries),
+            entries: to_strings(entries),
             token: "caller-token".to_owned(),
             workspace: "desk".to_owned(),
             model: if settings.service { "labels" } else { "model" }.to_owned(),
@@ -156,26 +157,26 @@
         Self { record, thread }
     }
 
-    /// Waits until it has its last answer, and gives what it got.
+    /// Waits until the caller has its last answer, and returns its counts and its record.
     pub fn finish(self) -> (Counts, Vec<CallLine>) {
         let counts = self.thread.join().unwrap();
         (counts, read(&self.record))
     }
 }
 
-/// A trainer that runs.
-pub struct Training {
+/// A running trainer.
+pub struct TrainerRun {
     pub record: PathBuf,
     thread: JoinHandle<Report>,
 }
 
-impl Training {
-    /// Starts a trainer; `settings` says what it does, but not to whom.
+impl TrainerRun {
+    /// Starts a trainer. The entries, token, workspace and model in `settings` are replaced.
     pub fn start(system: &System, entries: &[SocketAddr], settings: TrainerSettings) -> Self {
         let record = system.path("trainer.jsonl");
         let records = Recorder::open(&record).unwrap();
         let settings = TrainerSettings {
-            entries: texts(entries),
+            entries: to_strings(entries),
             token: "trainer-token".to_owned(),
             workspace: "desk".to_owned(),
             model: "model".to_owned(),
@@ -187,17 +188,17 @@
         Self { record, thread }
     }
 
-    /// Waits until its last step is whole, and checks by its own record and those of the engines
-    /// that every sample came once, whole, fresh enough, and with the versions that made it.
+    /// Waits until the trainer's last step is complete. Checks by the records of the trainer and
+    /// the engines that every sample was delivered once, complete, fresh enough, and with the
+    /// versions that produced it.
     pub fn check(self, engines: &[&Engine]) -> Report {
         let report = self.thread.join().unwrap();
         assert!(report.steps > 0, "{report:?}");
-        let must_be_none =
-            [report.doubled, report.lost, report.wrong, report.stale, report.changed];
-        assert_eq!(must_be_none, [0; 5], "{report:?}");
+        let violations = [report.doubled, report.lost, report.wrong, report.stale, report.changed];
+        assert_eq!(violations, [0; 5], "{report:?}");
         let requests = requests(engines);
-        let mut wholes = requests.values().filter_map(Ran::whole).collect();
-        let matches = matching::samples(&mut wholes, "model", &self.record).unwrap();
+        let mut complete = requests.values().filter_map(Ran::whole).collect();
+        let matches = matching::samples(&mut complete, "model", &self.record).unwrap();
         check_matches(matches);
         report
     }
@@ -222,6 +223,6 @@
     records::read(file).unwrap()
 }
 
-fn texts(addresses: &[SocketAddr]) -> Vec<String> {
+fn to_strings(addresses: &[SocketAddr]) -> Vec<String> {
     addresses.iter().map(SocketAddr::to_string).collect()
 }
--- a/tests/faults/system.rs
+++ b/tests/faults/system.rs
@@ -1,4 +1,4 @@
-//! The daemons of a test, each a process of its own on a loopback address of its own.
+//! The daemons of a test. Each is a process with its own loopback address.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -21,9 +21,9 @@
 use serde_json::Value;
 use tempfile::TempDir;
 
-/// Long enough for a busy machine; no test depends on how long something takes.
-pub const PATIENCE: Duration = Duration::from_secs(90);
-const LOOK: Duration = Duration::from_millis(100);
+/// Limit of each wait, long enough for a busy machine. No test depends on how long an action takes.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const DAEMON: &str = env!("CARGO_BIN_EXE_chicoryfordd");
 
 const KEYS: &str = "\
@@ -33,7 +33,7 @@
 trainer coach trainer-token
 ";
 
-/// Where a daemon is, and with which settings it starts.
+/// A daemon's process and the address on which it listens.
 pub struct Daemon {
     pub process: Process,
     pub address: SocketAddr,
@@ -56,40 +56,40 @@
 }
 
 impl System {
-    /// Starts control processes `c1`, `c2` and so on, and waits until one leads.
+    /// Starts control processes `c1`, `c2` and so on, and waits until one of them is the leader.
     pub fn start(controls: usize) -> Self {
         let folder = tempfile::tempdir().unwrap();
         fs::write(folder.path().join("keys"), KEYS).unwrap();
         fs::write(folder.path().join("token"), "process-token\n").unwrap();
         fs::write(folder.path().join("operator"), "operator-token\n").unwrap();
         let names: Vec<String> = (1..=controls).map(|i| format!("c{i}")).collect();
-        let places: Vec<[SocketAddr; 2]> =
+        let addresses: Vec<[SocketAddr; 2]> =
             names.iter().map(|_| [ports::address(), ports::address()]).collect();
-        let replica = |(name, place): (&String, &[SocketAddr; 2])| {
-            format!("    - node: {name}\n      address: {}\n", place[0])
+        let replica = |(name, [address, _]): (&String, &[SocketAddr; 2])| {
+            format!("    - node: {name}\n      address: {address}\n")
         };
-        let replicas = names.iter().zip(&places).map(replica).collect();
-        let seeds = places.iter().map(|place| place[1]).collect();
+        let replicas = names.iter().zip(&addresses).map(replica).collect();
+        let seeds = addresses.iter().map(|[_, gossip]| *gossip).collect();
         let mut system = Self { folder, daemons: BTreeMap::new(), seeds, replicas };
-        for (name, [address, gossip]) in names.iter().zip(places) {
+        for (name, [address, gossip]) in names.iter().zip(addresses) {
             let role = format!("control:\n  replicas:\n{}", system.replicas);
             system.launch(name, "dc-1", address, gossip, &role);
         }
         let first = system.address("c1");
-        system.wait("a leader leads", || system.leader(&[first]).is_some());
+        system.wait("there is a leader", || system.leader(&[first]).is_some());
         system
     }
 
-    /// Starts an entry.
-    pub fn entry(&mut self, name: &str, centre: &str) -> SocketAddr {
-        self.daemon(name, centre, "entry: {}\n")
+    /// Starts an entry and returns its address.
+    pub fn start_entry(&mut self, name: &str, data_centre: &str) -> SocketAddr {
+        self.start_daemon(name, data_centre, "entry: {}\n")
     }
 
-    /// Starts the agent of an endpoint that offers `model`.
-    pub fn agent(
+    /// Starts the agent of an endpoint that serves `model`, and returns the agent's address.
+    pub fn start_agent(
         &mut self,
         endpoint: &str,
-        centre: &str,
+        data_centre: &str,
         kind: &str,
         at: SocketAddr,
         model: &str,
@@ -98,24 +98,25 @@
             "agent:\n  endpoint: {endpoint}\n  kind: {kind}\n  address: {at}\n  models: [{model}]\n\
              \x20 report_ms: 200\n"
         );
-        self.daemon(&format!("agent-{endpoint}"), centre, &role)
+        self.start_daemon(&format!("agent-{endpoint}"), data_centre, &role)
     }
 
-    /// Starts a control process with an empty disk that waits to be added.
-    pub fn joining(&mut self, name: &str) -> SocketAddr {
-        self.daemon(name, "dc-1", "control:\n  join: true\n")
+    /// Starts a control process with an empty disk that waits to be added to the replicas. Returns
+    /// its address.
+    pub fn start_joining(&mut self, name: &str) -> SocketAddr {
+        self.start_daemon(name, "dc-1", "control:\n  join: true\n")
     }
 
-    fn daemon(&mut self, name: &str, centre: &str, role: &str) -> SocketAddr {
+    fn start_daemon(&mut self, name: &str, data_centre: &str, role: &str) -> SocketAddr {
         let (address, gossip) = (ports::address(), ports::address());
-        self.launch(name, centre, address, gossip, role);
+        self.launch(name, data_centre, address, gossip, role);
         address
     }
 
     fn launch(
         &mut self,
         name: &str,
-        centre: &str,
+        data_centre: &str,
         address: SocketAddr,
         gossip: SocketAddr,
         role: &str,
@@ -124,7 +125,7 @@
             if role.starts_with("control") { format!("data: {name}\n") } else { String::new() };
         let seeds: Vec<String> = self.seeds.iter().map(SocketAddr::to_string).collect();
         let settings = format!(
-            "node: {name}\ndata_centre: {centre}\nlisten: {address}\ngossip: {gossip}\n\
+            "node: {name}\ndata_centre: {data_centre}\nlisten: {address}\ngossip: {gossip}\n\
              seeds: [{}]\n{data}{role}",
             seeds.join(", ")
         );
@@ -136,56 +137,54 @@
         self.daemons.insert(name.to_owned(), Daemon { process, address });
     }
 
-    /// Starts a killed daemon again with no file allowed to grow beyond `bytes`, as on a full
-    /// disk: each write beyond fails.
-    pub fn restart_on_a_full_disk(&mut self, name: &str, bytes: u64) {
+    /// Starts a killed daemon again with a file size limit of `bytes`. Writes beyond it fail as on
+    /// a full disk.
+    pub fn restart_on_full_disk(&mut self, name: &str, bytes: u64) {
         let script = "trap '' XFSZ; exec prlimit --fsize=$1 $2 --settings $3 2>/dev/null";
         let settings = self.path(&format!("{name}.yaml")).display().to_string();
         let arguments =
             ["-c", script, "sh", &bytes.to_string(), DAEMON, &settings].map(str::to_owned);
         let shell = Path::new("/bin/sh");
         let process = Process::start(self.folder.path(), name, shell, &arguments).unwrap();
-        self.of(name).process = process;
+        self.daemon_mut(name).process = process;
     }
 
-    /// Gives the path of a file of the test.
+    /// Returns the path of a file in the test's folder.
     pub fn path(&self, file: &str) -> PathBuf {
         self.folder.path().join(file)
     }
 
-    /// Gives a daemon.
-    pub fn of(&mut self, name: &str) -> &mut Daemon {
+    pub fn daemon_mut(&mut self, name: &str) -> &mut Daemon {
         self.daemons.get_mut(name).unwrap()
     }
 
-    /// Gives a daemon's address.
     pub fn address(&self, name: &str) -> SocketAddr {
         self.daemons[name].address
     }
 
-    /// Gives the addresses of daemons.
+    /// Returns the addresses of several daemons.
     pub fn addresses(&self, names: &[&str]) -> Vec<SocketAddr> {
         names.iter().map(|name| self.address(name)).collect()
     }
 
     /// Kills a daemon at once (SIGKILL).
     pub fn kill(&mut self, name: &str) {
-        self.of(name).process.kill().unwrap();
+        self.daemon_mut(name).process.kill().unwrap();
     }
 
     /// Starts a killed daemon again.
     pub fn restart(&mut self, name: &str) {
-        self.of(name).process.restart().unwrap();
+        self.daemon_mut(name).process.restart().unwrap();
     }
 
-    /// Asks a path as an operator.
+    /// Gets a path with an operator's token and returns the answer as JSON.
     pub fn get(&self, at: SocketAddr, path: &str) -> Value {
         let question =
             Question { method: "GET", path, token: "operator-token", ..Question::default() };
         raw::ask(at, &question).json()
     }
 
-    /// Gives who leads, as the first of `at` that knows says.
+    /// Returns the leader as reported by the first of `at` that reports one.
     pub fn leader(&self, at: &[SocketAddr]) -> Option<String> {
         let known = at.iter().map(|at| self.get(*at, paths::CONTROL_STATUS));
         let mut leaders = known.filter_map(|status| status["leader"].as_str().map(str::to_owned));
@@ -206,7 +205,7 @@
             .unwrap()
     }
 
-    /// Applies templates and waits until they are in force everywhere.
+    /// Applies templates and waits until they are in force in all processes.
     pub fn apply(&self, at: &[SocketAddr], text: &str) {
         let file = self.path("templates.yaml");
         fs::write(&file, text).unwrap();
@@ -214,28 +213,28 @@
         assert!(applied.status.success(), "{applied:?}");
     }
 
-    /// Waits until every one of `at` sees `count` endpoints that work.
+    /// Waits until each of `at` sees exactly `count` healthy endpoints.
     pub fn wait_endpoints(&self, at: &[SocketAddr], count: usize) {
         self.wait("the endpoints are seen", || {
             at.iter().all(|at| {
                 let members = self.get(*at, paths::MEMBERS);
                 let known = members["known"].as_object().cloned().unwrap_or_default();
-                let works = |k: &&Value| {
+                let is_healthy = |k: &&Value| {
                     k["member"]["endpoint"]["healthy"] == true && k["standing"] == "alive"
                 };
-                known.values().filter(works).count() == count
+                known.values().filter(is_healthy).count() == count
             })
         });
     }
 
-    /// Posts a body to a daemon with a token.
+    /// Posts a body to a daemon and returns the answer.
     pub fn post(&self, at: SocketAddr, path: &str, token: &str, body: &str) -> Answer {
         let headers = [("chicoryford-workspace", "desk")];
         let body = body.as_bytes();
         raw::ask(at, &Question { path, token, headers: &headers, body, ..Question::default() })
     }
 
-    /// Sends a command of an operator and goes away without reading the answer.
+    /// Sends an operator's command and closes the connection without reading the answer.
     pub fn send_and_forget(&self, at: SocketAddr, body: &str) {
         let question = Question {
             path: paths::OPERATE,
@@ -246,30 +245,30 @@
         drop(raw::send(at, &question));
     }
 
-    /// Waits until `done`; if it never is, the test fails.
+    /// Waits until `done` returns true, and panics after [`WAIT_TIMEOUT`].
     pub fn wait(&self, what: &str, mut done: impl FnMut() -> bool) {
-        let begun = Instant::now();
+        let started = Instant::now();
         while !done() {
-            if begun.elapsed() > PATIENCE {
-                panic!("waited in vain until {what}");
+            if started.elapsed() > WAIT_TIMEOUT {
+                panic!("timed out waiting until {what}");
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Gives the last lines of all logs.
+    /// Returns the last 20 lines of each daemon's log.
     pub fn logs(&self) -> String {
-        let mut all = String::new();
+        let mut output = String::new();
         for (name, daemon) in &self.daemons {
             let text = fs::read_to_string(&daemon.process.log).unwrap_or_default();
             let lines: Vec<&str> = text.lines().collect();
             let last = &lines[lines.len().saturating_sub(20)..];
-            all.push_str(&format!("--- {name}\n{}\n", last.join("\n")));
+            output.push_str(&format!("--- {name}\n{}\n", last.join("\n")));
         }
-        all
+        output
     }
 
-    /// Checks that no daemon found one of its promises broken, and that none panicked.
+    /// Checks that no daemon logged a violated invariant or a panic.
     pub fn check_logs(&self) {
         for (name, daemon) in &self.daemons {
             let text = fs::read_to_string(&daemon.process.log).unwrap_or_default();
