--- a/tests/faults/calls.rs
+++ b/tests/faults/calls.rs
@@ -84,8 +84,8 @@
 fn a_label_is_printed_once_at_most_when_entry_and_agent_die() {
     // Guards against printing one label twice when an entry and an agent are killed, alone and
     // together, with calls in progress. Callers retry through the other entry, and the agent
-    // restarts without its in-memory state. A label is printed twice if the claim on its idempotency key is
-    // held only by a process that can die.
+    // restarts without its in-memory state. A label is printed twice if the claim on its idempotency
+    // key is held only by a process that can die.
     let mut system = System::start(3);
     let entries = [system.start_entry("e1", "dc-1"), system.start_entry("e2", "dc-1")];
     let records = [start_printer(&mut system, "labels", 300)];
--- a/tests/regions/cut.rs
+++ b/tests/regions/cut.rs
@@ -1,4 +1,4 @@
-//! The side without a majority: an entry, its endpoints and one control process of three.
+//! Tests of the side without a majority: an entry, its endpoints and one control process of three.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,99 +12,104 @@
 use crate::fixture::read_batch;
 use crate::fixture::wait;
 
-/// From when on the entry knows that it is cut off (docs/REGIONS.md); twice the time that it needs,
-/// for a busy machine.
-const KNOWN: Duration = Duration::from_secs(8);
+/// Time after which the entry has detected that it is cut off (docs/REGIONS.md). This is twice the
+/// time that it needs, to allow for a busy machine.
+const DETECTION_TIME: Duration = Duration::from_secs(8);
 
 #[test]
 fn serves_repeatable_callers_and_refuses_labels_at_once() {
-    // Symptom: the packing line waits for seconds on each label and then hears that it was not
-    // printed; the desk hears nothing. Sequence: a region is cut off from the two others, its
-    // callers go on. Cause: each call that needs the majority waited for its own timeout, and held
-    // its place at the entry meanwhile.
+    // Guards against slow refusals and unanswered callers in a region that is cut off from the two
+    // others while its callers continue. This happens if each call that needs the majority waits
+    // for its own timeout and keeps its place in the entry's queue meanwhile. Labels must be
+    // refused quickly, and callers whose requests may be retried must still be answered.
     let all = Regions::start();
     let before = all.position(0);
-    all.hold(1, true);
-    all.hold(2, true);
+    all.set_frozen(1, true);
+    all.set_frozen(2, true);
     let cut = Instant::now();
     let mut slowest = Duration::ZERO;
-    let mut late = Duration::ZERO;
+    let mut slowest_after = Duration::ZERO;
     let mut answered = 0;
     let mut keys = Vec::new();
     for n in 0..40 {
-        let asked = Instant::now();
+        let sent = Instant::now();
         let name = format!("crate-{n}");
         let key = format!("{}.{name}", chicoryford_kernel::unix().0);
-        let label = all.label_as(0, &key, &name);
+        let label = all.print_label_with_key(0, &key, &name);
         keys.push((key, name));
-        let took = asked.elapsed();
+        let elapsed = sent.elapsed();
         assert_eq!((label.status, label.code().as_str()), (503, "no_quorum"), "{label:?}");
-        // Whether an earlier sending of the key ran is known to the majority alone.
+        // Only the majority can tell whether an earlier request with the key ran.
         assert_eq!(label.outcome(), "unknown");
         assert!(label.json()["error"]["retry_ms"].as_u64().is_some(), "{label:?}");
-        slowest = slowest.max(took);
-        if cut.elapsed() > KNOWN {
-            late = late.max(took);
+        slowest = slowest.max(elapsed);
+        if cut.elapsed() > DETECTION_TIME {
+            slowest_after = slowest_after.max(elapsed);
         }
         for caller in ["desk", "harbour"] {
-            let answer = all.ask(0, caller, &format!("crate {n}?"));
+            let answer = all.complete(0, caller, &format!("crate {n}?"));
             assert_eq!(answer.status, 200, "{caller}: {answer:?}");
             answered += 1;
         }
         std::thread::sleep(Duration::from_millis(250));
     }
-    println!("refusals: slowest {slowest:?}, slowest once known {late:?}; answered {answered}");
-    assert_eq!(all.position(0), before, "configuration goes on as it was");
-    assert_eq!(all.dump(0)["config"]["majority"], false, "operators can see why");
+    println!("slowest refusal {slowest:?}, after detection {slowest_after:?}; answered {answered}");
+    assert_eq!(all.position(0), before, "the configuration must stay in force");
+    assert_eq!(all.dump(0)["config"]["majority"], false, "the dump must show the missing majority");
 
-    all.hold(1, false);
-    all.hold(2, false);
-    wait("labels are printed again", || all.label(0, "after").status == 200);
+    all.set_frozen(1, false);
+    all.set_frozen(2, false);
+    wait("labels are printed again", || all.print_label(0, "after").status == 200);
     for (key, name) in &keys {
-        assert_eq!(all.printed(name), 0, "refused during the cut, yet printed");
+        assert_eq!(all.count_prints(name), 0, "refused while cut off, but printed");
         wait("a label that was refused is printed under its key", || {
-            all.label_as(0, key, name).status == 200
+            all.print_label_with_key(0, key, name).status == 200
         });
-        assert_eq!(all.label_as(0, key, name).status, 200, "a resend gets the stored answer");
-        assert_eq!(all.printed(name), 1, "printed once");
+        assert_eq!(
+            all.print_label_with_key(0, key, name).status,
+            200,
+            "a retry must get the stored answer"
+        );
+        assert_eq!(all.count_prints(name), 1, "a label must be printed once");
     }
 }
 
 #[test]
 fn keeps_a_trainers_cursor_while_it_is_cut_off() {
-    // Symptom: a trainer trains twice on a batch, or never gets it. Sequence: it pulls a batch,
-    // its region is cut off, the acknowledgement and further pulls fail, the network heals. Cause:
-    // the entry answered from what it had, or the other side moved the cursor on.
+    // Guards against a batch that a trainer gets twice or never. The trainer pulls a batch, its
+    // region is cut off, its acknowledgement and further pulls fail, and the network heals. This
+    // fails if the cut-off entry answers from its local state, or if the other side advances the
+    // cursor.
     let all = Regions::start();
     all.open_step(0);
     let mut first = Vec::new();
-    wait("a batch is there", || {
+    wait("a batch is available", || {
         let answer = all.pull(0, 1);
         if answer.status == 200 && !answer.json()["samples"].is_null() {
             first = read_batch(&answer);
         }
         !first.is_empty()
     });
-    all.hold(1, true);
-    all.hold(2, true);
+    all.set_frozen(1, true);
+    all.set_frozen(2, true);
     let cut = Instant::now();
-    while cut.elapsed() < KNOWN {
+    while cut.elapsed() < DETECTION_TIME {
         let pulled = all.pull(0, 1);
         assert_eq!(pulled.code(), "no_quorum", "{pulled:?}");
     }
-    let asked = Instant::now();
+    let sent = Instant::now();
     assert_eq!(all.pull(0, 1).code(), "no_quorum");
-    println!("a pull was refused after {:?}", asked.elapsed());
-    let acked = all.train(0, paths::STEP_ACK, &json!({"workspace": "desk", "cursor": 1}));
+    println!("a pull was refused after {:?}", sent.elapsed());
+    let acked = all.post_as_trainer(0, paths::STEP_ACK, &json!({"workspace": "desk", "cursor": 1}));
     assert_eq!((acked.code().as_str(), acked.outcome().as_str()), ("no_quorum", "not_run"));
-    all.hold(1, false);
-    all.hold(2, false);
+    all.set_frozen(1, false);
+    all.set_frozen(2, false);
     let mut again = None;
-    wait("the batch is there again", || {
+    wait("the batch is available again", || {
         let answer = all.pull(0, 1);
         again = (answer.status == 200).then(|| read_batch(&answer));
         again.is_some()
     });
-    assert_eq!(again.as_deref(), Some(&first[..]), "the same cursor gives the same batch");
+    assert_eq!(again.as_deref(), Some(&first[..]), "the same cursor must return the same batch");
     assert_each_once(&all.finish_step(0, 1));
 }
--- a/tests/regions/fixture.rs
+++ b/tests/regions/fixture.rs
@@ -1,5 +1,5 @@
-//! Three control processes in three regions; two regions have an entry, an engine and a label
-//! service with their agents.
+//! Three regions with a control process each. Two of them also have an entry, and an engine and a
+//! label service with their agents.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -27,11 +27,12 @@
 
 use chicoryford_wire::paths;
 
-/// Long enough for a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(90);
-const LOOK: Duration = Duration::from_millis(50);
-/// Groups of a step, and samples of each.
+/// Limit of each wait, long enough for a busy machine.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Groups of a step.
 pub const GROUPS: usize = 24;
+/// Samples of each group.
 pub const SAMPLES: usize = 2;
 
 const KEYS: &str = "\
@@ -59,13 +60,13 @@
 deadline_ms: 20000
 ";
 
-/// The processes of one region, with the names `control-<n>`, `entry-<n>` and so on.
+/// The processes of one region. They are named `control-<n>`, `entry-<n>` and so on.
 pub struct Region {
     pub entry: SocketAddr,
     pub processes: Vec<Process>,
 }
 
-/// Three regions.
+/// The processes of three regions, and the record of the printed labels.
 pub struct Regions {
     pub folder: TempDir,
     pub regions: Vec<Region>,
@@ -73,7 +74,8 @@
 }
 
 impl Regions {
-    /// Starts all, puts the templates in force, and waits until each entry serves both.
+    /// Starts all processes, applies the templates, and waits until each entry serves both
+    /// workspaces.
     pub fn start() -> Self {
         let folder = tempfile::tempdir().unwrap();
         std::fs::write(folder.path().join("keys"), KEYS).unwrap();
@@ -91,42 +93,47 @@
         let seeds: Vec<SocketAddr> = controls.iter().map(|(_, gossip)| *gossip).collect();
         let mut regions = Vec::new();
         for (n, (address, gossip)) in controls.iter().enumerate() {
-            let place = Place { folder: folder.path(), region: n, seeds: &seeds };
+            let launcher = Launcher { folder: folder.path(), region: n, seeds: &seeds };
             let role = json!({"control": {"replicas": replicas}, "data": format!("data-{n}")});
-            let mut processes = vec![place.start("control", *address, *gossip, role)];
+            let mut processes = vec![launcher.start("control", *address, *gossip, role)];
             let entry = ports::address();
             if n < 2 {
-                processes.push(place.start("entry", entry, ports::address(), json!({"entry": {}})));
+                processes.push(launcher.start(
+                    "entry",
+                    entry,
+                    ports::address(),
+                    json!({"entry": {}}),
+                ));
                 let (engine, service) = start_endpoints(labels.clone());
                 let agent = json!({"agent": {"endpoint": format!("engine-{n}"), "address": engine,
                     "models": ["model"]}});
-                processes.push(place.start("agent", ports::address(), ports::address(), agent));
+                processes.push(launcher.start("agent", ports::address(), ports::address(), agent));
                 let agent = json!({"agent": {"endpoint": format!("labels-{n}"), "kind": "service",
                     "address": service, "models": ["labels"]}});
-                processes.push(place.start("labels", ports::address(), ports::address(), agent));
+                processes.push(launcher.start("labels", ports::address(), ports::address(), agent));
             }
             regions.push(Region { entry, processes });
         }
         let all = Self { folder, regions, labels };
-        all.settle();
+        all.wait_until_ready();
         all
     }
 
-    fn settle(&self) {
+    fn wait_until_ready(&self) {
         let file = self.folder.path().join("templates.yaml").display().to_string();
         wait("the templates are in force", || self.client(0, &["apply", &file]).status.success());
         for n in 0..2 {
             wait("each entry serves repeatable work", || {
-                self.ask(n, "desk", "ready").status == 200
+                self.complete(n, "desk", "ready").status == 200
             });
-            wait("each entry serves labels", || self.label(n, "ready").status == 200);
+            wait("each entry serves labels", || self.print_label(n, "ready").status == 200);
         }
     }
 
-    /// Holds all processes of a region still, or lets them go on.
-    pub fn hold(&self, region: usize, hold: bool) {
+    /// Freezes or resumes all processes of a region.
+    pub fn set_frozen(&self, region: usize, frozen: bool) {
         for process in &self.regions[region].processes {
-            if hold { process.freeze().unwrap() } else { process.thaw().unwrap() }
+            if frozen { process.freeze().unwrap() } else { process.thaw().unwrap() }
         }
     }
 
@@ -140,13 +147,13 @@
             .unwrap()
     }
 
-    /// Reads the position of an entry's configuration.
+    /// Returns the position of an entry's configuration.
     pub fn position(&self, entry: usize) -> String {
         let dump = self.dump(entry);
         dump["config"]["at"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Reads an entry's state dump.
+    /// Returns an entry's state dump.
     pub fn dump(&self, entry: usize) -> Value {
         let question = Question {
             method: "GET",
@@ -157,8 +164,8 @@
         raw::ask(self.regions[entry].entry, &question).json()
     }
 
-    /// Asks for a repeatable completion.
-    pub fn ask(&self, entry: usize, caller: &str, prompt: &str) -> Answer {
+    /// Requests a completion that may be retried.
+    pub fn complete(&self, entry: usize, caller: &str, prompt: &str) -> Answer {
         let body = json!({"model": "model", "prompt": prompt, "max_tokens": 8}).to_string();
         let headers = [("chicoryford-workspace", "desk")];
         let token = format!("{caller}-token");
@@ -172,14 +179,14 @@
         raw::ask(self.regions[entry].entry, &question)
     }
 
-    /// Has a label printed once under a key of its own.
-    pub fn label(&self, entry: usize, crate_name: &str) -> Answer {
+    /// Requests a label under a new idempotency key.
+    pub fn print_label(&self, entry: usize, crate_name: &str) -> Answer {
         let key = format!("{}.{crate_name}-{entry}", chicoryford_kernel::unix().0);
-        self.label_as(entry, &key, crate_name)
+        self.print_label_with_key(entry, &key, crate_name)
     }
 
-    /// Has a label printed under `key`.
-    pub fn label_as(&self, entry: usize, key: &str, crate_name: &str) -> Answer {
+    /// Requests a label under the idempotency key `key`.
+    pub fn print_label_with_key(&self, entry: usize, key: &str, crate_name: &str) -> Answer {
         let headers = [("chicoryford-workspace", "packing"), ("idempotency-key", key)];
         let path = format!("{}labels/print", paths::SERVICES);
         let question = Question {
@@ -193,14 +200,14 @@
     }
 
     /// Counts how often a label was printed.
-    pub fn printed(&self, crate_name: &str) -> usize {
-        let kept = self.labels.kept();
-        kept.iter().filter(|execution| execution["body"] == crate_name).count()
+    pub fn count_prints(&self, crate_name: &str) -> usize {
+        let executions = self.labels.kept();
+        executions.iter().filter(|execution| execution["body"] == crate_name).count()
     }
 
-    /// Sends a trainer's question.
-    pub fn train(&self, entry: usize, path: &str, question: &Value) -> Answer {
-        let body = question.to_string();
+    /// Posts a trainer's request.
+    pub fn post_as_trainer(&self, entry: usize, path: &str, request: &Value) -> Answer {
+        let body = request.to_string();
         let headers = [("chicoryford-workspace", "desk")];
         let question = Question {
             path,
@@ -219,19 +226,21 @@
             "workspace": "desk", "step": 1, "model": "model", "samples": SAMPLES,
             "max_tokens": 400, "groups": groups, "budget_ms": 240_000,
         });
-        wait("the step is open", || self.train(entry, paths::STEP_OPEN, &spec).status == 200);
+        wait("the step is open", || {
+            self.post_as_trainer(entry, paths::STEP_OPEN, &spec).status == 200
+        });
     }
 
-    /// Pulls at most four groups.
+    /// Pulls a batch of at most four groups.
     pub fn pull(&self, entry: usize, cursor: u64) -> Answer {
         let pull = json!({"workspace": "desk", "cursor": cursor, "groups": 4, "newest": 1});
-        self.train(entry, paths::STEP_PULL, &pull)
+        self.post_as_trainer(entry, paths::STEP_PULL, &pull)
     }
 
-    /// Pulls and acknowledges until the step is whole; gives all its samples.
+    /// Pulls and acknowledges batches until the step is complete, and returns all its samples.
     pub fn finish_step(&self, entry: usize, mut cursor: u64) -> Vec<Sample> {
         let mut samples: Vec<Sample> = Vec::new();
-        wait("all samples are there", || {
+        wait("all samples are delivered", || {
             let answer = self.pull(entry, cursor);
             if answer.status != 200 || answer.json()["samples"].is_null() {
                 return false;
@@ -239,7 +248,7 @@
             samples.extend(read_batch(&answer));
             let ack = json!({"workspace": "desk", "cursor": cursor});
             wait("the batch is acknowledged", || {
-                self.train(entry, paths::STEP_ACK, &ack).status == 200
+                self.post_as_trainer(entry, paths::STEP_ACK, &ack).status == 200
             });
             cursor += 1;
             samples.len() >= GROUPS * SAMPLES
@@ -248,45 +257,52 @@
     }
 }
 
-/// Reads the samples of a batch.
+/// Returns the samples of a batch.
 pub fn read_batch(answer: &Answer) -> Vec<Sample> {
     serde_json::from_value(answer.json()["samples"].clone()).unwrap()
 }
 
-/// Asserts that every sample of the step is there once, and attributed.
+/// Asserts that every sample of the step was delivered once and is attributed.
 pub fn assert_each_once(samples: &[Sample]) {
-    let mut places: Vec<_> = samples.iter().map(|s| (s.group, s.number)).collect();
-    places.sort();
-    places.dedup();
-    assert_eq!((samples.len(), places.len()), (GROUPS * SAMPLES, GROUPS * SAMPLES));
+    let mut ids: Vec<_> = samples.iter().map(|s| (s.group, s.number)).collect();
+    ids.sort();
+    ids.dedup();
+    assert_eq!((samples.len(), ids.len()), (GROUPS * SAMPLES, GROUPS * SAMPLES));
     assert!(samples.iter().all(Sample::is_attributed), "{samples:?}");
 }
 
-/// Waits until `done`.
+/// Waits until `done` returns true, and panics after [`WAIT_TIMEOUT`].
 pub fn wait(what: &str, mut done: impl FnMut() -> bool) {
-    let begun = Instant::now();
+    let started = Instant::now();
     while !done() {
-        assert!(begun.elapsed() < PATIENCE, "waited in vain until {what}");
-        thread::sleep(LOOK);
+        assert!(started.elapsed() < WAIT_TIMEOUT, "timed out waiting until {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-struct Place<'a> {
+/// Starts the processes of one region.
+struct Launcher<'a> {
     folder: &'a Path,
     region: usize,
     seeds: &'a [SocketAddr],
 }
 
-impl Place<'_> {
-    fn start(&self, role: &str, listen: SocketAddr, gossip: SocketAddr, part: Value) -> Process {
+impl Launcher<'_> {
+    fn start(
+        &self,
+        role: &str,
+        listen: SocketAddr,
+        gossip: SocketAddr,
+        role_settings: Value,
+    ) -> Process {
         let name = format!("{role}-{}", self.region);
         let mut settings = json!({
             "node": name, "region": format!("region-{}", self.region),
             "data_centre": format!("centre-{}", self.region), "listen": listen,
             "gossip": gossip, "seeds": self.seeds, "keys": "keys", "token": "token",
         });
-        let known = settings.as_object_mut().unwrap();
-        known.extend(part.as_object().unwrap().clone());
+        let fields = settings.as_object_mut().unwrap();
+        fields.extend(role_settings.as_object().unwrap().clone());
         let file = self.folder.join(format!("{name}.yaml"));
         std::fs::write(&file, settings.to_string()).unwrap();
         let arguments = ["--settings".to_owned(), file.display().to_string()];
@@ -295,7 +311,7 @@
     }
 }
 
-/// Starts an engine and a label service that are never held still.
+/// Starts an engine and a label service. They run in the test process and are never frozen.
 fn start_endpoints(labels: Recorder) -> (SocketAddr, SocketAddr) {
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
--- a/tests/regions/main.rs
+++ b/tests/regions/main.rs
@@ -1,7 +1,7 @@
-//! Three regions over real processes, one of them cut off from the two others.
+//! Tests with the processes of three regions, one of which is cut off from the two others.
 //!
-//! A process that is held still (SIGSTOP) answers nothing and closes nothing. Towards those that
-//! run, this is what a silent network partition looks like.
+//! A process that is frozen (SIGSTOP) sends no answers and closes no connections. For the running
+//! processes, this is the same as a silent network partition.
 
 mod cut;
 mod fixture;
--- a/tests/regions/members.rs
+++ b/tests/regions/members.rs
@@ -1,15 +1,15 @@
-//! Membership over real sockets: a process that is held still, and one that is killed.
+//! Tests of membership over real sockets: a frozen process and a killed one.
 
 use serde_json::Value;
 
 use crate::fixture::Regions;
 use crate::fixture::wait;
 
-/// Where a region's agent of an engine stands among its processes.
-const AGENT: usize = 2;
+/// Index of the engine's agent among the processes of a region.
+const AGENT_INDEX: usize = 2;
 
-/// Gives how an entry sees the agent of a region's engine.
-fn standing(all: &Regions, entry: usize, region: usize) -> String {
+/// Returns the state of a region's engine agent in an entry's membership.
+fn member_state(all: &Regions, entry: usize, region: usize) -> String {
     let seen = all.client(entry, &["endpoints", "--output", "json"]);
     let seen: Vec<Value> = serde_json::from_slice(&seen.stdout).unwrap_or_default();
     let name = format!("agent-{region}");
@@ -18,29 +18,33 @@
 }
 
 #[test]
-fn tells_a_frozen_and_a_killed_process_from_the_others() {
-    // Symptom: work goes to a process that is gone, or one that was merely stopped for a while is
-    // never seen again, or takes others for dead. Sequence: a process is stopped and goes on; then
-    // it is killed and starts again. Cause: its sockets stay open and take datagrams while it
-    // does not run, and it finds all its timers expired when it goes on.
+fn detects_frozen_and_killed_processes() {
+    // Guards against work that is sent to a lost process, against a process that stays unseen after
+    // a freeze, and against a resumed process that reports others as dead. A process is frozen and
+    // resumed, then killed and restarted. The sockets of a frozen process stay open and accept
+    // datagrams, and all its timers have expired when it resumes.
     let mut all = Regions::start();
-    all.regions[1].processes[AGENT].freeze().unwrap();
+    all.regions[1].processes[AGENT_INDEX].freeze().unwrap();
     for entry in 0..2 {
-        wait("the frozen process is dead to all", || standing(&all, entry, 1) == "dead");
-        assert_eq!(standing(&all, entry, 0), "alive");
+        wait("the frozen process is dead to all", || member_state(&all, entry, 1) == "dead");
+        assert_eq!(member_state(&all, entry, 0), "alive");
     }
-    all.regions[1].processes[AGENT].thaw().unwrap();
+    all.regions[1].processes[AGENT_INDEX].thaw().unwrap();
     for entry in 0..2 {
-        wait("it is seen again", || standing(&all, entry, 1) == "alive");
-        assert_eq!(standing(&all, entry, 0), "alive", "it must not blame others");
+        wait("the resumed process is alive to all", || member_state(&all, entry, 1) == "alive");
+        assert_eq!(
+            member_state(&all, entry, 0),
+            "alive",
+            "a resumed process must not report others as dead"
+        );
     }
-    all.regions[1].processes[AGENT].kill().unwrap();
+    all.regions[1].processes[AGENT_INDEX].kill().unwrap();
     for entry in 0..2 {
-        wait("the killed process is dead to all", || standing(&all, entry, 1) == "dead");
-        assert_eq!(standing(&all, entry, 0), "alive");
+        wait("the killed process is dead to all", || member_state(&all, entry, 1) == "dead");
+        assert_eq!(member_state(&all, entry, 0), "alive");
     }
-    all.regions[1].processes[AGENT].restart().unwrap();
+    all.regions[1].processes[AGENT_INDEX].restart().unwrap();
     for entry in 0..2 {
-        wait("the new one is seen", || standing(&all, entry, 1) == "alive");
+        wait("the restarted process is alive to all", || member_state(&all, entry, 1) == "alive");
     }
 }
