--- a/tests/whole/bodies.rs
+++ b/tests/whole/bodies.rs
@@ -1,4 +1,4 @@
-//! Samples' bytes at entries that are killed, over real processes.
+//! Tests of the samples' bodies at entries that are killed or restarted, with real processes.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,18 +21,18 @@
 use tempfile::TempDir;
 
 use crate::fixture::KEYS;
-use crate::fixture::PATIENCE;
 use crate::fixture::TEMPLATE;
+use crate::fixture::WAIT_TIMEOUT;
 use crate::fixture::start_engine_with;
 
 const GROUPS: usize = 8;
 const SAMPLES: usize = 2;
 const TOKENS: u32 = 600;
-/// Copies of all bodies of the step, three each.
+/// Copies of all bodies of the step, three of each.
 const COPIES: u64 = (GROUPS * SAMPLES * 3) as u64;
-const LOOK: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A control process with an agent, and entries in three data centres.
+/// A process with the control and agent roles, and entries in three data centres.
 struct Cluster {
     folder: TempDir,
     seed: SocketAddr,
@@ -67,10 +67,10 @@
         cluster.launch("control", (control, seed), "zadar", &roles);
         for number in 0..entries {
             let addresses = (ports::address(), ports::address());
-            let place = ["ston", "novigrad", "split"][number % 3];
-            cluster.launch(&format!("entry-{number}"), addresses, place, "entry: {}\n");
+            let data_centre = ["ston", "novigrad", "split"][number % 3];
+            cluster.launch(&format!("entry-{number}"), addresses, data_centre, "entry: {}\n");
         }
-        cluster.wait("the template is in force", || cluster.applies());
+        cluster.wait("the template is in force", || cluster.try_apply());
         cluster
     }
 
@@ -78,13 +78,13 @@
         &mut self,
         name: &str,
         addresses: (SocketAddr, SocketAddr),
-        place: &str,
+        data_centre: &str,
         roles: &str,
     ) {
         let (address, gossip) = addresses;
         let settings = format!(
             "node: {name}\nlisten: {address}\ngossip: {gossip}\nseeds: [{}]\n\
-             data_centre: {place}\n{roles}",
+             data_centre: {data_centre}\n{roles}",
             self.seed
         );
         let file = self.folder.path().join(format!("{name}.yaml"));
@@ -96,7 +96,7 @@
         self.processes.push(process);
     }
 
-    fn applies(&self) -> bool {
+    fn try_apply(&self) -> bool {
         let path = |name| self.folder.path().join(name).display().to_string();
         let address = self.control.to_string();
         let output = Command::new(env!("CARGO_BIN_EXE_chicoryford"))
@@ -121,56 +121,56 @@
         raw::ask(self.addresses[1 + entry], &question)
     }
 
-    /// Counts the bodies that an entry holds, none if it does not answer.
-    fn bodies(&self, entry: usize) -> u64 {
+    /// Returns the number of bodies that an entry holds, or 0 if it does not answer.
+    fn count_bodies(&self, entry: usize) -> u64 {
         self.get(entry, paths::DUMP).json()["entry.bodies"]["bodies"].as_u64().unwrap_or_default()
     }
 
-    fn copies(&self, entries: &[usize]) -> u64 {
-        entries.iter().map(|entry| self.bodies(*entry)).sum()
+    fn count_copies(&self, entries: &[usize]) -> u64 {
+        entries.iter().map(|entry| self.count_bodies(*entry)).sum()
     }
 
-    /// Ends an entry without letting it do anything more.
+    /// Kills an entry (SIGKILL).
     fn kill(&mut self, entry: usize) {
         self.processes[1 + entry].kill().unwrap();
     }
 
     fn wait(&self, what: &str, mut done: impl FnMut() -> bool) {
-        let begun = Instant::now();
+        let started = Instant::now();
         while !done() {
-            if begun.elapsed() > PATIENCE {
+            if started.elapsed() > WAIT_TIMEOUT {
                 let logs = std::fs::read_dir(self.folder.path()).unwrap().flatten();
                 let logs = logs.filter(|file| file.path().extension().is_some_and(|e| e == "log"));
                 for log in logs {
                     println!("{:?}\n{}", log.path(), std::fs::read_to_string(log.path()).unwrap());
                 }
-                panic!("waited in vain until {what}");
+                panic!("timed out waiting until {what}");
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Opens a step through entry 0, and waits until all its samples are held by three entries.
-    fn open(&self, entries: &[usize]) {
+    /// Opens a step through entry 0, and waits until three entries hold each of its samples.
+    fn open_step(&self, entries: &[usize]) {
         let groups: Vec<_> = (0..GROUPS).map(|n| json!({"prompt": format!("route {n}")})).collect();
         let spec = json!({
             "workspace": "desk", "step": 1, "model": "model", "samples": SAMPLES,
             "max_tokens": TOKENS, "logprobs": true, "groups": groups, "budget_ms": 60_000,
         });
         self.wait("the entries see each other", || {
-            entries.iter().all(|entry| self.sees(*entry, entries.len()))
+            entries.iter().all(|entry| self.has_alive_entries(*entry, entries.len()))
         });
         self.wait("the step is open", || self.post(0, paths::STEP_OPEN, &spec).status == 200);
-        self.wait("all samples have three holders", || self.copies(entries) == COPIES);
+        self.wait("all samples have three holders", || self.count_copies(entries) == COPIES);
     }
 
-    fn sees(&self, entry: usize, wanted: usize) -> bool {
+    fn has_alive_entries(&self, entry: usize, count: usize) -> bool {
         let seen = self.get(entry, paths::MEMBERS).json();
         let Some(known) = seen["known"].as_object() else { return false };
-        let is_there = |known: &&Value| {
+        let is_entry = |known: &&Value| {
             known["standing"] == "alive" && known["member"]["roles"]["entry"] == true
         };
-        known.values().filter(is_there).count() >= wanted
+        known.values().filter(is_entry).count() >= count
     }
 
     fn pull(&self, entry: usize, cursor: u64) -> Answer {
@@ -178,11 +178,12 @@
         self.post(entry, paths::STEP_PULL, &pull)
     }
 
-    /// Pulls each batch twice and acknowledges it, until all samples came.
-    fn drain(&self, entry: usize) -> Vec<Value> {
+    /// Pulls each batch twice and acknowledges it, until all samples are delivered. Checks that the
+    /// second pull returns the same batch.
+    fn pull_all(&self, entry: usize) -> Vec<Value> {
         let mut samples = Vec::new();
         let mut cursor = 1;
-        self.wait("all samples are there", || {
+        self.wait("all samples are delivered", || {
             let answer = self.pull(entry, cursor);
             if answer.status != 200 {
                 return false;
@@ -198,65 +199,69 @@
     }
 }
 
-fn check_each_came_once(samples: &[Value]) {
-    let place = |sample: &Value| (sample["group"].to_string(), sample["number"].to_string());
-    let places: BTreeSet<_> = samples.iter().map(place).collect();
-    assert_eq!((samples.len(), places.len()), (GROUPS * SAMPLES, GROUPS * SAMPLES));
+fn check_each_delivered_once(samples: &[Value]) {
+    let id = |sample: &Value| (sample["group"].to_string(), sample["number"].to_string());
+    let ids: BTreeSet<_> = samples.iter().map(id).collect();
+    assert_eq!((samples.len(), ids.len()), (GROUPS * SAMPLES, GROUPS * SAMPLES));
 }
 
 #[test]
 fn a_batch_outlives_four_of_five_holders_killed_between_repairs() {
-    // Symptom: a trainer that pulls again after a failure gets other samples, or none.
-    // Sequence: a batch is pulled, its answer is lost; one holder is killed, then the step's
-    // owner, then two holders at once.
-    // Cause: bytes outside the log with too few copies, or copies that nobody restores.
+    // Guards against a retried pull that returns other samples, or none, after holders were lost. A
+    // batch is pulled and its answer is lost; one holder is killed, then the step's owner, then two
+    // holders at once. This fails if the bytes outside the log have too few copies, or if lost
+    // copies are not restored.
     let mut cluster = Cluster::start(5);
-    cluster.open(&[0, 1, 2, 3, 4]);
+    cluster.open_step(&[0, 1, 2, 3, 4]);
     let first = cluster.pull(3, 1);
     assert_eq!(first.status, 200, "{first:?}");
     cluster.kill(4);
-    cluster.wait("the copies of entry 4 are restored", || cluster.copies(&[0, 1, 2, 3]) >= COPIES);
+    cluster.wait("the copies of entry 4 are restored", || {
+        cluster.count_copies(&[0, 1, 2, 3]) >= COPIES
+    });
     cluster.kill(0);
-    cluster.wait("the copies of the owner are restored", || cluster.copies(&[1, 2, 3]) >= COPIES);
+    cluster.wait("the copies of the owner are restored", || {
+        cluster.count_copies(&[1, 2, 3]) >= COPIES
+    });
     cluster.kill(1);
     cluster.kill(2);
     assert_eq!(cluster.pull(3, 1).body, first.body);
-    check_each_came_once(&cluster.drain(3));
-    cluster.wait("acknowledged bodies are dropped", || cluster.bodies(3) == 0);
+    check_each_delivered_once(&cluster.pull_all(3));
+    cluster.wait("acknowledged bodies are dropped", || cluster.count_bodies(3) == 0);
 }
 
 #[test]
 fn a_restart_of_all_entries_one_after_the_other_loses_nothing() {
-    // Symptom: after an update of all entries a trainer's batch is lost.
-    // Sequence: each entry is asked to stop and started again; the next is asked as soon as the
-    // others see that one, though it has no copies yet.
-    // Cause: an entry left before its copies were made elsewhere.
+    // Guards against losing a trainer's batch during an update of all entries. Each entry is asked
+    // to stop and restarted, and the next follows as soon as the others see the restarted one,
+    // although it has no copies yet. An entry must not end before its copies have been made
+    // elsewhere.
     let mut cluster = Cluster::start(3);
-    cluster.open(&[0, 1, 2]);
+    cluster.open_step(&[0, 1, 2]);
     let first = cluster.pull(0, 1);
     assert_eq!(first.status, 200, "{first:?}");
     for entry in 0..3 {
-        assert!(cluster.processes[1 + entry].stop(PATIENCE).unwrap());
+        assert!(cluster.processes[1 + entry].stop(WAIT_TIMEOUT).unwrap());
         cluster.processes[1 + entry].restart().unwrap();
         cluster.wait("the others see the restarted entry", || {
-            (0..3).all(|entry| cluster.sees(entry, 3))
+            (0..3).all(|entry| cluster.has_alive_entries(entry, 3))
         });
     }
     assert_eq!(cluster.pull(0, 1).body, first.body);
-    check_each_came_once(&cluster.drain(2));
+    check_each_delivered_once(&cluster.pull_all(2));
 }
 
 #[test]
 fn the_third_holder_serves_a_pull_while_two_are_just_killed() {
-    // Symptom: a trainer waits for a batch until failure detection is done.
-    // Sequence: two of the three holders are killed; the trainer pulls at once.
-    // Cause: the pull waited for holders that do not answer, or gave up at the first.
+    // Guards against a pull that waits until failure detection has finished. Two of the three
+    // holders are killed, and the trainer pulls immediately. The pull must not wait for holders
+    // that do not answer, and must not fail at the first one.
     let mut cluster = Cluster::start(3);
-    cluster.open(&[0, 1, 2]);
+    cluster.open_step(&[0, 1, 2]);
     let first = cluster.pull(0, 1);
     assert_eq!(first.status, 200, "{first:?}");
     cluster.kill(1);
     cluster.kill(2);
     assert_eq!(cluster.pull(0, 1).body, first.body);
-    check_each_came_once(&cluster.drain(0));
+    check_each_delivered_once(&cluster.pull_all(0));
 }
--- a/tests/whole/client.rs
+++ b/tests/whole/client.rs
@@ -1,4 +1,4 @@
-//! The operators' client: exit codes, conflicts, history.
+//! Tests of the operators' client: exit codes, conflicts and history.
 
 use std::io::Read;
 use std::io::Write;
@@ -19,16 +19,16 @@
 use crate::fixture::TEMPLATE;
 use crate::fixture::TOKENS;
 
-fn code(output: &Output) -> i32 {
+fn exit_code(output: &Output) -> i32 {
     output.status.code().unwrap_or(-1)
 }
 
-fn said(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     let both = [&output.stdout[..], &output.stderr[..]].concat();
     String::from_utf8_lossy(&both).into_owned()
 }
 
-fn alone(arguments: &[&str]) -> Output {
+fn run_client(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_chicoryford")).args(arguments).output().unwrap()
 }
 
@@ -37,9 +37,9 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("t.yaml");
     std::fs::write(&file, "workspace: desk\nmodles: [m]\n").unwrap();
-    let checked = alone(&["template", "check", &file.display().to_string()]);
-    assert_eq!(code(&checked), 2);
-    assert!(said(&checked).contains("did you mean `models`?"), "{checked:?}");
+    let checked = run_client(&["template", "check", &file.display().to_string()]);
+    assert_eq!(exit_code(&checked), 2);
+    assert!(output_text(&checked).contains("did you mean `models`?"), "{checked:?}");
 }
 
 #[test]
@@ -51,22 +51,22 @@
         .args(["--check", "--settings", &file.display().to_string()])
         .output()
         .unwrap();
-    assert_eq!(code(&output), 2);
-    assert!(said(&output).contains("node.yaml:"), "{output:?}");
+    assert_eq!(exit_code(&output), 2);
+    assert!(output_text(&output).contains("node.yaml:"), "{output:?}");
 }
 
 #[test]
-fn errors_on_addresses_that_nobody_answers() {
-    let output = alone(&["--address", "127.0.0.1:1", "--timeout", "0", "status"]);
-    assert_eq!(code(&output), 4);
-    assert_eq!(code(&alone(&["status"])), 2, "no address at all is a usage error");
+fn errors_on_an_unreachable_address() {
+    let output = run_client(&["--address", "127.0.0.1:1", "--timeout", "0", "status"]);
+    assert_eq!(exit_code(&output), 4);
+    assert_eq!(exit_code(&run_client(&["status"])), 2, "a missing address must be a usage error");
 }
 
 #[test]
-fn tells_a_lost_answer_from_one_that_did_not_run() {
-    // Symptom: an operator believes that a stop was not cancelled, and plans on that. Sequence:
-    // the request arrives, the connection breaks before the answer. Cause: a lost answer was
-    // taken for "not run".
+fn distinguishes_a_lost_answer_from_a_command_that_did_not_run() {
+    // Guards against an operator who assumes that a stop was not cancelled although it may have
+    // been. The request arrives, but the connection breaks before the answer. A lost answer must
+    // not be reported as not run.
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let address = listener.local_addr().unwrap().to_string();
     thread::spawn(move || {
@@ -74,18 +74,18 @@
             let _ = stream.unwrap().read(&mut [0; 4_096]);
         }
     });
-    let output = alone(&["--address", &address, "--timeout", "0", "stop", "cancel", "s"]);
-    assert_eq!(code(&output), 6, "{output:?}");
-    assert!(said(&output).contains("send it again with --change"), "{output:?}");
+    let output = run_client(&["--address", &address, "--timeout", "0", "stop", "cancel", "s"]);
+    assert_eq!(exit_code(&output), 6, "{output:?}");
+    assert!(output_text(&output).contains("send it again with --change"), "{output:?}");
 }
 
-/// Answers like an entry of a deployment of 390 processes, of which `behind` are behind when asked
-/// first, and none when asked again.
+/// Starts a server that answers like an entry of a deployment of 390 processes, and returns its
+/// address. It reports `behind` lagging processes in its first answer and none afterwards.
 fn large_deployment(behind: usize) -> String {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let address = listener.local_addr().unwrap().to_string();
     thread::spawn(move || {
-        let mut left = behind;
+        let mut lagging = behind;
         for stream in listener.incoming() {
             let mut stream = stream.unwrap();
             let mut bytes = [0; 4_096];
@@ -93,8 +93,8 @@
             let head = String::from_utf8_lossy(&bytes[..count]).into_owned();
             let answer = if head.contains(paths::IN_FORCE) {
                 assert!(head.contains("at=2.7"), "{head}");
-                let told = in_force(std::mem::take(&mut left));
-                serde_json::to_string(&told).unwrap()
+                let report = in_force(std::mem::take(&mut lagging));
+                serde_json::to_string(&report).unwrap()
             } else {
                 let at = Position { epoch: Epoch(2), revision: Revision(7) };
                 serde_json::to_string(&Reply::Accepted { at, version: 0 }).unwrap()
@@ -110,10 +110,10 @@
 }
 
 fn in_force(behind: usize) -> InForce {
-    let named = (0..behind.min(100)).map(|i| Node(format!("agent-{i}")));
+    let names = (0..behind.min(100)).map(|i| Node(format!("agent-{i}")));
     InForce {
         everywhere: behind == 0,
-        lagging: named.collect(),
+        lagging: names.collect(),
         behind,
         processes: 390,
         ..InForce::default()
@@ -122,66 +122,66 @@
 
 #[test]
 fn can_wait_for_more_processes_than_an_answer_names() {
-    // Symptom: `--wait` says "not everywhere" of a change that is in force everywhere. Sequence:
-    // a deployment of hundreds of processes; each control process knows of those that follow it
-    // and names at most 100 of the others as lagging. Cause: the client put the lists together by
-    // itself, and took no notice of one that was cut off.
+    // Guards against `--wait` reporting a change as not in force everywhere although it is. In a
+    // deployment of hundreds of processes, each control process knows only the processes that
+    // follow it and names at most 100 of the others as lagging. The client must not combine these
+    // truncated lists by itself.
     let address = large_deployment(250);
     let cancel = ["--address", &address, "stop", "cancel", "s", "--wait"];
-    let output = alone(&cancel);
-    assert_eq!(code(&output), 0, "{output:?}");
+    let output = run_client(&cancel);
+    assert_eq!(exit_code(&output), 0, "{output:?}");
     let address = large_deployment(250);
     let cancel = ["--address", &address, "stop", "cancel", "s", "--wait", "--wait-timeout", "0"];
-    let output = alone(&cancel);
-    assert_eq!(code(&output), 5, "{output:?}");
-    let said = said(&output);
-    assert!(said.contains("250 of 390 processes are behind: agent-0, "), "{said}");
-    assert!(said.contains("agent-99 and 150 more"), "{said}");
+    let output = run_client(&cancel);
+    assert_eq!(exit_code(&output), 5, "{output:?}");
+    let text = output_text(&output);
+    assert!(text.contains("250 of 390 processes are behind: agent-0, "), "{text}");
+    assert!(text.contains("agent-99 and 150 more"), "{text}");
 }
 
 #[test]
 fn can_apply_compare_and_roll_back() {
     let node = fixture::Node::with_template("{}");
     let second = node.write("second.yaml", &TEMPLATE.replace("urgent", "normal"));
-    assert_eq!(code(&node.client(&["template", "diff", &second, "--exit-code"])), 1);
+    assert_eq!(exit_code(&node.client(&["template", "diff", &second, "--exit-code"])), 1);
     let applied = node.client(&["apply", "--wait", &second]);
-    assert_eq!(code(&applied), 0, "{applied:?}");
-    assert_eq!(code(&node.client(&["template", "diff", &second, "--exit-code"])), 0);
-    assert!(said(&node.client(&["apply", &second])).contains("unchanged"));
+    assert_eq!(exit_code(&applied), 0, "{applied:?}");
+    assert_eq!(exit_code(&node.client(&["template", "diff", &second, "--exit-code"])), 0);
+    assert!(output_text(&node.client(&["apply", &second])).contains("unchanged"));
     let rolled = node.client(&["template", "rollback", "desk", "--to", "1", "--wait"]);
-    assert_eq!(code(&rolled), 0, "{rolled:?}");
-    let history = said(&node.client(&["template", "history", "desk", "--output", "json"]));
+    assert_eq!(exit_code(&rolled), 0, "{rolled:?}");
+    let history = output_text(&node.client(&["template", "history", "desk", "--output", "json"]));
     let history: Vec<serde_json::Value> = serde_json::from_str(&history).unwrap();
     assert_eq!(history.len(), 3);
-    assert!(said(&node.client(&["template", "get", "desk"])).contains("desk: urgent"));
+    assert!(output_text(&node.client(&["template", "get", "desk"])).contains("desk: urgent"));
 }
 
 #[test]
 fn errors_on_a_conflict_with_the_winners_diff() {
-    // Symptom: an operator's change is undone by a colleague who never saw it. Sequence: both get
-    // version 1, both edit, both apply. Cause: the second was accepted over the first.
+    // Guards against a change that is overwritten by an operator who has never seen it. Two
+    // operators get version 1, edit it and apply their edits. The second edit must be refused.
     let node = fixture::Node::with_template("{}");
     let first = node.client(&["template", "get", "desk"]);
     let got = String::from_utf8(first.stdout).unwrap();
     let mine = node.write("mine.yaml", &got.replace("urgent", "normal"));
     let theirs = node.write("theirs.yaml", &got.replace("urgent", "batch"));
-    assert_eq!(code(&node.client(&["apply", "--wait", &theirs])), 0);
+    assert_eq!(exit_code(&node.client(&["apply", "--wait", &theirs])), 0);
     let refused = node.client(&["apply", &mine]);
-    assert_eq!(code(&refused), 3, "{refused:?}");
-    assert!(said(&refused).contains("batch"), "{refused:?}");
+    assert_eq!(exit_code(&refused), 3, "{refused:?}");
+    assert!(output_text(&refused).contains("batch"), "{refused:?}");
 }
 
 #[test]
 fn can_send_a_change_again_after_a_lost_answer() {
-    // Symptom: a resend is told that it conflicts, or is applied twice. Sequence: a change is
-    // accepted, its answer is lost, the operator sends it again. Cause: the resend was not
-    // recognised by its change id.
+    // Guards against a retry that is refused as a conflict or applied twice. A change is accepted,
+    // its answer is lost, and the operator sends it again. The retry must be recognised by its
+    // change id.
     let node = fixture::Node::start("{}");
     let file = node.write("desk.yaml", TEMPLATE);
     let id = format!("{}.again", chicoryford_kernel::unix().0);
     let arguments = ["apply", &file, "--change", &id, "--output", "json", "--base", "0"];
     let (first, second) = (node.client(&arguments), node.client(&arguments));
-    assert_eq!((code(&first), code(&second)), (0, 0), "{second:?}");
+    assert_eq!((exit_code(&first), exit_code(&second)), (0, 0), "{second:?}");
     assert_eq!(first.stdout, second.stdout);
 }
 
@@ -199,9 +199,9 @@
         &["completions", "bash"],
     ] {
         let output = node.client(arguments);
-        assert_eq!(code(&output), 0, "{arguments:?}: {output:?}");
-        let shown = said(&output);
+        assert_eq!(exit_code(&output), 0, "{arguments:?}: {output:?}");
+        let shown = output_text(&output);
         let shows = |token: &&&str| shown.contains(**token);
-        assert_eq!(TOKENS.iter().find(shows), None, "a token in {arguments:?}");
+        assert_eq!(TOKENS.iter().find(shows), None, "the output of {arguments:?} contains a token");
     }
 }
--- a/tests/whole/docs.rs
+++ b/tests/whole/docs.rs
@@ -1,5 +1,5 @@
-//! The pages say what is there: every page is listed, every link leads somewhere, and the table of
-//! duties is that of the daemon.
+//! Tests that the documentation is complete: every page is listed, every link has a target, and the
+//! tables of duties and log events match the code.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -20,7 +20,7 @@
     paths.filter(|path| path.extension().is_some_and(|e| e == "md")).collect()
 }
 
-/// Gives the targets of the links of a page that lead to files.
+/// Returns the targets of a page's links to files.
 fn links(text: &str) -> Vec<&str> {
     let targets = text.split("](").skip(1).filter_map(|rest| rest.split_once(')'));
     let files = targets.map(|(target, _)| target.split('#').next().unwrap_or_default());
@@ -33,7 +33,7 @@
         let text = fs::read_to_string(&page).unwrap();
         for link in links(&text) {
             let target = page.parent().unwrap().join(link);
-            assert!(target.exists(), "{}: {link}", page.display());
+            assert!(target.exists(), "{}: no target of {link}", page.display());
         }
     }
 }
@@ -62,7 +62,7 @@
     assert_eq!(listed, running);
 }
 
-/// Gives the events that the sources of a folder log.
+/// Adds the log events in the sources of a folder to `found`.
 fn events(folder: &Path, found: &mut BTreeSet<String>) {
     for file in fs::read_dir(folder).unwrap() {
         let path = file.unwrap().path();
--- a/tests/whole/explain.rs
+++ b/tests/whole/explain.rs
@@ -1,4 +1,4 @@
-//! `chicoryford explain`: one story from the logs of several processes.
+//! Tests of `chicoryford explain`, which merges the log events of one sample from several logs.
 
 use std::process::Command;
 use std::process::Output;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_samples_story_is_told_in_order_with_its_gaps() {
+fn lists_the_events_of_a_sample_in_order_with_gaps() {
     let output = explain("a1");
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).unwrap();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn an_unknown_identity_is_said_to_be_unknown() {
+fn errors_on_an_unknown_id() {
     let output = explain("none");
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&output.stderr).contains("none"));
--- a/tests/whole/fixture.rs
+++ b/tests/whole/fixture.rs
@@ -1,4 +1,4 @@
-//! One daemon with all roles, its engine, and raw HTTP towards it.
+//! A daemon with all roles, its engine, and raw HTTP requests to the daemon.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -23,9 +23,9 @@
 pub use chicoryford_standin::raw::read;
 use tempfile::TempDir;
 
-/// Long enough for a busy machine; no test depends on how long something takes.
-pub const PATIENCE: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(50);
+/// Limit of each wait, long enough for a busy machine. No test depends on how long an action takes.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 pub const KEYS: &str = "\
 process all process-token
@@ -35,7 +35,7 @@
 trainer coach trainer-token
 ";
 
-/// Every token in [`KEYS`]; none may be shown anywhere.
+/// Every token in [`KEYS`]. None of them may appear in any output.
 pub const TOKENS: [&str; 5] =
     ["process-token", "operator-token", "caller-token", "stranger-token", "trainer-token"];
 
@@ -56,13 +56,13 @@
 }
 
 impl Node {
-    /// Starts a daemon whose bounds are `bounds` (a YAML flow mapping), and waits until it sees
-    /// its engine.
+    /// Starts a daemon whose setting `bounds` is the YAML flow mapping `bounds`, and waits until it
+    /// sees its engine.
     pub fn start(bounds: &str) -> Self {
         Self::launch(bounds, false)
     }
 
-    /// Starts a daemon that speaks HTTPS with everyone but its engine.
+    /// Starts a daemon that uses HTTPS for all connections except those to its engine.
     pub fn with_tls() -> Self {
         Self::launch("{}", true)
     }
@@ -96,7 +96,7 @@
         node
     }
 
-    /// Starts a daemon and puts [`TEMPLATE`] in force.
+    /// Starts a daemon and applies [`TEMPLATE`].
     pub fn with_template(bounds: &str) -> Self {
         let node = Self::start(bounds);
         let file = node.write("desk.yaml", TEMPLATE);
@@ -105,7 +105,7 @@
         node
     }
 
-    /// Writes a file into the test's folder and gives its path.
+    /// Writes a file into the test's folder and returns its path.
     pub fn write(&self, name: &str, text: &str) -> String {
         let path = self.folder.path().join(name);
         std::fs::write(&path, text).unwrap();
@@ -129,7 +129,7 @@
             .unwrap()
     }
 
-    /// Posts a body with a token and reads the answer to its end.
+    /// Posts a body with a token and reads the complete answer.
     pub fn post(&self, path: &str, token: &str, body: &str) -> Answer {
         let headers = [("chicoryford-workspace", "desk")];
         let question = Question {
@@ -142,32 +142,32 @@
         raw::read(raw::send(self.address, &question).unwrap())
     }
 
-    /// Opens a connection with a patience that a test may wait for.
+    /// Opens a connection whose read timeout is short enough for a test to wait for.
     pub fn connect(&self) -> TcpStream {
         raw::connect(self.address).unwrap()
     }
 
-    /// Asks the daemon to stop and gives its exit code.
+    /// Sends SIGTERM to the daemon, waits for its end and returns its exit code.
     pub fn stop(&mut self) -> Option<i32> {
         self.terminate();
         self.child.wait().unwrap().code()
     }
 
-    /// Asks the daemon to stop.
+    /// Sends SIGTERM to the daemon.
     pub fn terminate(&self) {
         let id = self.child.id().to_string();
         Command::new("kill").args(["-TERM", &id]).status().unwrap();
     }
 
-    /// Waits until `done`.
+    /// Waits until `done` returns true. Panics with the daemon's log after [`WAIT_TIMEOUT`].
     pub fn wait(&self, what: &str, mut done: impl FnMut() -> bool) {
-        let begun = Instant::now();
+        let started = Instant::now();
         while !done() {
-            if begun.elapsed() > PATIENCE {
+            if started.elapsed() > WAIT_TIMEOUT {
                 let log = std::fs::read_to_string(self.folder.path().join("log")).unwrap();
-                panic!("waited in vain until {what}; log:\n{log}");
+                panic!("timed out waiting until {what}; log:\n{log}");
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 }
@@ -179,7 +179,7 @@
     }
 }
 
-/// Writes a certificate that trusts itself, and gives the settings that use it.
+/// Writes a self-signed certificate and its key, and returns the settings that use them.
 fn write_certificate(folder: &TempDir, ip: IpAddr) -> &'static str {
     let made = rcgen::generate_simple_self_signed(vec![ip.to_string()]).unwrap();
     std::fs::write(folder.path().join("certificate"), made.cert.pem()).unwrap();
--- a/tests/whole/logs.rs
+++ b/tests/whole/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines of a process of a fleet whose reader is stuck.
+//! Tests the log of a fleet process whose output is not read.
 
 use std::net::SocketAddr;
 use std::process::Child;
@@ -11,9 +11,9 @@
 use chicoryford_standin::raw;
 use chicoryford_standin::raw::Question;
 
-use crate::fixture::PATIENCE;
+use crate::fixture::WAIT_TIMEOUT;
 
-/// Lines of about 150 bytes each; twice of what a pipe holds, and more than once.
+/// Requests that each log about 150 bytes, together several times the capacity of a pipe.
 const REQUESTS: usize = 1_500;
 
 struct Process(Child);
@@ -35,11 +35,10 @@
     raw::ask(address, &question).status
 }
 
-/// Symptom: all requests hang at once.
-/// Sequence: whoever reads the process's standard output stops reading; the pipe fills.
-/// Cause: a request waited for its log line to be written.
+/// Guards against requests that all hang when the reader of the process's standard output stops and
+/// the pipe fills up. A request must not wait until its log line has been written.
 #[test]
-fn a_stuck_reader_of_the_log_holds_up_no_request() {
+fn requests_are_answered_while_the_log_reader_is_stuck() {
     let folder = tempfile::tempdir().unwrap();
     let control = ports::address();
     let link = ports::address().port();
@@ -60,9 +59,9 @@
         .spawn()
         .unwrap();
     let _process = Process(child);
-    let began = Instant::now();
+    let started = Instant::now();
     while submit(control) != 400 {
-        assert!(began.elapsed() < PATIENCE, "the process takes no calls");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "the process accepts no requests");
         std::thread::sleep(Duration::from_millis(20));
     }
     for number in 0..REQUESTS {
--- a/tests/whole/main.rs
+++ b/tests/whole/main.rs
@@ -1,4 +1,5 @@
-//! The whole path over real processes: one daemon with every role beside a stand-in engine.
+//! End-to-end tests with real processes, most of them with one daemon that has every role and a
+//! stand-in engine.
 
 mod bodies;
 mod client;
--- a/tests/whole/path.rs
+++ b/tests/whole/path.rs
@@ -1,4 +1,4 @@
-//! A request and a step's samples go the whole way.
+//! Tests of a request and a step's samples on the path through entry, agent and engine.
 
 use chicoryford_types::Sample;
 use chicoryford_wire::paths;
@@ -40,14 +40,14 @@
     });
     let mut samples: Vec<Sample> = Vec::new();
     let mut cursor = 1;
-    node.wait("all samples are there", || {
+    node.wait("all samples are delivered", || {
         let pull = json!({"workspace": "desk", "cursor": cursor, "groups": 2, "newest": 1});
         let answer = node.post(paths::STEP_PULL, "trainer-token", &pull.to_string());
         if answer.status != 200 || answer.json()["samples"].is_null() {
             return false;
         }
-        // Symptom: a trainer trains twice on a batch. Sequence: the answer to a pull is lost, the
-        // trainer pulls again, other samples come. Cause: a pull was not idempotent.
+        // Guards against a trainer that gets other samples when it pulls again after a lost answer,
+        // and so trains twice. A pull must be idempotent.
         let again = node.post(paths::STEP_PULL, "trainer-token", &pull.to_string());
         assert_eq!(again.body, answer.body);
         let batch: Vec<Sample> = serde_json::from_value(answer.json()["samples"].clone()).unwrap();
@@ -58,9 +58,9 @@
         cursor += 1;
         samples.len() >= 4
     });
-    let mut places: Vec<_> = samples.iter().map(|s| (s.group, s.number)).collect();
-    places.sort();
-    places.dedup();
-    assert_eq!((samples.len(), places.len()), (4, 4));
+    let mut ids: Vec<_> = samples.iter().map(|s| (s.group, s.number)).collect();
+    ids.sort();
+    ids.dedup();
+    assert_eq!((samples.len(), ids.len()), (4, 4));
     assert!(samples.iter().all(Sample::is_attributed), "{samples:?}");
 }
--- a/tests/whole/stop.rs
+++ b/tests/whole/stop.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown and planned stops.
+//! Tests of graceful shutdown and planned stops.
 
 use std::thread;
 
@@ -8,9 +8,9 @@
 use crate::fixture::Node;
 
 #[test]
-fn finishes_what_is_in_progress_before_it_ends() {
-    // Symptom: a caller gets half an answer. Sequence: a stream is under way, the process gets
-    // SIGTERM, it ends at once. Cause: the shutdown did not wait for the stream's last byte.
+fn finishes_requests_in_progress_before_it_ends() {
+    // Guards against a caller that gets half an answer. The process gets SIGTERM while it streams
+    // an answer, and must not end before it has sent the last byte of the stream.
     let mut node = Node::with_template("{}");
     let prompt = json!([{"role": "user", "content": "a long one"}]);
     let body = json!({"model": "model", "messages": prompt, "max_tokens": 2_000, "stream": true});
@@ -26,14 +26,14 @@
     let mut first = [0; 16];
     std::io::Read::read_exact(&mut stream, &mut first).unwrap();
     assert!(first.starts_with(b"HTTP/1.1 200"));
-    let reading = thread::spawn(move || crate::fixture::read(stream));
+    let reader = thread::spawn(move || crate::fixture::read(stream));
     assert_eq!(node.stop(), Some(0));
-    let answer = reading.join().unwrap();
+    let answer = reader.join().unwrap();
     assert!(answer.body.contains("data: [DONE]"), "{answer:?}");
 }
 
 #[test]
-fn takes_no_new_work_while_a_stop_is_planned() {
+fn refuses_new_work_while_a_stop_is_planned() {
     let node = Node::with_template("{}");
     let planned = node.client(&["stop", "plan", "--endpoint", "engine", "--id", "s", "--wait"]);
     assert!(planned.status.success(), "{planned:?}");
@@ -45,7 +45,7 @@
     assert!(node.client(&["stop", "status", "s"]).status.success());
     let cancelled = node.client(&["stop", "cancel", "s", "--wait"]);
     assert!(cancelled.status.success(), "{cancelled:?}");
-    node.wait("work is taken again", || {
+    node.wait("new work is accepted again", || {
         node.post(paths::COMPLETIONS, "caller-token", &body).status == 200
     });
 }
