--- a/benches/path/main.rs
+++ b/benches/path/main.rs
@@ -1,10 +1,11 @@
-//! What a generation costs through entry and agent against calling the engine directly, in one
-//! run: latency added, processor time a request, memory of a resting stream.
+//! Measures the cost of a generation through entry and agent, compared with a direct call to the
+//! engine: added latency, processor time per request, and memory of an open stream.
 //!
-//! `cargo bench -p chicoryford --bench path`; docs/ENTRY.md notes the figures. The stand-in
-//! engines run inside this process, so that the processor time of the others is the system's own.
+//! Run it with `cargo bench -p chicoryford --bench path`; docs/ENTRY.md lists the figures. The
+//! stand-in engines run inside this process, so that the processor time of the other processes is
+//! that of the service alone.
 
-mod drive;
+mod load;
 #[path = "../support/rig.rs"]
 mod rig;
 
@@ -12,28 +13,28 @@
 use std::time::Instant;
 
 use chicoryford_standin::engine::EngineSettings;
-use drive::QUICK;
-use drive::QUICK_ENGINES;
-use drive::SLOW;
-use drive::Way;
 use eyre::Result;
-use rig::Plan;
+use load::FAST_ENGINES;
+use load::FAST_MODEL;
+use load::Route;
+use load::SLOW_MODEL;
 use rig::Rig;
+use rig::RigSettings;
 
-/// Pairs of requests, one directly and one through the system, one at a time.
+/// Pairs of requests, one direct and one through the service, that run one at a time.
 const PAIRS: usize = 1_000;
-/// Requests of a round, and rounds.
-const FLOOD: usize = 6_000;
+/// Requests of each throughput round.
+const REQUESTS: usize = 6_000;
 const ROUNDS: usize = 3;
-/// Requests at once of a round.
-const AT_ONCE: usize = 64;
+/// Concurrent requests of a round.
+const CONCURRENCY: usize = 64;
 /// Client threads.
 const THREADS: usize = 4;
-/// Open streams between which the slope of the memory is taken.
-const RESTING: [usize; 2] = [200, 2_000];
-/// The time for which streams rest before memory is read.
-const REST: Duration = Duration::from_secs(3);
-/// Completions that an engine runs at once.
+/// Numbers of open streams between which the memory per stream is computed.
+const STREAM_COUNTS: [usize; 2] = [200, 2_000];
+/// Time between the opening of the streams and the reading of the memory.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Concurrent completions of an engine.
 const SLOTS: usize = 2_048;
 const SLOW_ENGINES: usize = 2;
 const KEYS: &str = "caller desk desk-token\n";
@@ -46,65 +47,65 @@
 ";
 
 fn main() -> Result<()> {
-    // Test runners ask every target for its tests.
+    // Test runners list the tests of every target.
     if std::env::args().any(|argument| argument == "--list" || argument == "--test") {
         return Ok(());
     }
     let base = EngineSettings { slots: SLOTS, batch_us: 0, prefill_us: 0, ..Default::default() };
     let quick = EngineSettings {
-        models: vec![(QUICK.to_owned(), 1)],
+        models: vec![(FAST_MODEL.to_owned(), 1)],
         token_us: 0,
         chunk: 8,
         ..base.clone()
     };
     let slow = EngineSettings {
-        models: vec![(SLOW.to_owned(), 1)],
+        models: vec![(SLOW_MODEL.to_owned(), 1)],
         token_us: 1_000_000,
         chunk: 1,
         length: 4_096,
         ..base
     };
-    let mut engines = vec![quick; QUICK_ENGINES];
+    let mut engines = vec![quick; FAST_ENGINES];
     engines.extend(vec![slow; SLOW_ENGINES]);
-    let rig = Rig::start(&Plan { keys: KEYS, templates: TEMPLATE, engines })?;
-    latency(&rig);
+    let rig = Rig::start(&RigSettings { keys: KEYS, templates: TEMPLATE, engines })?;
+    measure_latency(&rig);
     for _ in 0..ROUNDS {
-        flood(&rig)?;
+        measure_throughput(&rig)?;
     }
-    memory(&rig)
+    measure_memory(&rig)
 }
 
-fn latency(rig: &Rig) {
-    let (mut direct, mut through) = drive::pairs(rig, PAIRS);
+fn measure_latency(rig: &Rig) {
+    let (mut direct, mut through) = load::measure_pairs(rig, PAIRS);
     direct.sort_unstable();
     through.sort_unstable();
     let at = |times: &[u64], percent: usize| times[(times.len() - 1) * percent / 100];
     println!("latency of {PAIRS} pairs, one at a time, in microseconds");
     for percent in [50, 99] {
-        let (one, other) = (at(&direct, percent), at(&through, percent));
+        let (direct, through) = (at(&direct, percent), at(&through, percent));
         println!(
-            "  p{percent}: direct {one}, through {other}, added {}",
-            other as i64 - one as i64
+            "  p{percent}: direct {direct}, through {through}, added {}",
+            through as i64 - direct as i64
         );
     }
 }
 
-fn flood(rig: &Rig) -> Result<()> {
-    let per_second = |way: Way| {
-        let begun = Instant::now();
-        let done = drive::flood(rig, way, THREADS, AT_ONCE, FLOOD);
-        done as f64 / begun.elapsed().as_secs_f64()
+fn measure_throughput(rig: &Rig) -> Result<()> {
+    let per_second = |route: Route| {
+        let started = Instant::now();
+        let done = load::run_load(rig, route, THREADS, CONCURRENCY, REQUESTS);
+        done as f64 / started.elapsed().as_secs_f64()
     };
-    let direct = per_second(Way::Direct);
-    let before = rig.spent()?;
-    let through = per_second(Way::Through);
-    let after = rig.spent()?;
-    let micros = |after: f64, before: f64| 1e6 * (after - before) / FLOOD as f64;
+    let direct = per_second(Route::Direct);
+    let before = rig.cpu_seconds()?;
+    let through = per_second(Route::ThroughService);
+    let after = rig.cpu_seconds()?;
+    let micros = |after: f64, before: f64| 1e6 * (after - before) / REQUESTS as f64;
     let entry = micros(after.entry, before.entry);
     let agents = micros(after.agents, before.agents);
     println!(
-        "{FLOOD} requests, {AT_ONCE} at once: direct {direct:.0}/s, through {through:.0}/s; entry \
-         {entry:.0} us and agents {agents:.0} us of processor time a request; a core carries \
+        "{REQUESTS} requests, {CONCURRENCY} at once: direct {direct:.0}/s, through {through:.0}/s; entry \
+         {entry:.0} us and agents {agents:.0} us of processor time per request; a core serves \
          {:.0}/s, four {:.0}/s",
         1e6 / (entry + agents),
         4e6 / (entry + agents),
@@ -112,27 +113,27 @@
     Ok(())
 }
 
-fn memory(rig: &Rig) -> Result<()> {
-    let mut streams = drive::Resting::new();
-    let mut seen = Vec::new();
-    for open in RESTING {
-        streams.open(rig, open);
-        std::thread::sleep(REST);
-        let resident = rig.resident()?;
+fn measure_memory(rig: &Rig) -> Result<()> {
+    let mut streams = load::OpenStreams::new();
+    let mut measured = Vec::new();
+    for count in STREAM_COUNTS {
+        streams.open(rig, count);
+        std::thread::sleep(SETTLE_TIME);
+        let resident = rig.resident_kb()?;
         println!(
             "{} streams open: entry {} KB, agents {} KB",
             streams.count(),
             resident.entry,
             resident.agents
         );
-        seen.push((streams.count(), resident));
+        measured.push((streams.count(), resident));
     }
-    let [(few, before), (many, after)] = &seen[..] else { return Ok(()) };
+    let [(few, before), (many, after)] = &measured[..] else { return Ok(()) };
     let slope = |after: u64, before: u64| {
         (after.saturating_sub(before)) as f64 / (many - few).max(1) as f64
     };
     println!(
-        "a resting stream: entry {:.1} KB, agent {:.1} KB",
+        "an open stream: entry {:.1} KB, agent {:.1} KB",
         slope(after.entry, before.entry),
         slope(after.agents, before.agents)
     );
--- a/benches/shares.rs
+++ b/benches/shares.rs
@@ -1,7 +1,7 @@
-//! How two trainers share engines that cannot serve both, by the weights of their templates, on the
-//! path of real processes.
+//! Measures how two trainers share engines without capacity for both, in proportion to the weights
+//! of their templates, with real processes.
 //!
-//! `cargo bench -p chicoryford --bench shares`; docs/ENTRY.md notes the figures.
+//! Run it with `cargo bench -p chicoryford --bench shares`; docs/ENTRY.md lists the figures.
 
 #[allow(dead_code)]
 #[path = "support/rig.rs"]
@@ -16,13 +16,13 @@
 use chicoryford_standin::trainer::TrainerSettings;
 use eyre::Result;
 use eyre::eyre;
-use rig::Plan;
 use rig::Rig;
+use rig::RigSettings;
 use serde_json::Value;
 
 const SECONDS: f64 = 16.0;
-/// What is delivered before is not counted: the first steps find idle engines.
-const SETTLED: u64 = 4_000;
+/// Samples that are delivered earlier are not counted, because the first steps run on idle engines.
+const WARM_UP_MS: u64 = 4_000;
 const MODEL: &str = "model";
 const KEYS: &str = "trainer light light-token\ntrainer heavy heavy-token\n";
 const TEMPLATES: &str = "
@@ -42,16 +42,16 @@
 ";
 
 fn main() -> Result<()> {
-    // Test runners ask every target for its tests.
+    // Test runners list the tests of every target.
     if std::env::args().any(|argument| argument == "--list" || argument == "--test") {
         return Ok(());
     }
     let engine =
         EngineSettings { models: vec![(MODEL.to_owned(), 1)], slots: 8, ..Default::default() };
     let engines = vec![engine; 2];
-    let rig = Rig::start(&Plan { keys: KEYS, templates: TEMPLATES, engines })?;
+    let rig = Rig::start(&RigSettings { keys: KEYS, templates: TEMPLATES, engines })?;
     let folder = tempfile::tempdir()?;
-    let begun = unix();
+    let started = unix_ms();
     let trainers = ["light", "heavy"].map(|name| {
         let settings = TrainerSettings {
             entries: vec![rig.entry.to_string()],
@@ -75,8 +75,8 @@
     let mut tokens = Vec::new();
     for (file, thread) in trainers {
         thread.join().map_err(|_| eyre!("a trainer panicked"))??;
-        let until = begun + Duration::from_secs_f64(SECONDS).as_millis() as u64;
-        tokens.push(delivered(&file, begun + SETTLED, until)?);
+        let until = started + Duration::from_secs_f64(SECONDS).as_millis() as u64;
+        tokens.push(count_tokens(&file, started + WARM_UP_MS, until)?);
     }
     let (light, heavy) = (tokens[0], tokens[1]);
     println!(
@@ -86,8 +86,8 @@
     Ok(())
 }
 
-/// Sums the tokens that a trainer got between two times.
-fn delivered(file: &Path, from: u64, until: u64) -> Result<u64> {
+/// Returns the number of tokens that a trainer got between two times in Unix milliseconds.
+fn count_tokens(file: &Path, from: u64, until: u64) -> Result<u64> {
     let mut tokens = 0;
     for line in std::fs::read_to_string(file)?.lines() {
         let line: Value = serde_json::from_str(line)?;
@@ -99,7 +99,7 @@
     Ok(tokens)
 }
 
-fn unix() -> u64 {
+fn unix_ms() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
 }
--- a/benches/support/rig.rs
+++ b/benches/support/rig.rs
@@ -1,4 +1,4 @@
-//! One daemon with entry and control, agents beside engines that run in this process.
+//! A daemon with the entry and control roles, and agents for engines that run in this process.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -21,35 +21,35 @@
 use eyre::eyre;
 use tempfile::TempDir;
 
-/// What a rig consists of.
-pub struct Plan<'a> {
-    /// The content of the key file, without the processes' own and the operator's.
+/// The settings of a [`Rig`].
+pub struct RigSettings<'a> {
+    /// The lines of the key file, without those of the processes and the operator.
     pub keys: &'a str,
-    /// The templates.
+    /// The templates to apply, in YAML.
     pub templates: &'a str,
-    /// The engines, each beside an agent.
+    /// The engines. Each gets its own agent.
     pub engines: Vec<EngineSettings>,
 }
 
 const KEYS: &str = "process all process-token\noperator me operator-token\n";
-const TRIES: u32 = 100;
-const LOOK: Duration = Duration::from_millis(200);
-/// Ticks a second of the processor times in /proc.
-const TICKS: f64 = 100.0;
-
-/// A figure of the entry and the sum of the agents'.
-pub struct Both<T> {
-    /// The entry's, which is the control process as well.
+const MAX_POLLS: u32 = 100;
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Clock ticks per second of the processor times in /proc.
+const TICKS_PER_SECOND: f64 = 100.0;
+
+/// A figure of the entry, and the sum of the same figure over the agents.
+pub struct Usage<T> {
+    /// The figure of the entry's process, which also has the control role.
     pub entry: T,
-    /// The agents'.
+    /// The sum over the agents.
     pub agents: T,
 }
 
-/// The processes.
+/// The processes of a benchmark.
 pub struct Rig {
-    /// Where the entry answers.
+    /// The address of the entry.
     pub entry: SocketAddr,
-    /// Where the engines answer.
+    /// The addresses of the engines.
     pub engines: Vec<SocketAddr>,
     daemon: Process,
     agents: Vec<Process>,
@@ -57,47 +57,49 @@
 }
 
 impl Rig {
-    /// Starts them and waits until a template is in force.
-    pub fn start(plan: &Plan) -> Result<Self> {
+    /// Starts the processes and waits until the templates are in force.
+    pub fn start(settings: &RigSettings) -> Result<Self> {
         let folder = tempfile::tempdir()?;
-        let at = folder.path().to_owned();
-        let at = at.as_path();
-        fs::write(at.join("keys"), format!("{KEYS}{}", plan.keys))?;
-        fs::write(at.join("process"), "process-token\n")?;
-        fs::write(at.join("operator"), "operator-token\n")?;
-        fs::write(at.join("templates.yaml"), plan.templates)?;
-        let mut settings = sample("node", at)?;
-        settings.data = Some(at.join("data"));
-        for replica in settings.control.iter_mut().flat_map(|control| &mut control.replicas) {
-            replica.address = settings.listen.to_string();
+        let path = folder.path().to_owned();
+        let path = path.as_path();
+        fs::write(path.join("keys"), format!("{KEYS}{}", settings.keys))?;
+        fs::write(path.join("process"), "process-token\n")?;
+        fs::write(path.join("operator"), "operator-token\n")?;
+        fs::write(path.join("templates.yaml"), settings.templates)?;
+        let mut node = load_sample_settings("node", path)?;
+        node.data = Some(path.join("data"));
+        for replica in node.control.iter_mut().flat_map(|control| &mut control.replicas) {
+            replica.address = node.listen.to_string();
         }
-        let (entry, seed) = (settings.listen, settings.gossip);
-        let daemon = start(at, &settings)?;
+        let (entry, seed) = (node.listen, node.gossip);
+        let daemon = start_daemon(path, &node)?;
         let mut engines = Vec::new();
         let mut agents = Vec::new();
-        for (number, engine) in plan.engines.iter().enumerate() {
+        for (number, engine) in settings.engines.iter().enumerate() {
             let address = start_engine(engine.clone())?;
             engines.push(address);
-            let mut settings = sample("agent", at)?;
+            let mut settings = load_sample_settings("agent", path)?;
             settings.node = Node(format!("agent-{number}"));
             settings.seeds = vec![seed];
-            let Some(agent) = &mut settings.agent else { bail!("the sample is no agent's") };
+            let Some(agent) = &mut settings.agent else {
+                bail!("the sample settings have no agent role")
+            };
             agent.endpoint = Endpoint(format!("engine-{number}"));
             agent.address = address.to_string();
             agent.models = models(engine);
             agent.slots = engine.slots as u32;
-            agents.push(start(at, &settings)?);
+            agents.push(start_daemon(path, &settings)?);
         }
         let rig = Self { entry, engines, daemon, agents, _folder: folder };
-        rig.apply(at.join("templates.yaml").as_path(), at)?;
+        rig.apply(path.join("templates.yaml").as_path(), path)?;
         Ok(rig)
     }
 
-    fn apply(&self, template: &Path, at: &Path) -> Result<()> {
+    fn apply(&self, template: &Path, folder: &Path) -> Result<()> {
         let operate = |arguments: &[&str]| -> Result<String> {
             let output = Command::new(env!("CARGO_BIN_EXE_chicoryford"))
                 .args(["--address", &self.entry.to_string()])
-                .args(["--token", &at.join("operator").display().to_string()])
+                .args(["--token", &folder.join("operator").display().to_string()])
                 .args(arguments)
                 .output()?;
             if !output.status.success() {
@@ -105,51 +107,53 @@
             }
             Ok(String::from_utf8(output.stdout)?)
         };
-        for _ in 0..TRIES {
-            std::thread::sleep(LOOK);
+        for _ in 0..MAX_POLLS {
+            std::thread::sleep(POLL_INTERVAL);
             let seen = operate(&["endpoints", "--output", "json"]).unwrap_or_default();
             let seen: Vec<serde_json::Value> = serde_json::from_str(&seen).unwrap_or_default();
-            let serves = |seen: &&serde_json::Value| seen["member"]["endpoint"]["healthy"] == true;
-            if seen.iter().filter(serves).count() == self.agents.len() {
+            let is_healthy =
+                |seen: &&serde_json::Value| seen["member"]["endpoint"]["healthy"] == true;
+            if seen.iter().filter(is_healthy).count() == self.agents.len() {
                 operate(&["apply", "--wait", &template.display().to_string()])?;
                 return Ok(());
             }
         }
-        bail!("the endpoints did not come")
+        bail!("the entry does not see all endpoints as healthy")
     }
 
-    /// Gives the processor time spent so far, in seconds.
-    pub fn spent(&self) -> Result<Both<f64>> {
-        Ok(Both { entry: spent(&self.daemon)?, agents: sum(&self.agents, spent)? })
+    /// Returns the processor time used so far, in seconds.
+    pub fn cpu_seconds(&self) -> Result<Usage<f64>> {
+        Ok(Usage { entry: cpu_seconds(&self.daemon)?, agents: sum(&self.agents, cpu_seconds)? })
     }
 
-    /// Gives the resident memory, in KB.
-    pub fn resident(&self) -> Result<Both<u64>> {
-        Ok(Both { entry: resident(&self.daemon)?, agents: sum(&self.agents, resident)? })
+    /// Returns the resident memory, in KB.
+    pub fn resident_kb(&self) -> Result<Usage<u64>> {
+        Ok(Usage { entry: resident_kb(&self.daemon)?, agents: sum(&self.agents, resident_kb)? })
     }
 }
 
-fn sum<T: std::iter::Sum>(of: &[Process], one: fn(&Process) -> Result<T>) -> Result<T> {
-    of.iter().map(one).sum()
+fn sum<T: std::iter::Sum>(processes: &[Process], figure: fn(&Process) -> Result<T>) -> Result<T> {
+    processes.iter().map(figure).sum()
 }
 
-fn spent(process: &Process) -> Result<f64> {
+fn cpu_seconds(process: &Process) -> Result<f64> {
     let stat = fs::read_to_string(format!("/proc/{}/stat", process.id()))?;
-    let (_, fields) = stat.rsplit_once(") ").ok_or_else(|| eyre!("malformed: {stat}"))?;
+    let (_, fields) =
+        stat.rsplit_once(") ").ok_or_else(|| eyre!("malformed process status: {stat}"))?;
     let fields: Vec<&str> = fields.split(' ').collect();
     let ticks = fields[11].parse::<f64>()? + fields[12].parse::<f64>()?;
-    Ok(ticks / TICKS)
+    Ok(ticks / TICKS_PER_SECOND)
 }
 
-fn resident(process: &Process) -> Result<u64> {
+fn resident_kb(process: &Process) -> Result<u64> {
     let status = fs::read_to_string(format!("/proc/{}/status", process.id()))?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    let line = line.ok_or_else(|| eyre!("no memory in {status}"))?;
+    let line = line.ok_or_else(|| eyre!("no resident memory in {status}"))?;
     Ok(line.trim().trim_end_matches(" kB").parse()?)
 }
 
-/// Reads a sample of the settings and moves it to this machine.
-fn sample(name: &str, folder: &Path) -> Result<Settings> {
+/// Reads sample settings from deploy/embedded and replaces their addresses and files.
+fn load_sample_settings(name: &str, folder: &Path) -> Result<Settings> {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/embedded");
     let mut settings = chicoryford_settings::load(&deploy.join(format!("{name}.yaml")))?;
     settings.listen = ports::address();
@@ -159,7 +163,7 @@
     Ok(settings)
 }
 
-fn start(folder: &Path, settings: &Settings) -> Result<Process> {
+fn start_daemon(folder: &Path, settings: &Settings) -> Result<Process> {
     let name = settings.node.as_str();
     let file = folder.join(format!("{name}.yaml"));
     fs::write(&file, serde_yaml_ng::to_string(settings)?)?;
@@ -172,18 +176,18 @@
     engine.models.iter().map(|(model, _)| Model::from(model.as_str())).collect()
 }
 
-/// Starts an engine on a thread of its own.
+/// Starts an engine on a new thread and returns its address.
 fn start_engine(settings: EngineSettings) -> Result<SocketAddr> {
-    let (told, address) = mpsc::channel();
+    let (sender, receiver) = mpsc::channel();
     std::thread::spawn(move || {
         actix_rt::System::new().block_on(async move {
             let any = SocketAddr::from(([127, 0, 0, 1], 0));
             let Ok((running, _engine)) = engine::start(any, settings, Recorder::default()) else {
                 return;
             };
-            let _ = told.send(running.address);
+            let _ = sender.send(running.address);
             std::future::pending::<()>().await;
         });
     });
-    Ok(address.recv()?)
+    Ok(receiver.recv()?)
 }
--- a/examples/measure-bodies.rs
+++ b/examples/measure-bodies.rs
@@ -1,9 +1,9 @@
-//! Measures what a sample costs the control processes, and how long a pull takes, with the bytes
-//! in the replicated log and at the entries (docs/STEPS.md).
+//! Measures the cost of a sample for the control processes and the duration of a pull, with the
+//! samples' bytes in the replicated log and with the bytes at the entries (docs/STEPS.md).
 //!
-//! `cargo build --release && cargo run --release --example measure-bodies`: three control
-//! processes, three entries, an agent and a stand-in engine on loopback. With `entry.bodies: 0`
-//! every store refuses, so that the bytes stay in the log.
+//! Run it with `cargo build --release && cargo run --release --example measure-bodies`. It starts
+//! three control processes, three entries, an agent and a stand-in engine on loopback. With
+//! `entry.bodies: 0` every entry refuses to store bodies, so that the bytes stay in the log.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -34,16 +34,16 @@
 const GROUPS: usize = 128;
 const SAMPLES: usize = 8;
 /// Groups of one pull.
-const PULL: usize = 8;
+const GROUPS_PER_PULL: usize = 8;
 const NODES: usize = 3;
 const IDLE: Duration = Duration::from_secs(5);
-const LOOK: Duration = Duration::from_millis(500);
-/// Growth of the log in one look that a step without new samples causes by its polls, in bytes.
-const QUIET: u64 = 3_000;
-/// Looks without more growth than that after which all samples count as recorded.
-const STILL: u32 = 8;
-const PATIENCE: Duration = Duration::from_secs(90);
-/// Processor time is told in ticks of 10 ms.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// The most bytes by which the log grows between two polls when a step records no new samples.
+const QUIET_GROWTH_BYTES: u64 = 3_000;
+/// Consecutive polls without more growth than that after which all samples count as recorded.
+const QUIET_POLLS: u32 = 8;
+const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
+/// Microseconds of a clock tick of 10 ms, the unit of the processor times in /proc.
 const TICK_US: f64 = 10_000.0;
 const KEYS: &str = "process all process\noperator op operator\ntrainer coach trainer\n";
 const TEMPLATE: &str = "workspace: desk\nmodels: [model]\ntrainers: [coach]\n";
@@ -56,7 +56,8 @@
 }
 
 fn start_engine(tokens: u32) -> Result<SocketAddr> {
-    // The shortest answer of this median is longer than `tokens`, which then cuts all off.
+    // With this median even the shortest answer is longer than `tokens`, so that every answer is
+    // truncated to that length.
     let settings = EngineSettings {
         length: tokens * 4,
         token_us: 50,
@@ -78,8 +79,11 @@
 }
 
 fn program(name: &str) -> Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    let folder = own.parent().and_then(Path::parent).ok_or_eyre("no folder of programs")?;
+    let executable = std::env::current_exe()?;
+    let folder = executable
+        .parent()
+        .and_then(Path::parent)
+        .ok_or_eyre("the executable has no parent folder")?;
     Ok(folder.join(name))
 }
 
@@ -101,14 +105,14 @@
         std::fs::write(path.join("desk.yaml"), TEMPLATE)?;
         let engine = start_engine(tokens)?;
         let seed = ports::address();
-        let own: Vec<SocketAddr> = (0..NODES).map(|_| ports::address()).collect();
+        let addresses: Vec<SocketAddr> = (0..NODES).map(|_| ports::address()).collect();
         let mut replicas = String::new();
-        for (number, address) in own.iter().enumerate() {
+        for (number, address) in addresses.iter().enumerate() {
             write!(replicas, "    - node: control-{number}\n      address: {address}\n")?;
         }
         let seeds = format!("seeds: [{seed}]\n");
         let mut controls = Vec::new();
-        for (number, address) in own.iter().enumerate() {
+        for (number, address) in addresses.iter().enumerate() {
             let gossip = if number == 0 { seed } else { ports::address() };
             let rest = format!(
                 "gossip: {gossip}\n{seeds}data_centre: dc-{number}\ndata: data-{number}\n\
@@ -133,7 +137,7 @@
         Ok(Self { folder, controls, entries, _agent: agent })
     }
 
-    fn applies(&self) -> Result<bool> {
+    fn try_apply(&self) -> Result<bool> {
         let path = |name| self.folder.path().join(name).display().to_string();
         let mut command = Command::new(program("chicoryford")?);
         command.args(["--address", &self.controls[0].0.to_string(), "--token", &path("operator")]);
@@ -178,10 +182,10 @@
 }
 
 fn wait(what: &str, mut done: impl FnMut() -> Result<bool>) -> Result<()> {
-    let begun = Instant::now();
+    let started = Instant::now();
     while !done()? {
-        ensure!(begun.elapsed() < PATIENCE, "waited in vain until {what}");
-        thread::sleep(LOOK);
+        ensure!(started.elapsed() < WAIT_TIMEOUT, "timed out waiting until {what}");
+        thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
@@ -192,7 +196,7 @@
 
 fn run(name: &str, tokens: u32, bodies: usize) -> Result<()> {
     let cluster = Cluster::start(tokens, bodies)?;
-    wait("the template is in force", || cluster.applies())?;
+    wait("the template is in force", || cluster.try_apply())?;
     let spec = json!({
         "workspace": "desk", "step": 1, "model": "model", "samples": SAMPLES, "seed": 1,
         "max_tokens": tokens, "logprobs": true, "budget_ms": 300_000,
@@ -202,41 +206,48 @@
     let before = cluster.cpu_us()?;
     thread::sleep(IDLE);
     let idle = (cluster.cpu_us()? - before) / IDLE.as_secs_f64();
-    let (log, cpu, begun) = (cluster.log_bytes()?, cluster.cpu_us()?, Instant::now());
+    let (log, cpu, started) = (cluster.log_bytes()?, cluster.cpu_us()?, Instant::now());
     wait("the step is open", || Ok(cluster.post(0, paths::STEP_OPEN, &spec).status == 200))?;
-    let (mut last, mut still) = (0, 0);
+    let (mut last, mut quiet_polls) = (0, 0);
     wait("all samples are recorded", || {
         let size = cluster.log_bytes()?;
-        still = if size - last < QUIET && size > log + 100_000 { still + 1 } else { 0 };
+        quiet_polls = if size - last < QUIET_GROWTH_BYTES && size > log + 100_000 {
+            quiet_polls + 1
+        } else {
+            0
+        };
         last = size;
-        Ok(still >= STILL)
+        Ok(quiet_polls >= QUIET_POLLS)
     })?;
     let count = (GROUPS * SAMPLES) as f64;
-    let log_sample = (cluster.log_bytes()? - log) as f64 / count / NODES as f64;
-    let net = cluster.cpu_us()? - cpu - idle * begun.elapsed().as_secs_f64();
+    let log_per_sample = (cluster.log_bytes()? - log) as f64 / count / NODES as f64;
+    let net = cluster.cpu_us()? - cpu - idle * started.elapsed().as_secs_f64();
     let (mut first, mut again, mut bytes, mut samples) = (Vec::new(), Vec::new(), 0, 0);
-    for cursor in 1..=(GROUPS / PULL) {
-        let pull = json!({"workspace": "desk", "cursor": cursor, "groups": PULL});
+    for cursor in 1..=(GROUPS / GROUPS_PER_PULL) {
+        let pull = json!({"workspace": "desk", "cursor": cursor, "groups": GROUPS_PER_PULL});
         let timed = |times: &mut Vec<f64>, entry| {
-            let begun = Instant::now();
+            let started = Instant::now();
             let answer = cluster.post(entry, paths::STEP_PULL, &pull);
-            times.push(begun.elapsed().as_secs_f64() * 1_000.0);
+            times.push(started.elapsed().as_secs_f64() * 1_000.0);
             answer
         };
         let answer = timed(&mut first, cursor);
         ensure!(answer.status == 200, "{answer:?}");
-        ensure!(timed(&mut again, cursor + 1).body == answer.body, "another batch");
+        ensure!(
+            timed(&mut again, cursor + 1).body == answer.body,
+            "the second pull returned another batch"
+        );
         bytes += answer.body.len();
         samples += answer.json()["samples"].as_array().map_or(0, Vec::len);
         let ack = json!({"workspace": "desk", "cursor": cursor});
         ensure!(cluster.post(cursor, paths::STEP_ACK, &ack).status == 200);
     }
-    ensure!(samples == GROUPS * SAMPLES, "{samples} samples came");
-    let (body, cpu_sample) = (bytes as f64 / count, net / count);
+    ensure!(samples == GROUPS * SAMPLES, "{samples} samples were delivered");
+    let (body, cpu_per_sample) = (bytes as f64 / count, net / count);
     let (first, again) = (mean(&first), mean(&again));
     println!(
-        "bodies={name} samples={samples} body_bytes={body:.0} log_bytes_a_replica={log_sample:.0} \
-         control_cpu_us_of_3={cpu_sample:.0} idle_cpu_us_a_second={idle:.0} pull_ms={first:.1} \
+        "bodies={name} samples={samples} body_bytes={body:.0} log_bytes_a_replica={log_per_sample:.0} \
+         control_cpu_us_of_3={cpu_per_sample:.0} idle_cpu_us_a_second={idle:.0} pull_ms={first:.1} \
          pull_again_ms={again:.1}"
     );
     Ok(())
