--- a/examples/demo/layout.rs
+++ b/examples/demo/deployment.rs
@@ -1,4 +1,5 @@
-//! Which processes run, with which settings: the samples in deploy/, moved to this machine.
+//! The processes of the demonstration. Their settings are the samples in deploy/ with the addresses
+//! and files of this run.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -19,7 +20,7 @@
 
 use crate::Args;
 
-/// The settings of the agents, each beside an endpoint of its own.
+/// The sample settings of the agents. Each agent has its own endpoint.
 const AGENTS: [&str; 8] = [
     "zadruga/agent-route-1",
     "zadruga/agent-route-2",
@@ -32,45 +33,45 @@
 ];
 const TEMPLATES: [&str; 2] = ["zadruga/templates.yaml", "dela-cruz/templates.yaml"];
 const DAEMON: &str = "embedded/node.yaml";
-const START: Duration = Duration::from_secs(30);
-const STOP: Duration = Duration::from_secs(40);
-const LOOK: Duration = Duration::from_millis(200);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+const STOP_TIMEOUT: Duration = Duration::from_secs(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// An endpoint, its stand-in and its agent.
-pub struct Place {
+/// The stand-in of an endpoint, and the endpoint's agent.
+pub struct DeployedEndpoint {
     /// The endpoint's name.
-    pub endpoint: String,
-    /// Where its stand-in appends its record.
+    pub name: String,
+    /// The file in which the stand-in records its requests.
     pub record: PathBuf,
-    /// The stand-in.
+    /// The stand-in's process.
     pub standin: Process,
-    /// The agent beside it.
+    /// The agent's process.
     pub agent: Process,
 }
 
 /// The processes of the demonstration.
-pub struct Layout {
-    /// Where settings, logs and records are.
+pub struct Deployment {
+    /// The folder with settings, logs and records.
     pub folder: PathBuf,
     /// The daemon with the entry and control roles.
     pub daemon: Process,
-    /// Where the daemon answers HTTP.
+    /// The daemon's HTTP address.
     pub address: SocketAddr,
     /// The endpoints.
-    pub places: Vec<Place>,
-    /// Where the weight store answers.
+    pub endpoints: Vec<DeployedEndpoint>,
+    /// The URL of the weight store.
     pub source: String,
     store: Process,
     client: PathBuf,
 }
 
-impl Layout {
-    /// Starts all processes with the sample settings moved to this machine.
+impl Deployment {
+    /// Starts all processes with the sample settings.
     pub fn new(folder: &Path, args: &Args) -> Result<Self> {
         let programs = Programs::find()?;
         write_keys(folder)?;
-        let mut settings = sample(DAEMON)?;
-        move_here(&mut settings, folder, None)?;
+        let mut settings = load_sample_settings(DAEMON)?;
+        localize_settings(&mut settings, folder, None)?;
         if let Some(entry) = &mut settings.entry {
             entry.predict = !args.no_prediction;
             entry.hedge = !args.no_hedging;
@@ -79,48 +80,48 @@
         for replica in settings.control.iter_mut().flat_map(|control| &mut control.replicas) {
             replica.address = address.to_string();
         }
-        let daemon = daemon(folder, &programs, &settings)?;
+        let daemon = start_daemon(folder, &programs, &settings)?;
         let store_address = ports::address();
         let listen = format!("--listen={store_address}");
         let store =
             Process::start(folder, "store", &programs.standin, &["store".to_owned(), listen])?;
-        let place = |name: &&str| start_place(folder, &programs, name, gossip);
-        let places = AGENTS.iter().map(place).collect::<Result<Vec<_>>>()?;
+        let endpoint = |name: &&str| start_endpoint(folder, &programs, name, gossip);
+        let endpoints = AGENTS.iter().map(endpoint).collect::<Result<Vec<_>>>()?;
         Ok(Self {
             folder: folder.to_owned(),
             daemon,
             address,
-            places,
+            endpoints,
             source: format!("http://{store_address}"),
             store,
             client: programs.client,
         })
     }
 
-    /// Waits until the daemon sees every endpoint.
-    pub fn start(&mut self) -> Result<()> {
-        let begun = Instant::now();
+    /// Waits until the daemon sees every endpoint as healthy.
+    pub fn wait_for_endpoints(&mut self) -> Result<()> {
+        let started = Instant::now();
         loop {
             let seen = self.operate(&["endpoints", "--output", "json"]).unwrap_or_default();
             let seen: Vec<serde_json::Value> = serde_json::from_str(&seen).unwrap_or_default();
-            let serving = |known: &&serde_json::Value| {
+            let is_healthy = |known: &&serde_json::Value| {
                 known["member"]["endpoint"]["healthy"] == true && known["standing"] == "alive"
             };
-            if seen.iter().filter(serving).count() == self.places.len() {
-                println!("{} endpoints after {:.1} s", seen.len(), begun.elapsed().as_secs_f64());
+            if seen.iter().filter(is_healthy).count() == self.endpoints.len() {
+                println!("{} endpoints after {:.1} s", seen.len(), started.elapsed().as_secs_f64());
                 return Ok(());
             }
-            if let Some(name) = self.ended()? {
-                bail!("{name} ended by itself; see its log");
+            if let Some(name) = self.find_ended_process()? {
+                bail!("{name} ended unexpectedly; see its log");
             }
-            if begun.elapsed() > START {
+            if started.elapsed() > START_TIMEOUT {
                 bail!(
-                    "only {} endpoints after {START:?}; see {}",
+                    "only {} endpoints after {START_TIMEOUT:?}; see {}",
                     seen.len(),
                     self.folder.display()
                 );
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -128,16 +129,16 @@
     /// everywhere.
     pub fn apply_templates(&self) -> Result<()> {
         for file in TEMPLATES {
-            let path = deploy(file);
-            let begun = Instant::now();
+            let path = deploy_path(file);
+            let started = Instant::now();
             self.operate(&["apply", "--wait", &path.display().to_string()])?;
-            let seconds = begun.elapsed().as_secs_f64();
+            let seconds = started.elapsed().as_secs_f64();
             println!("{file} in force everywhere after {seconds:.1} s");
         }
         Ok(())
     }
 
-    /// Runs the operators' client and gives what it prints.
+    /// Runs the operators' client and returns its output.
     pub fn operate(&self, arguments: &[&str]) -> Result<String> {
         let output = Command::new(&self.client)
             .args(["--address", &self.address.to_string()])
@@ -145,33 +146,34 @@
             .args(arguments)
             .output()?;
         if !output.status.success() {
-            let said = String::from_utf8_lossy(&output.stderr).into_owned();
-            return Err(eyre!("chicoryford {}: {} {said}", arguments.join(" "), output.status));
+            let error = String::from_utf8_lossy(&output.stderr).into_owned();
+            return Err(eyre!("chicoryford {}: {} {error}", arguments.join(" "), output.status));
         }
         Ok(String::from_utf8(output.stdout)?)
     }
 
-    /// Stops everything, the system gracefully, and names the processes that did not stop well.
+    /// Stops all processes, those of the service gracefully. Returns the names of those that did not
+    /// exit with code 0.
     pub fn stop(&mut self) -> Result<Vec<String>> {
         let mut failed = Vec::new();
-        let agents = self.places.iter_mut().map(|place| &mut place.agent);
+        let agents = self.endpoints.iter_mut().map(|endpoint| &mut endpoint.agent);
         for process in std::iter::once(&mut self.daemon).chain(agents) {
-            if !process.stop(STOP)? {
+            if !process.stop(STOP_TIMEOUT)? {
                 failed.push(process.name.clone());
             }
         }
-        for place in &mut self.places {
-            place.standin.kill()?;
+        for endpoint in &mut self.endpoints {
+            endpoint.standin.kill()?;
         }
         self.store.kill()?;
         Ok(failed)
     }
 
-    /// Names a process that ended by itself.
-    fn ended(&mut self) -> Result<Option<String>> {
-        let places = self.places.iter_mut();
-        let beside = places.flat_map(|place| [&mut place.standin, &mut place.agent]);
-        for process in [&mut self.daemon, &mut self.store].into_iter().chain(beside) {
+    /// Returns the name of a process that has ended unexpectedly, if any.
+    fn find_ended_process(&mut self) -> Result<Option<String>> {
+        let endpoints = self.endpoints.iter_mut();
+        let processes = endpoints.flat_map(|endpoint| [&mut endpoint.standin, &mut endpoint.agent]);
+        for process in [&mut self.daemon, &mut self.store].into_iter().chain(processes) {
             if process.has_ended()? {
                 return Ok(Some(process.name.clone()));
             }
@@ -179,10 +181,10 @@
         Ok(None)
     }
 
-    /// Finds the place of an endpoint.
-    pub fn place(&mut self, endpoint: &str) -> Result<&mut Place> {
-        let found = self.places.iter_mut().find(|place| place.endpoint == endpoint);
-        found.ok_or_else(|| eyre!("no endpoint {endpoint}"))
+    /// Returns the endpoint with a name.
+    pub fn endpoint_mut(&mut self, name: &str) -> Result<&mut DeployedEndpoint> {
+        let found = self.endpoints.iter_mut().find(|endpoint| endpoint.name == name);
+        found.ok_or_else(|| eyre!("no endpoint {name}"))
     }
 }
 
@@ -193,14 +195,14 @@
 }
 
 impl Programs {
-    /// Finds the programs built beside this one.
+    /// Finds the programs in the target folder of this one.
     fn find() -> Result<Self> {
-        let own = std::env::current_exe()?;
-        let examples = own.parent().ok_or_else(|| eyre!("this program has no folder"))?;
-        let built = examples.parent().ok_or_else(|| eyre!("this program has no folder"))?;
+        let executable = std::env::current_exe()?;
+        let examples = executable.parent().ok_or_else(|| eyre!("this program has no folder"))?;
+        let target = examples.parent().ok_or_else(|| eyre!("this program has no folder"))?;
         let programs = Self {
-            daemon: built.join("chicoryfordd"),
-            client: built.join("chicoryford"),
+            daemon: target.join("chicoryfordd"),
+            client: target.join("chicoryford"),
             standin: examples.join("standin"),
         };
         for program in [&programs.daemon, &programs.client, &programs.standin] {
@@ -212,27 +214,31 @@
     }
 }
 
-fn deploy(file: &str) -> PathBuf {
+fn deploy_path(file: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy").join(file)
 }
 
-fn sample(file: &str) -> Result<Settings> {
-    Ok(chicoryford_settings::load(&deploy(file))?)
+fn load_sample_settings(file: &str) -> Result<Settings> {
+    Ok(chicoryford_settings::load(&deploy_path(file))?)
 }
 
-/// Puts the keys of both deployments into one file, and one process token into another: here
-/// both are served by one daemon.
+/// Writes the keys of both sample deployments into one file, because one daemon serves both here,
+/// and copies the tokens of one deployment's processes and operator.
 fn write_keys(folder: &Path) -> Result<()> {
-    let zadruga = fs::read_to_string(deploy("zadruga/keys"))?;
-    let dela_cruz = fs::read_to_string(deploy("dela-cruz/keys"))?;
+    let zadruga = fs::read_to_string(deploy_path("zadruga/keys"))?;
+    let dela_cruz = fs::read_to_string(deploy_path("dela-cruz/keys"))?;
     fs::write(folder.join("keys"), format!("{zadruga}{dela_cruz}"))?;
-    fs::copy(deploy("zadruga/tokens/process"), folder.join("process"))?;
-    fs::copy(deploy("zadruga/tokens/operator"), folder.join("operator"))?;
+    fs::copy(deploy_path("zadruga/tokens/process"), folder.join("process"))?;
+    fs::copy(deploy_path("zadruga/tokens/operator"), folder.join("operator"))?;
     Ok(())
 }
 
-/// Changes what depends on the machine: addresses, files and nothing else.
-fn move_here(settings: &mut Settings, folder: &Path, seed: Option<SocketAddr>) -> Result<()> {
+/// Replaces the addresses and files of sample settings, and nothing else.
+fn localize_settings(
+    settings: &mut Settings,
+    folder: &Path,
+    seed: Option<SocketAddr>,
+) -> Result<()> {
     settings.listen = ports::address();
     settings.gossip = ports::address();
     settings.seeds = seed.into_iter().collect();
@@ -242,7 +248,7 @@
     Ok(())
 }
 
-fn daemon(folder: &Path, programs: &Programs, settings: &Settings) -> Result<Process> {
+fn start_daemon(folder: &Path, programs: &Programs, settings: &Settings) -> Result<Process> {
     let name = settings.node.as_str();
     let file = folder.join(format!("{name}.yaml"));
     fs::write(&file, serde_yaml_ng::to_string(settings)?)?;
@@ -250,10 +256,16 @@
     Ok(Process::start(folder, name, &programs.daemon, &arguments)?)
 }
 
-fn start_place(folder: &Path, programs: &Programs, name: &str, seed: SocketAddr) -> Result<Place> {
-    let mut settings = sample(&format!("{name}.yaml"))?;
-    move_here(&mut settings, folder, Some(seed))?;
-    let agent = settings.agent.as_mut().ok_or_else(|| eyre!("{name} is no agent"))?;
+/// Starts a stand-in and its agent with the sample settings `name`.
+fn start_endpoint(
+    folder: &Path,
+    programs: &Programs,
+    name: &str,
+    seed: SocketAddr,
+) -> Result<DeployedEndpoint> {
+    let mut settings = load_sample_settings(&format!("{name}.yaml"))?;
+    localize_settings(&mut settings, folder, Some(seed))?;
+    let agent = settings.agent.as_mut().ok_or_else(|| eyre!("{name} has no agent role"))?;
     agent.address = ports::address().to_string();
     let endpoint = agent.endpoint.0.clone();
     let record = folder.join(format!("{endpoint}.jsonl"));
@@ -267,9 +279,9 @@
         arguments.push(format!("--slots={}", agent.slots));
     }
     let standin = Process::start(folder, &endpoint, &programs.standin, &arguments)
-        .wrap_err_with(|| format!("the stand-in of {endpoint}"))?;
-    let agent = daemon(folder, programs, &settings)?;
-    Ok(Place { endpoint, record, standin, agent })
+        .wrap_err_with(|| format!("starting the stand-in of {endpoint}"))?;
+    let agent = start_daemon(folder, programs, &settings)?;
+    Ok(DeployedEndpoint { name: endpoint, record, standin, agent })
 }
 
 fn standin_role(kind: EndpointKind, endpoint: &str) -> &'static str {
--- a/examples/demo/drive.rs
+++ b/examples/demo/load.rs
@@ -1,4 +1,5 @@
-//! The trainers and callers of the demonstration, a thread each, as the templates name them.
+//! The trainers and callers of the demonstration, which the templates name. Each runs on its own
+//! thread.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -15,35 +16,35 @@
 use eyre::eyre;
 
 use crate::Args;
-use crate::layout::Layout;
+use crate::deployment::Deployment;
 
 /// The model whose template names a scoring service.
-const SCORED: &str = "route-model";
+const SCORED_MODEL: &str = "route-model";
 
-/// Trainers and callers that run.
-pub struct Drivers {
+/// The running trainers and callers.
+pub struct Clients {
     trainers: Vec<(String, SampleFile, JoinHandle<Report>)>,
     callers: Vec<(String, PathBuf, JoinHandle<Counts>)>,
 }
 
-/// A trainer's record.
+/// A trainer's record and the settings that are needed to check it.
 pub struct SampleFile {
-    /// The model that it samples from.
+    /// The model from which the trainer samples.
     pub model: String,
-    /// Whether its samples are scored.
+    /// Whether the samples are scored.
     pub scored: bool,
-    /// The seed of its prompts.
+    /// The seed of the prompts.
     pub seed: u64,
-    /// The file.
+    /// The file of the record.
     pub file: PathBuf,
 }
 
-/// What trainers and callers saw.
+/// The reports and records of the trainers and callers.
 #[derive(Default)]
-pub struct Driven {
-    /// What each trainer reports.
+pub struct LoadResults {
+    /// Each trainer's report, by workspace.
     pub trainers: BTreeMap<String, Report>,
-    /// What each caller counts.
+    /// Each caller's counts of outcomes, by name.
     pub callers: BTreeMap<String, Counts>,
     /// The trainers' records.
     pub samples: Vec<SampleFile>,
@@ -51,53 +52,53 @@
     pub calls: Vec<PathBuf>,
 }
 
-/// Starts them all.
-pub fn start(layout: &Layout, args: &Args) -> Result<Drivers> {
-    let mut drivers = Drivers { trainers: Vec::new(), callers: Vec::new() };
-    for settings in trainers(layout, args) {
-        let file = layout.folder.join(format!("trainer-{}.jsonl", settings.workspace));
+/// Starts all trainers and callers.
+pub fn start(deployment: &Deployment, args: &Args) -> Result<Clients> {
+    let mut clients = Clients { trainers: Vec::new(), callers: Vec::new() };
+    for settings in trainers(deployment, args) {
+        let file = deployment.folder.join(format!("trainer-{}.jsonl", settings.workspace));
         let name = settings.workspace.clone();
         let records = Recorder::open(&file)?;
         let (model, seed) = (settings.model.clone(), settings.seed);
-        let record = SampleFile { scored: model == SCORED, model, seed, file };
+        let record = SampleFile { scored: model == SCORED_MODEL, model, seed, file };
         let thread = std::thread::spawn(move || {
             actix_rt::System::new().block_on(trainer::run(settings, records))
         });
-        drivers.trainers.push((name, record, thread));
+        clients.trainers.push((name, record, thread));
     }
-    for settings in callers(layout, args) {
-        let record = layout.folder.join(format!("caller-{}.jsonl", settings.name));
+    for settings in callers(deployment, args) {
+        let record = deployment.folder.join(format!("caller-{}.jsonl", settings.name));
         let name = settings.name.clone();
         let records = Recorder::open(&record)?;
         let thread = std::thread::spawn(move || {
             actix_rt::System::new().block_on(caller::run(settings, records))
         });
-        drivers.callers.push((name, record, thread));
+        clients.callers.push((name, record, thread));
     }
-    Ok(drivers)
+    Ok(clients)
 }
 
-/// Waits until all have ended.
-pub fn join(drivers: Drivers) -> Result<Driven> {
-    let mut driven = Driven::default();
-    for (name, record, thread) in drivers.trainers {
+/// Waits until all trainers and callers have ended.
+pub fn join(clients: Clients) -> Result<LoadResults> {
+    let mut results = LoadResults::default();
+    for (name, record, thread) in clients.trainers {
         let report = thread.join().map_err(|_| eyre!("trainer {name} panicked"))?;
-        driven.trainers.insert(name, report);
-        driven.samples.push(record);
+        results.trainers.insert(name, report);
+        results.samples.push(record);
     }
-    for (name, record, thread) in drivers.callers {
+    for (name, record, thread) in clients.callers {
         let counts = thread.join().map_err(|_| eyre!("caller {name} panicked"))?;
-        driven.callers.insert(name, counts);
-        driven.calls.push(record);
+        results.callers.insert(name, counts);
+        results.calls.push(record);
     }
-    Ok(driven)
+    Ok(results)
 }
 
-/// Two trainers with the bounds of their templates.
-fn trainers(layout: &Layout, args: &Args) -> Vec<TrainerSettings> {
+/// Returns the settings of two trainers, with the staleness bounds of their templates.
+fn trainers(deployment: &Deployment, args: &Args) -> Vec<TrainerSettings> {
     let base = TrainerSettings {
-        entries: vec![layout.address.to_string()],
-        source: layout.source.clone(),
+        entries: vec![deployment.address.to_string()],
+        source: deployment.source.clone(),
         publish_ms: args.publish_ms,
         train_ms: args.train_ms,
         ahead: args.ahead,
@@ -124,16 +125,17 @@
     ]
 }
 
-/// Callers of both classes, and the packing line, whose calls may not be repeated.
-fn callers(layout: &Layout, args: &Args) -> Vec<CallerSettings> {
+/// Returns the settings of callers of both classes, and of the packing line, whose calls aren't
+/// idempotent.
+fn callers(deployment: &Deployment, args: &Args) -> Vec<CallerSettings> {
     let base = CallerSettings {
-        entries: vec![layout.address.to_string()],
+        entries: vec![deployment.address.to_string()],
         seconds: args.seconds as f64,
         deadline_ms: 5_000,
         rate: 8.0,
         ..CallerSettings::default()
     };
-    let desk =
+    let caller =
         |owner: &str, name: &str, workspace: &str, model: &str, number: u64| CallerSettings {
             token: format!("sample-only-{owner}-{name}"),
             name: name.to_owned(),
@@ -143,15 +145,15 @@
             ..base.clone()
         };
     vec![
-        desk("zadruga", "booking-desk", "booking-desk", "desk-app", 1),
-        desk("zadruga", "harbour-office", "booking-desk", "desk-app", 2),
-        desk("dela-cruz", "students", "citewise", "citewise-app", 3),
-        desk("dela-cruz", "defense-night", "citewise", "citewise-app", 4),
+        caller("zadruga", "booking-desk", "booking-desk", "desk-app", 1),
+        caller("zadruga", "harbour-office", "booking-desk", "desk-app", 2),
+        caller("dela-cruz", "students", "citewise", "citewise-app", 3),
+        caller("dela-cruz", "defense-night", "citewise", "citewise-app", 4),
         CallerSettings {
             service: true,
             repeatable: false,
             rate: 4.0,
-            ..desk("zadruga", "packing-line", "packing-line", "labels", 5)
+            ..caller("zadruga", "packing-line", "packing-line", "labels", 5)
         },
     ]
 }
--- a/examples/demo/main.rs
+++ b/examples/demo/main.rs
@@ -1,13 +1,14 @@
-//! The main job on one machine: real processes with the sample settings and templates, stand-ins
-//! for everything that is not the system, and a report judged from the stand-ins' own records.
+//! Runs the service on one machine, with the sample settings and templates and with stand-ins for
+//! everything else, and reports violations of the service's guarantees according to the stand-ins'
+//! own records.
 //!
-//! `scripts/demo --help` lists the options. It exits with 1 if any promise was found broken.
+//! `scripts/demo --help` lists the options. The exit code is 1 if a guarantee was violated.
 
-mod drive;
-mod judge;
-mod layout;
-mod mishap;
+mod deployment;
+mod disruptions;
+mod load;
 mod report;
+mod verify;
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -16,19 +17,19 @@
 use clap::ValueEnum;
 use eyre::Result;
 
-use layout::Layout;
+use deployment::Deployment;
 
-/// Runs the whole system on this machine for a while and reports what became of every sample and
+/// Runs the whole service on this machine for some time and checks the outcome of every sample and
 /// every answer.
 #[derive(Parser)]
 struct Args {
-    /// Seconds for which trainers and callers work.
+    /// Seconds for which trainers and callers send requests.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
     /// Determines prompts, samples and the gaps between requests.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Milliseconds that a trainer computes on each group.
+    /// Milliseconds for which a trainer computes on each group.
     #[arg(long, default_value_t = 52)]
     train_ms: u64,
     /// Steps that a trainer opens ahead of the one that it trains on.
@@ -37,18 +38,18 @@
     /// Milliseconds for which a trainer's pull waits at the entry for a group.
     #[arg(long, default_value_t = 2_000)]
     wait_ms: u64,
-    /// Do not take expected versions from the staleness bound of a sample that begins.
+    /// Do not subtract expected versions from the staleness bound of a sample that starts.
     #[arg(long)]
     no_prediction: bool,
-    /// Do not give late samples a second maker.
+    /// Do not start a second run of late samples.
     #[arg(long)]
     no_hedging: bool,
     /// Milliseconds between two versions of a model.
     #[arg(long, default_value_t = 4_000)]
     publish_ms: u64,
-    /// Kill a process with SIGKILL in the middle of the run and start it again a second later.
+    /// Kill a process with SIGKILL in the middle of the run and restart it one second later.
     #[arg(long, value_enum)]
-    kill: Option<Victim>,
+    kill: Option<KillTarget>,
     /// Plan a stop of a sampler in the middle of the run, and cancel it later.
     #[arg(long)]
     plan_stop: bool,
@@ -57,9 +58,9 @@
     keep: bool,
 }
 
-/// What may be killed.
+/// The process to kill.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
-enum Victim {
+enum KillTarget {
     /// The agent of a sampler.
     Agent,
     /// A sampler itself.
@@ -79,16 +80,16 @@
     Ok(if clean? { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Runs everything and tells whether every promise was kept.
+/// Runs the demonstration and returns whether no guarantee was violated.
 fn run(args: &Args, folder: &Path) -> Result<bool> {
-    let mut layout = Layout::new(folder, args)?;
-    layout.start()?;
-    layout.apply_templates()?;
-    let drivers = drive::start(&layout, args)?;
-    let mishaps = mishap::run(&mut layout, args)?;
-    let driven = drive::join(drivers)?;
-    let stopped = layout.stop()?;
-    let verdict = judge::judge(&layout, &driven, &stopped, &mishaps)?;
-    report::print(&driven, &verdict);
+    let mut deployment = Deployment::new(folder, args)?;
+    deployment.wait_for_endpoints()?;
+    deployment.apply_templates()?;
+    let clients = load::start(&deployment, args)?;
+    let disruptions = disruptions::run(&mut deployment, args)?;
+    let results = load::join(clients)?;
+    let unclean = deployment.stop()?;
+    let verdict = verify::verify_run(&deployment, &results, &unclean, &disruptions)?;
+    report::print(&results, &verdict);
     Ok(verdict.is_clean(args.kill.is_some()))
 }
--- a/examples/demo/report.rs
+++ b/examples/demo/report.rs
@@ -1,21 +1,21 @@
-//! Prints what became of the run.
+//! Prints the report of the run.
 
 use chicoryford_standin::caller::Counts;
 use chicoryford_standin::caller::Fate;
 use chicoryford_standin::matching::Matches;
 use chicoryford_standin::trainer::Report;
 
-use crate::drive::Driven;
-use crate::judge::Verdict;
+use crate::load::LoadResults;
+use crate::verify::Verdict;
 
-/// Prints the report.
-pub fn print(driven: &Driven, verdict: &Verdict) {
+/// Prints the trainers' reports, the callers' counts and the violations.
+pub fn print(results: &LoadResults, verdict: &Verdict) {
     println!("\ntrainer         steps samples  tokens  idle  not training  lag mean/max  versions");
-    for (name, report) in &driven.trainers {
+    for (name, report) in &results.trainers {
         print_trainer(name, report);
     }
     println!("\ncaller          on time   late  not run  unknown  wrong");
-    for (name, counts) in &driven.callers {
+    for (name, counts) in &results.callers {
         print_caller(name, counts);
     }
     println!();
@@ -52,10 +52,10 @@
 fn print_verdict(verdict: &Verdict) {
     let Matches { checked, prefixes, misattributed } = verdict.matches;
     println!(
-        "checked against the engines' own records: {checked} ({prefixes} from a killed engine's prefix on)"
+        "checked against the engines' own records: {checked} ({prefixes} continued from the prefix of a killed engine)"
     );
     let lines = [
-        ("doubled", verdict.doubled),
+        ("doubled", verdict.duplicates),
         ("lost", verdict.lost),
         ("misattributed", misattributed),
         ("wrong", verdict.wrong),
@@ -63,8 +63,8 @@
         ("stale", verdict.stale),
         ("changed on a second pull", verdict.changed),
         ("falsely refused as not run", verdict.false_not_run),
-        ("cut by a planned stop", verdict.cut),
-        ("begun after a planned stop", verdict.begun_late),
+        ("cut by a planned stop", verdict.cut_off),
+        ("begun after a planned stop", verdict.started_late),
     ];
     for (name, count) in lines {
         println!("{name:28} {count}");
