--- a/tests/faults/system.rs
+++ b/tests/faults/system.rs
@@ -63,13 +63,14 @@
         fs::write(folder.path().join("token"), "process-token\n").unwrap();
         fs::write(folder.path().join("operator"), "operator-token\n").unwrap();
         let names: Vec<String> = (1..=controls).map(|i| format!("c{i}")).collect();
+        // The listening address and the gossip address of each.
         let addresses: Vec<[SocketAddr; 2]> =
             names.iter().map(|_| [ports::address(), ports::address()]).collect();
-        let replica = |(name, [address, _]): (&String, &[SocketAddr; 2])| {
-            format!("    - node: {name}\n      address: {address}\n")
+        let replica = |(name, pair): (&String, &[SocketAddr; 2])| {
+            format!("    - node: {name}\n      address: {}\n", pair[0])
         };
         let replicas = names.iter().zip(&addresses).map(replica).collect();
-        let seeds = addresses.iter().map(|[_, gossip]| *gossip).collect();
+        let seeds = addresses.iter().map(|pair| pair[1]).collect();
         let mut system = Self { folder, daemons: BTreeMap::new(), seeds, replicas };
         for (name, [address, gossip]) in names.iter().zip(addresses) {
             let role = format!("control:\n  replicas:\n{}", system.replicas);
