--- a/components/daemon/src/lib.rs
+++ b/components/daemon/src/lib.rs
@@ -1,6 +1,7 @@
-//! Puts a process together: its kernel, its roles, its HTTP server, its graceful shutdown.
+//! Assembles a process from its kernel, its roles and its HTTP server, and shuts it down
+//! gracefully.
 //!
-//! docs/ARCHITECTURE.md shows the roles; docs/OPERATIONS.md says what an operator sees.
+//! docs/ARCHITECTURE.md describes the roles; docs/OPERATIONS.md describes what an operator sees.
 
 pub mod logs;
 pub mod operate;
--- a/components/daemon/src/logs.rs
+++ b/components/daemon/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines of key=value pairs, one for each event, on standard error.
+//! Writes one log line of key=value pairs for each event, to standard error or standard output.
 
 use std::fmt;
 
@@ -16,24 +16,24 @@
 use tracing_subscriber::fmt::format::Writer;
 use tracing_subscriber::registry::LookupSpan;
 
-/// Logging could not be set up.
+/// Why logging could not be set up.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// The filter of the settings is malformed.
+    /// The filter in the settings is malformed.
     #[error(
-        "the `log` setting {0:?} is no filter: use a level (error, warn, info, debug, trace) or target=level pairs"
+        "the `log` setting {0:?} is not a valid filter: use a level (error, warn, info, debug, trace) or target=level pairs"
     )]
     Filter(String, #[source] tracing_subscriber::filter::ParseError),
-    /// Logging was set up before.
-    #[error("logging is set up already")]
+    /// Logging was already set up.
+    #[error("logging is already set up")]
     Twice,
 }
 
-/// Sends log lines to standard error.
+/// Starts logging to standard error.
 ///
 /// # Errors
 ///
-/// [`LogError`] if the filter is malformed or logging was set up before.
+/// Returns a [`LogError`] if the filter is malformed or logging is already set up.
 pub fn start(filter: &str) -> Result<(), LogError> {
     let parsed = EnvFilter::try_new(filter).map_err(|e| LogError::Filter(filter.to_owned(), e))?;
     tracing_subscriber::fmt()
@@ -44,20 +44,20 @@
         .map_err(|_| LogError::Twice)
 }
 
-/// Lines that wait for a slow reader of standard output; further ones are left out and counted,
-/// because a request must not wait for its log line.
-const LINES: usize = 8_192;
+/// Number of lines that are queued for a slow reader of standard output. Further lines are dropped
+/// and counted, because a request must not wait for its log line.
+const MAX_QUEUED_LINES: usize = 8_192;
 
-/// Sends log lines to standard output from a thread of its own, so that a reader that is stuck
-/// holds up nothing else. The guard writes what is left when it is dropped.
+/// Starts logging to standard output from a separate thread, so that a stuck reader blocks nothing
+/// else. Returns a guard that writes the queued lines when it is dropped.
 ///
 /// # Errors
 ///
-/// [`LogError`] if the filter is malformed or logging was set up before.
+/// Returns a [`LogError`] if the filter is malformed or logging is already set up.
 pub fn start_stdout(filter: &str) -> Result<WorkerGuard, LogError> {
     let parsed = EnvFilter::try_new(filter).map_err(|e| LogError::Filter(filter.to_owned(), e))?;
     let (writer, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(LINES)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .lossy(true)
         .finish(std::io::stdout());
     tracing_subscriber::fmt()
@@ -69,11 +69,11 @@
     Ok(guard)
 }
 
-/// Tells whether `filter` is one that [`start`] takes.
+/// Checks that [`start`] accepts `filter`.
 ///
 /// # Errors
 ///
-/// [`LogError::Filter`] if not.
+/// Returns [`LogError::Filter`] if the filter is malformed.
 pub fn check(filter: &str) -> Result<(), LogError> {
     EnvFilter::try_new(filter).map(|_| ()).map_err(|e| LogError::Filter(filter.to_owned(), e))
 }
@@ -96,22 +96,23 @@
         let now = chicoryford_kernel::unix().0;
         write!(writer, "time={}.{:03}", now / 1_000, now % 1_000)?;
         write!(writer, " level={} target={}", metadata.level(), metadata.target())?;
-        let mut fields = Fields { writer: &mut writer, result: Ok(()) };
+        let mut fields = FieldWriter { writer: &mut writer, result: Ok(()) };
         event.record(&mut fields);
         fields.result?;
         writeln!(writer)
     }
 }
 
-struct Fields<'a, 'w> {
+/// Writes the fields of an event and keeps the first error.
+struct FieldWriter<'a, 'w> {
     writer: &'a mut Writer<'w>,
     result: fmt::Result,
 }
 
-impl Fields<'_, '_> {
-    fn pair(&mut self, name: &str, value: &str) {
-        let quoted = value.is_empty() || value.contains([' ', '"', '=', '\n', '\r', '\t']);
-        let written = if quoted {
+impl FieldWriter<'_, '_> {
+    fn write_pair(&mut self, name: &str, value: &str) {
+        let needs_quotes = value.is_empty() || value.contains([' ', '"', '=', '\n', '\r', '\t']);
+        let written = if needs_quotes {
             write!(self.writer, " {name}={value:?}")
         } else {
             write!(self.writer, " {name}={value}")
@@ -120,12 +121,12 @@
     }
 }
 
-impl Visit for Fields<'_, '_> {
+impl Visit for FieldWriter<'_, '_> {
     fn record_str(&mut self, field: &Field, value: &str) {
-        self.pair(field.name(), value);
+        self.write_pair(field.name(), value);
     }
 
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        self.pair(field.name(), &format!("{value:?}"));
+        self.write_pair(field.name(), &format!("{value:?}"));
     }
 }
--- a/components/daemon/src/operate.rs
+++ b/components/daemon/src/operate.rs
@@ -1,5 +1,5 @@
-//! Takes the commands of operators at any process and hands them to the control processes, so
-//! that an operator needs to know no more than one address.
+//! Accepts operators' commands at any process and forwards them to the control processes, so that
+//! an operator needs the address of one process only.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,14 +21,14 @@
 use chicoryford_wire::paths;
 use chicoryford_wire::reply;
 
-/// How long the control processes may take, an election included.
-const PATIENCE: Duration = Duration::from_secs(4);
+/// Time within which the control processes must answer a command, an election included.
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Adds the operators' paths that every process serves.
+/// Adds the routes for operators that every process serves.
 ///
 /// # Errors
 ///
-/// [`MissingService`] if configuration or membership has not been started.
+/// Returns [`MissingService`] if configuration or membership has not been started.
 pub fn routes(routes: &mut Routes, kernel: &Kernel) -> Result<(), MissingService> {
     let proposer = kernel.registry.find::<Proposer>(PROPOSER)?;
     let client = Rc::new(proposer.client());
@@ -47,15 +47,15 @@
 async fn operate(client: &ProposerClient, call: &Call) -> Result<Reply, Failure> {
     let command: Command = call.json()?;
     if !is_for_operators(&command) {
-        let detail = "this command is for the system's own processes";
+        let detail = "this command is reserved for the processes of the system";
         return Err(Failure::not_run(Code::Forbidden, detail));
     }
-    let answer = client.propose(&command, PATIENCE).await?;
+    let answer = client.propose(&command, PROPOSE_TIMEOUT).await?;
     Ok(reply::json(200, &answer))
 }
 
-/// Tells whether an operator may give a command. The others move claims, sessions and steps: one
-/// given by hand could make a call run twice or lose samples.
+/// Returns whether an operator may send a command. The other commands change claims, sessions and
+/// steps; if one of them were sent by hand, a call could run twice or samples could be lost.
 fn is_for_operators(command: &Command) -> bool {
     matches!(
         command,
--- a/components/daemon/src/roles.rs
+++ b/components/daemon/src/roles.rs
@@ -1,4 +1,4 @@
-//! Starts the roles that the settings name and adds their routes.
+//! Starts the roles that the settings enable and adds their routes.
 
 use std::error::Error;
 use std::thread::JoinHandle;
@@ -11,35 +11,37 @@
 use crate::operate;
 use crate::run::RunError;
 
-/// Starts the services that every process has, then the roles of this one. Gives the thread of
-/// the membership duty, whose end means that the others were told that this process leaves.
+/// Starts the services that every process has, then the roles of this process. Returns the thread
+/// of the membership duty. When that thread ends, the others have been told that this process
+/// leaves.
 ///
 /// # Errors
 ///
-/// [`RunError::Role`] if one of them cannot start.
+/// Returns [`RunError::Role`] if a service or role cannot start, or its routes cannot be built.
 pub fn start(kernel: &Kernel, settings: &Settings) -> Result<JoinHandle<()>, RunError> {
     let membership =
-        chicoryford_membership::start(kernel, settings).map_err(failed("membership"))?;
-    chicoryford_config::start(kernel, settings).map_err(failed("config"))?;
+        chicoryford_membership::start(kernel, settings).map_err(role_error("membership"))?;
+    chicoryford_config::start(kernel, settings).map_err(role_error("config"))?;
     if settings.control.is_some() {
-        chicoryford_control::start(kernel, settings).map_err(failed("control"))?;
+        chicoryford_control::start(kernel, settings).map_err(role_error("control"))?;
     }
     if settings.entry.is_some() {
-        chicoryford_entry::start(kernel, settings).map_err(failed("entry"))?;
+        chicoryford_entry::start(kernel, settings).map_err(role_error("entry"))?;
     }
     if settings.agent.is_some() {
-        chicoryford_agent::start(kernel, settings).map_err(failed("agent"))?;
+        chicoryford_agent::start(kernel, settings).map_err(role_error("agent"))?;
     }
-    // Whatever a route needs is missing at once or never.
-    routes(&mut Routes::default(), kernel, settings).map_err(failed("routes"))?;
+    // A service that a route needs is registered by now or never, so that building the routes once
+    // finds a missing one at the start.
+    routes(&mut Routes::default(), kernel, settings).map_err(role_error("routes"))?;
     Ok(membership)
 }
 
-/// Adds the roles' routes; each worker thread of the server calls it once.
+/// Adds the roles' routes. Each worker thread of the server calls this function once.
 ///
 /// # Errors
 ///
-/// [`MissingService`] if [`start`] has not run.
+/// Returns [`MissingService`] if [`start`] has not run.
 pub fn routes(
     routes: &mut Routes,
     kernel: &Kernel,
@@ -58,7 +60,8 @@
     operate::routes(routes, kernel)
 }
 
-fn failed<E>(role: &'static str) -> impl FnOnce(E) -> RunError
+/// Wraps an error that kept `role` from starting.
+fn role_error<E>(role: &'static str) -> impl FnOnce(E) -> RunError
 where
     E: Error + Send + Sync + 'static,
 {
--- a/components/daemon/src/run.rs
+++ b/components/daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! The life of a process, from its settings to its graceful end.
+//! Runs a process from its start to its graceful shutdown.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -31,8 +31,8 @@
 use crate::signals::StopSignals;
 use crate::status;
 
-/// Requests whose answers a graceful shutdown waits for.
-const WORK: &[&str] = &[
+/// Paths of the requests that a graceful shutdown waits for.
+const DRAINED_PATHS: &[&str] = &[
     paths::CHAT,
     paths::COMPLETIONS,
     paths::SERVICES,
@@ -44,16 +44,18 @@
     paths::PROPOSE,
     paths::WORK,
 ];
-const REFRESH: Duration = Duration::from_secs(1);
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
-/// How long the last bytes of answers may take to leave after their requests are done.
-const FLUSH: Duration = Duration::from_millis(200);
-/// How long duties may take to end.
-const DUTIES_END: Duration = Duration::from_secs(2);
-/// How long the membership duty may take beyond that.
-const FAREWELL: Duration = Duration::from_secs(3);
-
-/// A process could not start, or ended by a fault of its own.
+/// Interval at which the key file is checked for changes.
+const KEYS_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which a shutdown checks for unfinished requests and running duties.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for which the last bytes of responses are sent after their requests are done.
+const FLUSH_DELAY: Duration = Duration::from_millis(200);
+/// Time within which duties must end.
+const DUTIES_TIMEOUT: Duration = Duration::from_secs(2);
+/// Further time within which the membership duty must end.
+const MEMBERSHIP_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// Why a process could not start, or that one of its duties panicked.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// Metrics could not be set up.
@@ -71,35 +73,36 @@
     /// A thread could not be started.
     #[error(transparent)]
     Duty(#[from] DutyError),
-    /// The data folder could not be made.
-    #[error("cannot make the data folder {}", .0.display())]
+    /// The data folder could not be created.
+    #[error("cannot create the data folder {}", .0.display())]
     Data(PathBuf, #[source] std::io::Error),
-    /// Signals could not be taken over.
-    #[error("cannot take over the stop signals")]
+    /// The handlers of the stop signals could not be installed.
+    #[error("cannot install the handlers of the stop signals")]
     Signals(#[source] std::io::Error),
     /// A role could not start.
     #[error("the {0} role cannot start")]
     Role(&'static str, #[source] Box<dyn std::error::Error + Send + Sync>),
-    /// A duty panicked; the log says which.
-    #[error("a duty ended by a fault of the system itself")]
-    Fault,
+    /// A duty panicked; the log names it.
+    #[error("a duty panicked; the log names it")]
+    DutyPanicked,
 }
 
-/// Runs a process until it is asked to stop and has nothing in progress.
+/// Runs a process until it is asked to stop and has no requests in progress, or the grace period
+/// is over.
 ///
 /// # Errors
 ///
-/// [`RunError`] if it cannot start, or a duty panicked.
+/// Returns a [`RunError`] if the process cannot start or a duty panics.
 pub fn run(settings: Settings) -> Result<(), RunError> {
-    actix_rt::System::new().block_on(live(settings))
+    actix_rt::System::new().block_on(run_process(settings))
 }
 
-async fn live(mut settings: Settings) -> Result<(), RunError> {
+async fn run_process(mut settings: Settings) -> Result<(), RunError> {
     let mut signals = StopSignals::new().map_err(RunError::Signals)?;
     let keys = Arc::new(Keys::load(&settings.keys)?);
     let caller = caller(&settings)?;
     let tls = settings.tls.as_ref().map(|t| tls::server(&t.certificate, &t.key)).transpose()?;
-    make_data(&settings)?;
+    create_data_folder(&settings)?;
 
     let listener = server::listen(settings.listen)?;
     settings.listen = listener.local_addr().map_err(ServeError::Start)?;
@@ -113,8 +116,9 @@
     refresh_keys(&kernel, keys.clone())?;
     let membership = roles::start(&kernel, &settings)?;
 
-    let (own, named, counted) = (kernel.clone(), settings.clone(), progress.clone());
-    let routes = move || all_routes(&own, &named, &counted);
+    let (route_kernel, route_settings, route_progress) =
+        (kernel.clone(), settings.clone(), progress.clone());
+    let routes = move || all_routes(&route_kernel, &route_settings, &route_progress);
     let running = server::serve_on(listener, &bounds(&settings), keys, tls, routes)?;
     tracing::info!(event = "ready", node = %settings.node, address = %running.address);
 
@@ -128,12 +132,12 @@
         drain(&progress, Duration::from_millis(settings.grace_ms)).await;
     }
     kernel.phases.advance(Phase::Stopping);
-    actix_rt::time::sleep(FLUSH).await;
+    actix_rt::time::sleep(FLUSH_DELAY).await;
     running.handle.stop(true).await;
-    end_duties(&kernel).await;
-    join(membership).await;
+    wait_for_duties(&kernel).await;
+    join_membership(membership).await;
     tracing::info!(event = "stopped", node = %settings.node);
-    signal.map(|_| ()).ok_or(RunError::Fault)
+    signal.map(|_| ()).ok_or(RunError::DutyPanicked)
 }
 
 fn caller(settings: &Settings) -> Result<Caller, RunError> {
@@ -142,54 +146,56 @@
     Ok(Caller { token, tls })
 }
 
-fn make_data(settings: &Settings) -> Result<(), RunError> {
-    let Some(data) = &settings.data else { return Ok(()) };
-    std::fs::create_dir_all(data).map_err(|e| RunError::Data(data.clone(), e))
+fn create_data_folder(settings: &Settings) -> Result<(), RunError> {
+    let Some(folder) = &settings.data else { return Ok(()) };
+    std::fs::create_dir_all(folder).map_err(|e| RunError::Data(folder.clone(), e))
 }
 
 fn bounds(settings: &Settings) -> Bounds {
-    let given = &settings.bounds;
+    let configured = &settings.bounds;
     Bounds {
-        body: given.body,
-        connections: given.connections,
-        read: Duration::from_millis(given.read_ms),
-        workers: given.workers,
+        body: configured.body,
+        connections: configured.connections,
+        read: Duration::from_millis(configured.read_ms),
+        workers: configured.workers,
         ..Bounds::default()
     }
 }
 
 fn all_routes(kernel: &Kernel, settings: &Arc<Settings>, progress: &Progress) -> Routes {
     let mut routes = Routes::default();
-    routes.count(WORK, progress.clone());
+    routes.count(DRAINED_PATHS, progress.clone());
     status::routes(&mut routes, kernel, settings, progress);
-    // `roles::start` has built the routes once already, so none of them is missing here.
+    // `roles::start` has already built the same routes once, so no service is missing here.
     if let Err(error) = roles::routes(&mut routes, kernel, settings) {
         tracing::error!(event = "routes_missing", %error);
     }
     routes
 }
 
-/// Reads the key file again when it has changed, so that tokens rotate without a restart.
+/// Starts the duty that reads the key file again when it has changed, so that tokens rotate without
+/// a restart.
 fn refresh_keys(kernel: &Kernel, keys: Arc<Keys>) -> Result<(), RunError> {
     kernel.duty("keys", move |kernel| async move {
         while kernel.phases.now() < Phase::Stopping {
             match keys.refresh() {
                 Ok(true) => tracing::info!(event = "keys_read"),
                 Ok(false) => {}
-                // The keys read before stay in force: a half-written file must lock nobody out.
+                // The keys read before stay valid, so that a half-written file locks nobody out.
                 Err(error) => tracing::warn!(event = "keys_unreadable", %error),
             }
             let stop = kernel.phases.reached(Phase::Stopping);
-            let _ = actix_rt::time::timeout(REFRESH, stop).await;
+            let _ = actix_rt::time::timeout(KEYS_REFRESH_INTERVAL, stop).await;
         }
     })?;
     Ok(())
 }
 
+/// Waits until no request is in progress, for `grace` at most.
 async fn drain(progress: &Progress, grace: Duration) {
-    let begun = std::time::Instant::now();
-    while progress.count() > 0 && begun.elapsed() < grace {
-        actix_rt::time::sleep(DRAIN_LOOK).await;
+    let started = std::time::Instant::now();
+    while progress.count() > 0 && started.elapsed() < grace {
+        actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     let left = progress.count();
     if left > 0 {
@@ -197,21 +203,23 @@
     }
 }
 
-async fn end_duties(kernel: &Kernel) {
-    let begun = std::time::Instant::now();
-    while !kernel.duties.running().is_empty() && begun.elapsed() < DUTIES_END {
-        actix_rt::time::sleep(DRAIN_LOOK).await;
+/// Waits until all duties have ended, for [`DUTIES_TIMEOUT`] at most.
+async fn wait_for_duties(kernel: &Kernel) {
+    let started = std::time::Instant::now();
+    while !kernel.duties.running().is_empty() && started.elapsed() < DUTIES_TIMEOUT {
+        actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
 
-/// Waits for the end of the membership duty, which tells the others that this process leaves.
+/// Waits for the end of the membership duty, which announces to the other processes that this one
+/// leaves.
 ///
-/// If the process ended before, the others would take it for one that crashed: they would suspect
-/// it for seconds and go on sending it work, and the log would show deaths at planned stops. The
-/// wait is bounded, because a thread that hangs must not keep a supervisor from a restart.
-async fn join(membership: JoinHandle<()>) {
+/// If the process ended earlier, the others would treat it as crashed: they would suspect it for
+/// seconds and continue to send it work, and the log would show deaths at planned stops. The wait is
+/// bounded, because a thread that hangs must not keep a supervisor from a restart.
+async fn join_membership(membership: JoinHandle<()>) {
     let joined = actix_rt::task::spawn_blocking(move || membership.join().is_ok());
-    match actix_rt::time::timeout(FAREWELL, joined).await {
+    match actix_rt::time::timeout(MEMBERSHIP_TIMEOUT, joined).await {
         Ok(Ok(true)) => {}
         _ => tracing::warn!(event = "farewell_untold"),
     }
--- a/components/daemon/src/signals.rs
+++ b/components/daemon/src/signals.rs
@@ -11,18 +11,19 @@
 }
 
 impl StopSignals {
-    /// Takes the signals over from the operating system's default, which ends the process at once.
+    /// Installs the handlers. They replace the operating system's default action, which ends the
+    /// process at once.
     ///
     /// # Errors
     ///
-    /// What the operating system said.
+    /// Returns the operating system's error if a handler cannot be installed.
     pub fn new() -> std::io::Result<Self> {
         let terminate = signal(SignalKind::terminate())?;
         let interrupt = signal(SignalKind::interrupt())?;
         Ok(Self { terminate, interrupt })
     }
 
-    /// Waits for the next of them and gives its name.
+    /// Waits for the next stop signal and returns its name.
     pub async fn next(&mut self) -> &'static str {
         tokio::select! {
             _ = self.terminate.recv() => "SIGTERM",
--- a/components/daemon/src/status.rs
+++ b/components/daemon/src/status.rs
@@ -1,4 +1,4 @@
-//! Health, readiness and the state dump of a process.
+//! The health, readiness and state dump routes of a process.
 
 use std::sync::Arc;
 
@@ -18,46 +18,47 @@
 use chicoryford_wire::reply;
 use serde::Serialize;
 
-const READERS: &[Kind] = &[Kind::Operator, Kind::Process];
+/// The kinds of tokens that may read the dump.
+const DUMP_READERS: &[Kind] = &[Kind::Operator, Kind::Process];
 
-/// What the balancer and operators see of a process at a glance.
+/// The readiness of a process, for load balancers and operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct Readiness {
-    /// Whether the process takes new work.
+    /// Whether the process accepts new work.
     pub ready: bool,
     /// Requests in progress.
     pub in_progress: usize,
 }
 
-/// Adds the routes that every process has.
+/// Adds the health, readiness and dump routes that every process serves.
 ///
-/// Health and readiness are open to all, because balancers send no token; they tell nothing but
-/// a state and a count.
+/// Health and readiness need no token, because load balancers send none. They disclose only a state
+/// and a count.
 pub fn routes(routes: &mut Routes, kernel: &Kernel, settings: &Arc<Settings>, progress: &Progress) {
     routes.add(paths::HEALTH, &[], |_| async { reply::json(200, "alive") });
-    let (own, named, counted) = (kernel.clone(), settings.clone(), progress.clone());
+    let (ready_kernel, settings, progress) = (kernel.clone(), settings.clone(), progress.clone());
     routes.add(paths::READY, &[], move |_| {
-        let answer = readiness(&own, &named, &counted);
+        let answer = readiness(&ready_kernel, &settings, &progress);
         async move { answer }
     });
-    let own = kernel.clone();
-    routes.add(paths::DUMP, READERS, move |_| {
-        let own = own.clone();
-        async move { reply::json(200, &own.dumps.take().await) }
+    let kernel = kernel.clone();
+    routes.add(paths::DUMP, DUMP_READERS, move |_| {
+        let kernel = kernel.clone();
+        async move { reply::json(200, &kernel.dumps.take().await) }
     });
 }
 
 fn readiness(kernel: &Kernel, settings: &Settings, progress: &Progress) -> Reply {
-    let ready = kernel.phases.now() == Phase::Running && !stops_here(kernel, settings);
+    let ready = kernel.phases.now() == Phase::Running && !has_planned_stop(kernel, settings);
     if !ready {
-        let detail = "the process is leaving and takes no new work";
+        let detail = "the process is shutting down and accepts no new work";
         return reply::failure(&Failure::not_run(Code::Draining, detail));
     }
     reply::json(200, &Readiness { ready, in_progress: progress.count() })
 }
 
-/// Tells whether a planned stop in force names this process or its data centre.
-fn stops_here(kernel: &Kernel, settings: &Settings) -> bool {
+/// Returns whether a planned stop that is in force names this process or its data centre.
+fn has_planned_stop(kernel: &Kernel, settings: &Settings) -> bool {
     let Ok(configs) = kernel.registry.find::<Configs>(chicoryford_config::SERVICE) else {
         return false;
     };
@@ -72,16 +73,17 @@
     }
 }
 
-/// Adds the process's own part of the dump. Settings name files with secrets, never secrets.
+/// Adds the `process` part of the dump. Its settings contain the paths of files with secrets, but
+/// no secrets.
 pub fn dump(kernel: &Kernel, settings: &Arc<Settings>, progress: &Progress) {
-    let (phases, named, counted) = (kernel.phases.clone(), settings.clone(), progress.clone());
+    let (phases, settings, progress) = (kernel.phases.clone(), settings.clone(), progress.clone());
     let duties = kernel.duties.clone();
     let started = chicoryford_kernel::unix();
     kernel.dumps.add("process", move || {
         let part = serde_json::json!({
-            "settings": &*named,
+            "settings": &*settings,
             "phase": format!("{:?}", phases.now()),
-            "in_progress": counted.count(),
+            "in_progress": progress.count(),
             "duties": duties.running(),
             "started_unix_ms": started,
         });
