--- a/components/standin/src/driver.rs
+++ b/components/standin/src/driver.rs
@@ -1,5 +1,4 @@
-//! What trainers and callers have in common: requests to the entries, one after the other until
-//! one answers.
+//! The HTTP client of trainers and callers, which can send a request to any of several entries.
 
 use std::time::Duration;
 
@@ -12,17 +11,17 @@
 use chicoryford_wire::reply::JSON;
 use serde::Serialize;
 
-/// How many bytes of an answer are read at most.
-const ANSWER_BOUND: usize = 256 << 20;
+/// Maximum size of a response body.
+const MAX_ANSWER_BYTES: usize = 256 << 20;
 
-/// The way to the entries, of which any can serve any request.
+/// A client of the entries. Any entry can serve any request.
 #[derive(Clone)]
 pub struct Entries {
     client: Client,
     addresses: Vec<String>,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The HTTP status.
@@ -32,27 +31,28 @@
 }
 
 impl Entries {
-    /// Presents `token` to the entries at `addresses`.
+    /// Creates a client that sends `token` to the entries at `addresses`.
     pub fn new(token: &str, addresses: Vec<String>) -> Self {
         Self { client: Client::new(Some(token.to_owned()), None), addresses }
     }
 
-    /// Posts JSON to one entry; `turn` says which, so that a resend goes to another.
+    /// Posts `payload` as JSON to one entry. `entry_index`, modulo the number of entries, selects it,
+    /// so that a retry can go to another entry.
     ///
     /// # Errors
     ///
-    /// [`CallError`] if no whole answer came, or it was a failure.
+    /// Returns a [`CallError`] if no complete response arrives, or if the response is a failure.
     pub async fn post<Q: Serialize>(
         &self,
-        turn: usize,
+        entry_index: usize,
         path: &str,
         headers: &[(&str, String)],
-        question: &Q,
+        payload: &Q,
         timeout: Duration,
     ) -> Result<Answer, CallError> {
-        let address = &self.addresses[turn % self.addresses.len()];
+        let address = &self.addresses[entry_index % self.addresses.len()];
         let url = self.client.url(address, path);
-        let body = serde_json::to_vec(question).expect("questions are plain data");
+        let body = serde_json::to_vec(payload).expect("payloads are plain data");
         let exchange = self.exchange(&url, headers, body);
         let answer = actix_rt::time::timeout(timeout, exchange).await.unwrap_or_else(|_| {
             Err(CallError::Lost { url: url.clone(), detail: "timeout".to_owned() })
@@ -78,14 +78,14 @@
         let status = response.status().as_u16();
         let body = response
             .body()
-            .limit(ANSWER_BOUND)
+            .limit(MAX_ANSWER_BYTES)
             .await
             .map_err(|error| CallError::Lost { url: url.to_owned(), detail: error.to_string() })?;
         Ok(Answer { status, body })
     }
 }
 
-/// Gives the failure that the other side answered, if it did.
+/// Returns the failure in the response, or `None` if no response was received.
 pub fn failure(error: &CallError) -> Option<&Failure> {
     match error {
         CallError::Failure(failure) => Some(failure),
--- a/components/standin/src/engine/batch.rs
+++ b/components/standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! What an engine holds: its batch, cache, weights and faults.
+//! The state of an engine: its batch, cache, weights and faults.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -18,73 +18,73 @@
 use super::protocol::Fault;
 use super::protocol::Health;
 use super::protocol::Load;
-use crate::pace::Meter;
+use crate::rate_limit::RateLimiter;
 use crate::record::Recorder;
 
-/// Seconds over which the rate of tokens is taken.
-const RATE_WINDOW: f64 = 2.0;
+/// Time constant of the decaying average of the token rate, in seconds.
+const RATE_WINDOW_S: f64 = 2.0;
 
-/// An engine.
+/// A stand-in engine.
 pub struct Engine {
-    /// How it behaves.
+    /// The settings.
     pub settings: EngineSettings,
-    /// What it ran.
+    /// The records of what the engine ran.
     pub records: Recorder,
-    /// The places in the batch, taken in order of arrival.
+    /// The slots of the batch, acquired in order of arrival.
     pub slots: Arc<Semaphore>,
-    /// The places for other engines that fetch its weights.
+    /// The slots for other engines that fetch weights from this one.
     pub feeds: Arc<Semaphore>,
-    /// Shares the rate at which it gives its weights.
-    pub meter: Meter,
-    /// Counts crashes; a completion ends when the count is no longer the one it began with.
+    /// Limits the rate at which weights are sent to other engines.
+    pub weights_limiter: RateLimiter,
+    /// Counts crashes. A completion ends when the count differs from that at its start.
     pub crashes: watch::Sender<u64>,
     state: Mutex<State>,
 }
 
-/// The part of an engine that changes.
+/// The mutable state of an engine.
 #[derive(Default)]
 pub struct State {
     /// The version in use of each model.
     pub models: BTreeMap<String, u64>,
     /// The prefix cache.
     pub cache: Cache,
-    /// Completions by request and attempt; true tells one to stop.
+    /// Completions that wait or run, by request and attempt. Sending `true` cancels one.
     pub active: HashMap<(String, u32), watch::Sender<bool>>,
-    /// Bytes of the weights of each model, as fetched.
+    /// Size of the fetched weights of each model, in bytes.
     pub sizes: BTreeMap<String, usize>,
-    /// Where it gives its weights to other engines.
-    pub gives: Option<String>,
-    /// Completions that have a place in the batch.
+    /// The URL from which other engines fetch weights, if this engine serves them.
+    pub weights_url: Option<String>,
+    /// Completions that have a slot in the batch.
     pub running: u32,
     /// Swaps in progress.
     pub swapping: u32,
     /// The highest fencing number seen.
     pub fence: u64,
-    /// The role.
+    /// The role that the last order set.
     pub role: String,
-    /// What goes wrong with the next swap.
+    /// The fault to inject into the next swap.
     pub fault: Option<Fault>,
-    /// How many times as long tokens take.
+    /// Factor by which tokens take longer.
     pub slow: u64,
-    /// Whether it reports itself unhealthy.
+    /// Whether the engine reports itself as unhealthy.
     pub unhealthy: bool,
-    /// Where connections come from that are or were open.
+    /// Remote addresses of the connections that are or were open.
     pub peers: HashSet<SocketAddr>,
-    /// Those whose connections never get another byte.
+    /// Remote addresses whose connections receive no further bytes.
     pub silent: HashSet<SocketAddr>,
     rate: f64,
-    counted: Option<Instant>,
+    rate_updated: Option<Instant>,
     instance: u64,
 }
 
-/// One line of the engine's record.
+/// One line of the engine's records.
 #[derive(Clone, Debug, Serialize)]
 pub struct Line<'a> {
-    /// `start`, `end`, `swap`, `give`, `crash` or `cancel`.
+    /// The event: `start`, `end`, `swap`, `give`, `crash` or `cancel`.
     pub event: &'a str,
     /// The engine's instance.
     pub instance: &'a str,
-    /// Unix milliseconds.
+    /// The time, in Unix milliseconds.
     pub at: u64,
     /// The request, if any.
     pub request: &'a str,
@@ -94,14 +94,15 @@
     pub model: &'a str,
     /// Tokens, or the version of a swap.
     pub count: u64,
-    /// Runs of tokens and the version that produced each, as from, to, version.
+    /// Spans of tokens and the weight version that generated each: first token, end (exclusive),
+    /// version.
     pub spans: &'a [(u32, u32, u64)],
-    /// How it ended.
+    /// How the completion, swap or cancellation ended.
     pub how: &'a str,
 }
 
 impl Engine {
-    /// Makes an engine that runs nothing yet.
+    /// Creates an engine without completions.
     pub fn new(settings: EngineSettings, records: Recorder) -> Self {
         let state = State {
             models: settings.models.iter().cloned().collect(),
@@ -112,17 +113,17 @@
         };
         let slots = Arc::new(Semaphore::new(settings.slots));
         let feeds = Arc::new(Semaphore::new(settings.feeds));
-        let meter = Meter::default();
+        let weights_limiter = RateLimiter::default();
         let crashes = watch::Sender::new(0);
-        Self { settings, records, slots, feeds, meter, crashes, state: Mutex::new(state) }
+        Self { settings, records, slots, feeds, weights_limiter, crashes, state: Mutex::new(state) }
     }
 
-    /// Gives the part that changes.
+    /// Locks the mutable state.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().expect("nothing panics while it holds this lock")
     }
 
-    /// Names this start of the engine.
+    /// Returns the identifier of the engine's current instance, which changes with each start.
     pub fn instance(&self) -> String {
         format!("{:016x}", self.state().instance)
     }
@@ -134,7 +135,7 @@
             instance: format!("{:016x}", state.instance),
             models: state.models.clone(),
             healthy: !state.unhealthy,
-            gives: state.gives.clone(),
+            gives: state.weights_url.clone(),
         }
     }
 
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Brings a fault about.
+    /// Injects a fault.
     pub fn fail(&self, fault: Fault) {
         let mut state = self.state();
         match fault {
@@ -172,7 +173,8 @@
         }
     }
 
-    /// Ends the process, or breaks all that runs and starts anew within it.
+    /// Exits the process or, if the settings say so, aborts all completions and restarts the engine
+    /// within the process.
     pub fn crash(&self) {
         let instance = self.instance();
         self.records.write(&Line { event: "crash", ..Line::new(&instance) });
@@ -188,25 +190,25 @@
         self.crashes.send_modify(|count| *count += 1);
     }
 
-    /// Tells whether a connection is one that went silent.
+    /// Returns whether [`Fault::Silent`] applies to the connection from `peer`.
     pub fn is_silent(&self, peer: Option<SocketAddr>) -> bool {
         peer.is_some_and(|peer| self.state().silent.contains(&peer))
     }
 }
 
 impl State {
-    /// Counts generated tokens into the rate.
+    /// Adds generated tokens to the token rate.
     pub fn count(&mut self, tokens: u32) {
         let now = Instant::now();
-        let gap = self.counted.map_or(0.0, |then| now.duration_since(then).as_secs_f64());
-        self.rate *= (-gap / RATE_WINDOW).exp();
-        self.rate += f64::from(tokens) / RATE_WINDOW;
-        self.counted = Some(now);
+        let elapsed = self.rate_updated.map_or(0.0, |then| now.duration_since(then).as_secs_f64());
+        self.rate *= (-elapsed / RATE_WINDOW_S).exp();
+        self.rate += f64::from(tokens) / RATE_WINDOW_S;
+        self.rate_updated = Some(now);
     }
 }
 
 impl<'a> Line<'a> {
-    /// Starts a line; the caller fills in what applies.
+    /// Creates a line at the current time whose other fields are empty.
     pub fn new(instance: &'a str) -> Self {
         let at = crate::record::unix();
         Line {
--- a/components/standin/src/engine/mod.rs
+++ b/components/standin/src/engine/mod.rs
@@ -1,11 +1,12 @@
-//! A model engine: continuous batching, a prefix cache, weight swaps, faults on request.
+//! A stand-in of a model engine with continuous batching, a prefix cache, weight swaps and faults that
+//! can be injected.
 
 mod batch;
 mod cache;
 mod generate;
-mod give;
 mod protocol;
 mod routes;
+mod serve_weights;
 mod stream;
 mod swap;
 
@@ -29,41 +30,42 @@
 pub use protocol::Load;
 pub use protocol::Weights;
 
-/// The content that makes the engine's process exit at once.
+/// A prompt that contains this text makes the engine crash at once.
 pub const CRASH_MARK: &str = "<crash>";
 
-/// How an engine behaves.
+/// The settings of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// The models that it serves, each with the version that it starts with.
+    /// The models that the engine serves, each with its initial version.
     pub models: Vec<(String, u64)>,
-    /// Completions that run at once; more wait in its queue.
+    /// Maximum number of completions that run concurrently; further ones are queued.
     pub slots: usize,
-    /// Time of a token when one completion runs, in microseconds.
+    /// Time to generate a token while only one completion runs, in microseconds.
     pub token_us: u64,
-    /// What each further running completion adds to the time of a token, in microseconds.
+    /// Time that each further running completion adds to that of a token, in microseconds.
     pub batch_us: u64,
-    /// Time of a thousand prompt bytes that are not cached, in microseconds.
+    /// Prefill time of a thousand prompt bytes that are not cached, in microseconds.
     pub prefill_us: u64,
-    /// Tokens in a chunk of the stream.
+    /// Tokens per chunk of the stream.
     pub chunk: u32,
-    /// The median length of a completion, in tokens.
+    /// Median length of a completion, in tokens.
     pub length: u32,
-    /// Prefix blocks that the cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache: usize,
-    /// One cache event in this many is lost; zero for none.
+    /// One in this many cache events is not reported; zero to report all.
     pub gaps: u64,
-    /// Time that a weight swap takes besides the fetch, in milliseconds.
+    /// Time that a weight swap takes in addition to the fetch, in milliseconds.
     pub swap_ms: u64,
-    /// How many other engines it gives its weights to at once; none if it does not offer that.
+    /// Maximum number of other engines that fetch weights from this one concurrently; zero if it does
+    /// not serve its weights.
     pub feeds: usize,
-    /// Bytes a second that it gives to all of them together.
+    /// Rate at which it sends weights to all of them together, in bytes per second.
     pub link: u64,
-    /// Whether running completions stand still during a swap.
+    /// Whether running completions pause during a swap.
     pub pause: bool,
-    /// Whether orders with an old fencing number are refused; some engines ignore it.
+    /// Whether orders with an old fencing number are refused. Some real engines ignore the number.
     pub fencing: bool,
-    /// Whether a crash ends the process; otherwise the engine restarts within it, for tests.
+    /// Whether a crash exits the process. If not, the engine restarts within the process, for tests.
     pub exits: bool,
 }
 
@@ -93,21 +95,21 @@
 ///
 /// # Errors
 ///
-/// [`ServeError`] if the address cannot be bound.
+/// Returns [`ServeError`] if the address cannot be bound.
 pub fn start(
     address: SocketAddr,
     settings: EngineSettings,
     records: Recorder,
 ) -> Result<(Running, Arc<Engine>), ServeError> {
     let engine = Arc::new(Engine::new(settings, records));
-    let held = engine.clone();
+    let served_engine = engine.clone();
     let running = http::open(address, move || {
         let mut routes = Routes::default();
-        routes::add(&mut routes, held.clone());
+        routes::add(&mut routes, served_engine.clone());
         routes
     })?;
     if engine.settings.feeds > 0 {
-        engine.state().gives = Some(format!("http://{}", running.address));
+        engine.state().weights_url = Some(format!("http://{}", running.address));
     }
     Ok((running, engine))
 }
--- a/components/standin/src/engine/protocol.rs
+++ b/components/standin/src/engine/protocol.rs
@@ -1,11 +1,11 @@
-//! The JSON that an engine takes and gives (docs/STANDINS.md).
+//! The JSON messages of an engine's HTTP interface (docs/STANDINS.md).
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// `POST /v1/completions`.
+/// The request `POST /v1/completions`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Completion {
@@ -13,32 +13,32 @@
     pub model: String,
     /// The prompt.
     pub prompt: String,
-    /// Text generated earlier, to be continued.
+    /// Text that was generated earlier and is continued.
     pub prefix: String,
-    /// Tokens at most, those of `prefix` included.
+    /// Maximum number of tokens, including those of `prefix`.
     pub max_tokens: u32,
     /// The sampling seed.
     pub seed: u64,
     /// The sampling temperature.
     pub temperature: f64,
-    /// Whether log-probabilities are wanted.
+    /// Whether log-probabilities are requested.
     pub logprobs: bool,
-    /// Names the request, for the record and for `/cancel`.
+    /// Identifies the request in the records and for `/cancel`.
     pub request: String,
-    /// Which try of the request it is.
+    /// The attempt of the request.
     pub attempt: u32,
 }
 
 /// One chunk of a streamed completion.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Chunk {
-    /// The tokens' text.
+    /// The text of the tokens.
     pub text: String,
-    /// How many tokens.
+    /// The number of tokens.
     pub count: u32,
-    /// The weight version that produced them.
+    /// The weight version that generated them.
     pub version: u64,
-    /// Their log-probabilities, if wanted.
+    /// Their log-probabilities, if requested.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub logprobs: Vec<f32>,
 }
@@ -48,11 +48,11 @@
 pub struct Last {
     /// `stop`, `length` or `cancelled`.
     pub finish_reason: String,
-    /// Tokens generated, those of the prefix not counted.
+    /// The number of tokens generated, excluding those of the prefix.
     pub tokens: u32,
 }
 
-/// `POST /weights`.
+/// The request `POST /weights`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Weights {
@@ -60,23 +60,24 @@
     pub model: String,
     /// The version to load.
     pub version: u64,
-    /// Where to fetch it: `http://address` of a store or holder; empty to fetch nothing.
+    /// The source as `http://address` of a store or of an engine that has the version; empty to fetch
+    /// nothing.
     pub source: String,
     /// The fencing number of the order.
     pub fence: u64,
 }
 
-/// `POST /role`.
+/// The request `POST /role`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Role {
-    /// The role, in the engine's words.
+    /// The role, as the engine names it.
     pub role: String,
     /// The fencing number of the order.
     pub fence: u64,
 }
 
-/// `POST /cancel`.
+/// The request `POST /cancel`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Cancel {
@@ -86,14 +87,14 @@
     pub attempt: u32,
 }
 
-/// The answer to `POST /cancel`.
+/// The response to `POST /cancel`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Cancelled {
-    /// Whether the request waited or ran until now; it does no longer.
+    /// Whether the request was queued or running and has been stopped.
     pub stopped: bool,
 }
 
-/// The answer to `GET /load`.
+/// The response to `GET /load`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Load {
@@ -101,7 +102,7 @@
     pub running: u32,
     /// Completions waiting.
     pub waiting: u32,
-    /// Tokens a second, over the last seconds.
+    /// Tokens per second, averaged over the last seconds.
     pub rate: u32,
     /// Cache memory in use, in thousandths.
     pub memory: u32,
@@ -109,52 +110,52 @@
     pub prefill: u32,
     /// Transfer link in use, in thousandths.
     pub link: u32,
-    /// How old the figures are, in milliseconds.
+    /// Age of the figures, in milliseconds.
     pub age_ms: u64,
-    /// Prefix hashes that entered the cache since the last question.
+    /// Prefix hashes that were inserted into the cache since the last request.
     pub cached: Vec<u64>,
-    /// Prefix hashes that left it.
+    /// Prefix hashes that were evicted from it since then.
     pub evicted: Vec<u64>,
     /// The version in use of each model.
     pub versions: BTreeMap<String, u64>,
 }
 
-/// The answer to `GET /health`.
+/// The response to `GET /health`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Health {
-    /// Drawn anew at each start, so that a restart is noticed.
+    /// Identifies the start of the engine, so that a restart is detected.
     pub instance: String,
     /// The version in use of each model.
     pub models: BTreeMap<String, u64>,
     /// Whether the engine can serve.
     pub healthy: bool,
-    /// Where it gives its weights to other engines; none if it does not offer that.
+    /// The URL from which other engines fetch weights; `None` if the engine does not serve them.
     pub gives: Option<String>,
 }
 
-/// `POST /fault`: what goes wrong from now on.
+/// The request `POST /fault`: a fault to inject.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Fault {
-    /// Connections open now never get another byte; new ones work.
+    /// Connections that are open now receive no further bytes; new ones work.
     Silent,
-    /// The next swap is refused with an error; the old version stays.
+    /// The next swap reports an error, and the old version stays in use.
     SwapFail,
-    /// The next swap reports success, but the old version stays.
+    /// The next swap reports success, but the old version stays in use.
     SwapLost,
     /// The next swap reports an error, but the new version is in use.
     SwapTorn,
-    /// The next swap is never answered and changes nothing; later ones work.
+    /// The next swap gets no response and changes nothing; later ones work.
     SwapSilent,
     /// The engine crashes now.
     Crash,
-    /// The engine reports itself unhealthy (`on`) or healthy again.
+    /// The engine reports itself as unhealthy, or as healthy again.
     Unhealthy {
-        /// Whether it is unhealthy.
+        /// Whether it reports itself as unhealthy.
         on: bool,
     },
-    /// Tokens take this many times as long.
+    /// Tokens take longer by a factor.
     Slow {
         /// The factor.
         times: u64,
--- a/components/standin/src/engine/routes.rs
+++ b/components/standin/src/engine/routes.rs
@@ -1,4 +1,4 @@
-//! The paths of an engine.
+//! The HTTP routes of an engine.
 
 use std::future::Future;
 use std::future::pending;
@@ -11,36 +11,48 @@
 
 use super::batch::Engine;
 use super::batch::Line;
-use super::give;
 use super::protocol::Cancel;
 use super::protocol::Cancelled;
 use super::protocol::Completion;
 use super::protocol::Fault;
 use super::protocol::Role;
 use super::protocol::Weights;
+use super::serve_weights;
 use super::stream;
 use super::swap;
 
-/// Adds an engine's paths.
+/// Adds the routes of an engine.
 pub fn add(routes: &mut Routes, engine: Arc<Engine>) {
-    on(routes, "/v1/completions", &engine, |engine, call| async move {
+    add_route(routes, "/v1/completions", &engine, |engine, call| async move {
         match call.json::<Completion>() {
-            Ok(wanted) => stream::answer(&engine, call.peer, wanted),
+            Ok(request) => stream::answer(&engine, call.peer, request),
             Err(failure) => reply::failure(&failure),
         }
     });
-    on(routes, "/weights", &engine, |engine, call| async move {
+    add_route(routes, "/weights", &engine, |engine, call| async move {
         match call.json::<Weights>() {
-            Ok(wanted) => swap::load(&engine, wanted).await,
+            Ok(order) => swap::load(&engine, order).await,
             Err(failure) => reply::failure(&failure),
         }
     });
-    on(routes, give::PATH, &engine, |engine, call| async move { give::give(&engine, &call) });
-    on(routes, "/role", &engine, |engine, call| async move { role(&engine, &call) });
-    on(routes, "/cancel", &engine, |engine, call| async move { cancel(&engine, &call) });
-    on(routes, "/load", &engine, |engine, _| async move { reply::json(200, &engine.load()) });
-    on(routes, "/health", &engine, |engine, _| async move { reply::json(200, &engine.health()) });
-    on(routes, "/fault", &engine, |engine, call| async move {
+    add_route(routes, serve_weights::PATH, &engine, |engine, call| async move {
+        serve_weights::serve(&engine, &call)
+    });
+    add_route(routes, "/role", &engine, |engine, call| async move { role(&engine, &call) });
+    add_route(routes, "/cancel", &engine, |engine, call| async move { cancel(&engine, &call) });
+    add_route(
+        routes,
+        "/load",
+        &engine,
+        |engine, _| async move { reply::json(200, &engine.load()) },
+    );
+    add_route(
+        routes,
+        "/health",
+        &engine,
+        |engine, _| async move { reply::json(200, &engine.health()) },
+    );
+    add_route(routes, "/fault", &engine, |engine, call| async move {
         match call.json::<Fault>() {
             Ok(fault) => {
                 engine.fail(fault);
@@ -51,7 +63,8 @@
     });
 }
 
-fn on<F, Fut>(routes: &mut Routes, path: &'static str, engine: &Arc<Engine>, run: F)
+/// Adds a route that records the remote address and, if that address is silenced, never responds.
+fn add_route<F, Fut>(routes: &mut Routes, path: &'static str, engine: &Arc<Engine>, run: F)
 where
     F: Fn(Arc<Engine>, Call) -> Fut + Copy + 'static,
     Fut: Future<Output = Reply> + 'static,
@@ -72,30 +85,30 @@
 }
 
 fn role(engine: &Arc<Engine>, call: &Call) -> Reply {
-    let wanted = match call.json::<Role>() {
-        Ok(wanted) => wanted,
+    let order = match call.json::<Role>() {
+        Ok(order) => order,
         Err(failure) => return reply::failure(&failure),
     };
-    if let Some(refusal) = swap::fenced(engine, wanted.fence) {
+    if let Some(refusal) = swap::refuse_if_fenced(engine, order.fence) {
         return refusal;
     }
-    engine.state().role.clone_from(&wanted.role);
-    reply::json(200, &wanted)
+    engine.state().role.clone_from(&order.role);
+    reply::json(200, &order)
 }
 
 fn cancel(engine: &Arc<Engine>, call: &Call) -> Reply {
-    let wanted = match call.json::<Cancel>() {
-        Ok(wanted) => wanted,
+    let request = match call.json::<Cancel>() {
+        Ok(request) => request,
         Err(failure) => return reply::failure(&failure),
     };
-    let key = (wanted.request.clone(), wanted.attempt);
+    let key = (request.request.clone(), request.attempt);
     let stop = engine.state().active.remove(&key);
     let stopped = stop.is_some_and(|stop| stop.send(true).is_ok());
     let instance = engine.instance();
     engine.records.write(&Line {
         event: "cancel",
-        request: &wanted.request,
-        attempt: wanted.attempt,
+        request: &request.request,
+        attempt: request.attempt,
         how: if stopped { "stopped" } else { "absent" },
         ..Line::new(&instance)
     });
--- a/components/standin/src/engine/swap.rs
+++ b/components/standin/src/engine/swap.rs
@@ -1,4 +1,4 @@
-//! Weight swaps: the fetch, the wait, the faults.
+//! Weight swaps: fetch the weights, wait for the configured time, apply an injected fault.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -13,35 +13,37 @@
 use super::protocol::Weights;
 use crate::http;
 
-const FETCH: Duration = Duration::from_secs(60);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Loads a version, and answers when it is in use.
-pub async fn load(engine: &Arc<Engine>, wanted: Weights) -> Reply {
-    if let Some(refusal) = fenced(engine, wanted.fence) {
+/// Loads a version. The response is sent when the version is in use.
+pub async fn load(engine: &Arc<Engine>, order: Weights) -> Reply {
+    if let Some(refusal) = refuse_if_fenced(engine, order.fence) {
         return refusal;
     }
-    let _swapping = Swapping::new(engine);
-    carry_out(engine, &wanted).await
+    let _guard = SwapGuard::new(engine);
+    run_swap(engine, &order).await
 }
 
-/// Counts a swap in progress, also if whoever ordered it is gone before its end.
-struct Swapping(Arc<Engine>);
+/// Counts a swap as in progress until it is dropped, which also happens if the client disconnects
+/// before the end.
+struct SwapGuard(Arc<Engine>);
 
-impl Swapping {
+impl SwapGuard {
     fn new(engine: &Arc<Engine>) -> Self {
         engine.state().swapping += 1;
         Self(engine.clone())
     }
 }
 
-impl Drop for Swapping {
+impl Drop for SwapGuard {
     fn drop(&mut self) {
         self.0.state().swapping -= 1;
     }
 }
 
-/// Refuses an old fencing number, unless the engine is one that ignores it.
-pub fn fenced(engine: &Arc<Engine>, fence: u64) -> Option<Reply> {
+/// Returns a refusal if the fencing number is older than one seen before, unless the engine is
+/// configured to ignore fencing numbers.
+pub fn refuse_if_fenced(engine: &Arc<Engine>, fence: u64) -> Option<Reply> {
     let mut state = engine.state();
     if engine.settings.fencing && fence < state.fence {
         return Some(http::error(409, "the fencing number is old"));
@@ -50,14 +52,14 @@
     None
 }
 
-async fn carry_out(engine: &Arc<Engine>, wanted: &Weights) -> Reply {
+async fn run_swap(engine: &Arc<Engine>, order: &Weights) -> Reply {
     let fault = engine.state().fault.take();
     if fault == Some(Fault::SwapSilent) {
         return pending().await;
     }
     let mut size = 0;
-    if !wanted.source.is_empty() {
-        size = match fetch(wanted).await {
+    if !order.source.is_empty() {
+        size = match fetch(order).await {
             Ok(size) => size,
             Err(error) => return http::error(502, &error),
         };
@@ -65,31 +67,31 @@
     tokio::time::sleep(Duration::from_millis(engine.settings.swap_ms)).await;
     if fault != Some(Fault::SwapLost) && fault != Some(Fault::SwapFail) {
         let mut state = engine.state();
-        state.models.insert(wanted.model.clone(), wanted.version);
-        state.sizes.insert(wanted.model.clone(), size);
+        state.models.insert(order.model.clone(), order.version);
+        state.sizes.insert(order.model.clone(), size);
     }
     let how = fault.map_or("done", |_| "fault");
     let instance = engine.instance();
     engine.records.write(&Line {
         event: "swap",
-        model: &wanted.model,
-        count: wanted.version,
+        model: &order.model,
+        count: order.version,
         how,
         ..Line::new(&instance)
     });
     match fault {
         Some(Fault::SwapFail | Fault::SwapTorn) => http::error(500, "the swap failed"),
-        _ => reply::json(200, &serde_json::json!({ "loaded": wanted.version })),
+        _ => reply::json(200, &serde_json::json!({ "loaded": order.version })),
     }
 }
 
-/// Fetches the weights and counts their bytes.
-async fn fetch(wanted: &Weights) -> Result<usize, String> {
-    let url = format!("{}/weights/{}/{}", wanted.source, wanted.model, wanted.version);
-    let client = awc::Client::builder().timeout(FETCH).finish();
+/// Fetches the weights and returns their size in bytes.
+async fn fetch(order: &Weights) -> Result<usize, String> {
+    let url = format!("{}/weights/{}/{}", order.source, order.model, order.version);
+    let client = awc::Client::builder().timeout(FETCH_TIMEOUT).finish();
     let sent = client.get(&url).send().await;
     let answer = sent.map_err(|error| format!("{url}: {error}"))?;
-    let mut answer = answer.timeout(FETCH);
+    let mut answer = answer.timeout(FETCH_TIMEOUT);
     if !answer.status().is_success() {
         return Err(format!("{url}: status {}", answer.status().as_u16()));
     }
--- a/components/standin/src/http.rs
+++ b/components/standin/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of a stand-in: open to all, one worker thread.
+//! The HTTP server of a stand-in. It requires no token and has one worker thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 ///
-/// [`ServeError`] if the address cannot be bound.
+/// Returns [`ServeError`] if the address cannot be bound.
 pub fn open<F>(address: SocketAddr, routes: F) -> Result<Running, ServeError>
 where
     F: Fn() -> Routes + Send + Clone + 'static,
@@ -25,7 +25,7 @@
     serve(address, &bounds, Arc::new(Keys::default()), None, routes)
 }
 
-/// Answers with an error in JSON.
+/// Creates a response with an error message in JSON.
 pub fn error(status: u16, message: &str) -> Reply {
     reply::json(status, &serde_json::json!({ "error": message }))
 }
--- a/components/standin/src/process.rs
+++ b/components/standin/src/process.rs
@@ -1,5 +1,4 @@
-//! Processes of tests and demonstrations: started, killed, stopped in their tracks, started
-//! again, and asked to stop.
+//! Starts, kills, suspends, restarts and stops the processes of tests and demonstrations.
 
 use std::fs::OpenOptions;
 use std::io::Result;
@@ -11,18 +10,19 @@
 use std::time::Duration;
 use std::time::Instant;
 
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which [`Process::stop`] checks whether the process has exited.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long all threads of a process may take to stand still.
-const STOPPED: Duration = Duration::from_secs(2);
-/// Pause between two looks whether they do.
-const STOP_LOOK: Duration = Duration::from_millis(1);
+/// Time within which all threads of a suspended process must have stopped.
+const FREEZE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval at which [`Process::freeze`] checks the threads.
+const FREEZE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A process and how to start it.
+/// A child process and the command that starts it. Dropping it kills the process.
 pub struct Process {
-    /// Its name, which is also that of its log.
+    /// The name of the process and, with the extension `log`, of its log file.
     pub name: String,
-    /// What it writes.
+    /// The file that receives standard output and standard error.
     pub log: PathBuf,
     program: PathBuf,
     arguments: Vec<String>,
@@ -30,11 +30,11 @@
 }
 
 impl Process {
-    /// Starts `program`; what it writes goes to a log file in `folder`.
+    /// Starts `program` with its output appended to a log file in `folder`.
     ///
     /// # Errors
     ///
-    /// What the operating system says.
+    /// Returns the operating system's error.
     pub fn start(folder: &Path, name: &str, program: &Path, arguments: &[String]) -> Result<Self> {
         let log = folder.join(format!("{name}.log"));
         let child = spawn(program, arguments, &log)?;
@@ -47,58 +47,60 @@
         })
     }
 
-    /// Gives its process id, by which the operating system tells what it uses.
+    /// Returns the process id, with which the operating system's usage figures can be read.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Tells whether it has ended by itself.
+    /// Returns whether the process has exited.
     ///
     /// # Errors
     ///
-    /// What the operating system says.
+    /// Returns the operating system's error.
     pub fn has_ended(&mut self) -> Result<bool> {
         Ok(self.child.try_wait()?.is_some())
     }
 
-    /// Ends the process at once, as a crash does.
+    /// Kills the process at once, as in a crash.
     ///
     /// # Errors
     ///
-    /// What the operating system says.
+    /// Returns the operating system's error.
     pub fn kill(&mut self) -> Result<()> {
         self.child.kill()?;
         self.child.wait()?;
         Ok(())
     }
 
-    /// Starts it again as before.
+    /// Starts the program again with the same arguments.
     ///
     /// # Errors
     ///
-    /// What the operating system says.
+    /// Returns the operating system's error.
     pub fn restart(&mut self) -> Result<()> {
         self.child = spawn(&self.program, &self.arguments, &self.log)?;
         Ok(())
     }
 
-    /// Holds it still (SIGSTOP): its connections stay open, and it does not notice the time.
+    /// Suspends the process (SIGSTOP) and waits until all its threads have stopped. Its connections
+    /// stay open, and it does not notice that time passes.
     ///
     /// # Errors
     ///
-    /// What the operating system says.
+    /// Returns the operating system's error.
     pub fn freeze(&self) -> Result<()> {
         self.signal("-STOP")?;
-        // The signal is only noted when the command returns: on a busy machine threads ran on for up
-        // to 14 ms (measured), and a process that was held still answered a call sent in between.
-        let since = Instant::now();
-        while since.elapsed() < STOPPED && !self.is_stopped()? {
-            std::thread::sleep(STOP_LOOK);
+        // The signal is only pending when the command returns: on a busy machine threads continued to
+        // run for up to 14 ms, and a suspended process answered a call sent in that time.
+        let started = Instant::now();
+        while started.elapsed() < FREEZE_TIMEOUT && !self.is_stopped()? {
+            std::thread::sleep(FREEZE_POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Tells whether all threads stand still, by the state that follows the name in brackets.
+    /// Returns whether all threads are stopped, according to the state that follows the bracketed name
+    /// in their `stat` files.
     fn is_stopped(&self) -> Result<bool> {
         for thread in std::fs::read_dir(format!("/proc/{}/task", self.child.id()))? {
             let text = std::fs::read_to_string(thread?.path().join("stat"))?;
@@ -110,28 +112,29 @@
         Ok(true)
     }
 
-    /// Lets it go on (SIGCONT).
+    /// Resumes the process (SIGCONT).
     ///
     /// # Errors
     ///
-    /// What the operating system says.
+    /// Returns the operating system's error.
     pub fn thaw(&self) -> Result<()> {
         self.signal("-CONT")
     }
 
-    /// Asks it to stop, and tells whether it did with exit code 0 within `patience`.
+    /// Sends SIGTERM and returns whether the process exited with code 0 within `timeout`. Kills the
+    /// process if it is still running then.
     ///
     /// # Errors
     ///
-    /// What the operating system says.
-    pub fn stop(&mut self, patience: Duration) -> Result<bool> {
+    /// Returns the operating system's error.
+    pub fn stop(&mut self, timeout: Duration) -> Result<bool> {
         self.signal("-TERM")?;
-        let begun = Instant::now();
-        while begun.elapsed() < patience {
+        let started = Instant::now();
+        while started.elapsed() < timeout {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status.success());
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(EXIT_POLL_INTERVAL);
         }
         self.kill()?;
         Ok(false)
@@ -145,7 +148,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Nothing is left behind, also when a test fails half-way.
+        // No process is left running, even if a test panics.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/components/standin/src/store.rs
+++ b/components/standin/src/store.rs
@@ -1,4 +1,4 @@
-//! A weight store that is rate-limited: all readers together get so many bytes a second.
+//! A stand-in of a weight store whose total rate for all readers is limited.
 
 use std::net::SocketAddr;
 
@@ -8,14 +8,14 @@
 use chicoryford_wire::server::ServeError;
 
 use crate::http;
-use crate::pace::Meter;
+use crate::rate_limit::RateLimiter;
 
-/// How a store behaves.
+/// The settings of a store.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
-    /// Bytes of one version.
+    /// Size of one version, in bytes.
     pub size: usize,
-    /// Bytes a second, for all readers together.
+    /// Rate for all readers together, in bytes per second.
     pub rate: u64,
 }
 
@@ -29,15 +29,15 @@
 ///
 /// # Errors
 ///
-/// [`ServeError`] if the address cannot be bound.
+/// Returns [`ServeError`] if the address cannot be bound.
 pub fn start(address: SocketAddr, settings: StoreSettings) -> Result<Running, ServeError> {
-    let meter = Meter::default();
+    let limiter = RateLimiter::default();
     http::open(address, move || {
         let mut routes = Routes::default();
-        let (settings, meter) = (settings.clone(), meter.clone());
+        let (settings, limiter) = (settings.clone(), limiter.clone());
         routes.add("/health", &[], |_| async { reply::json(200, "ok") });
         routes.add("/weights/", &[], move |_| {
-            let answer = meter.body(settings.size, settings.rate, ());
+            let answer = limiter.body(settings.size, settings.rate, ());
             async move { answer }
         });
         routes
