--- a/components/daemon/src/run.rs
+++ b/components/daemon/src/run.rs
@@ -215,8 +215,8 @@
 /// leaves.
 ///
 /// If the process ended earlier, the others would treat it as crashed: they would suspect it for
-/// seconds and continue to send it work, and the log would show deaths at planned stops. The wait is
-/// bounded, because a thread that hangs must not keep a supervisor from a restart.
+/// seconds and continue to send it work, and the log would show deaths at planned stops. The wait
+/// is bounded, because a thread that hangs must not keep a supervisor from a restart.
 async fn join_membership(membership: JoinHandle<()>) {
     let joined = actix_rt::task::spawn_blocking(move || membership.join().is_ok());
     match actix_rt::time::timeout(MEMBERSHIP_TIMEOUT, joined).await {
--- a/components/standin/examples/standin/drivers.rs
+++ b/components/standin/examples/standin/drivers.rs
@@ -1,4 +1,4 @@
-//! The arguments of the trainers and callers.
+//! The command line arguments of trainers and callers.
 
 use std::path::PathBuf;
 
@@ -8,13 +8,13 @@
 use chicoryford_wire::keys::read_token;
 use clap::Args;
 
-/// How the entries are reached.
+/// The arguments that trainers and callers share.
 #[derive(Args)]
 pub struct EntryArgs {
     /// The address of an entry; may be repeated.
     #[arg(long = "entry", required = true)]
     entries: Vec<String>,
-    /// The file with the token, in its first line.
+    /// The file whose first line is the token.
     #[arg(long)]
     token: PathBuf,
     /// The workspace.
@@ -23,10 +23,10 @@
     /// The model or service.
     #[arg(long)]
     model: String,
-    /// For how many seconds.
+    /// Seconds for which to run.
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// Determines prompts, seeds and gaps.
+    /// The seed of prompts, samples and gaps.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
@@ -35,31 +35,31 @@
 pub struct TrainerArgs {
     #[command(flatten)]
     entry: EntryArgs,
-    /// Groups of a step.
+    /// Groups per step.
     #[arg(long, default_value_t = 8)]
     groups: u32,
-    /// Samples of a group.
+    /// Samples per group.
     #[arg(long, default_value_t = 4)]
     samples: u32,
-    /// Tokens of a sample at most.
+    /// Maximum number of tokens of a sample.
     #[arg(long, default_value_t = 256)]
     max_tokens: u32,
     /// The bound on staleness, in versions.
     #[arg(long)]
     freshness: Option<u64>,
-    /// Milliseconds that the training of a group takes.
+    /// Training time of a group, in milliseconds.
     #[arg(long, default_value_t = 20)]
     train_ms: u64,
-    /// Steps opened ahead of the oldest one that is not whole.
+    /// Steps opened ahead of the oldest incomplete one.
     #[arg(long, default_value_t = 0)]
     ahead: usize,
-    /// Milliseconds for which a pull waits at the entry for a group.
+    /// Time for which the entry holds a pull until a group is available, in milliseconds.
     #[arg(long, default_value_t = 2_000)]
     wait_ms: u64,
-    /// Milliseconds between two publications of weights.
+    /// Interval between publications of weights, in milliseconds.
     #[arg(long, default_value_t = 3_000)]
     publish_ms: u64,
-    /// Where the store has the weights, as http://address.
+    /// The address of the weight store, as http://address.
     #[arg(long, default_value = "")]
     source: String,
 }
@@ -68,31 +68,31 @@
 pub struct CallerArgs {
     #[command(flatten)]
     entry: EntryArgs,
-    /// Names the caller in its record.
+    /// The name of the caller in its records.
     #[arg(long, default_value = "caller")]
     name: String,
     /// Call a plain service instead of a model.
     #[arg(long)]
     service: bool,
-    /// The calls may not be repeated; each carries an idempotency key.
+    /// Calls may be executed once only; each carries an idempotency key.
     #[arg(long)]
     once: bool,
     /// The class: batch, normal or urgent.
     #[arg(long)]
     class: Option<String>,
-    /// Milliseconds until an answer is worthless.
+    /// The deadline of a request, in milliseconds.
     #[arg(long, default_value_t = 2_000)]
     deadline_ms: u64,
-    /// Requests a second.
+    /// Requests per second.
     #[arg(long, default_value_t = 10.0)]
     rate: f64,
-    /// Tokens of an answer at most.
+    /// Maximum number of tokens of an answer.
     #[arg(long, default_value_t = 64)]
     max_tokens: u32,
 }
 
 impl TrainerArgs {
-    /// Gives the trainer's settings.
+    /// Converts the arguments to the trainer's settings.
     pub fn settings(self) -> Result<TrainerSettings, KeyError> {
         Ok(TrainerSettings {
             token: read_token(&self.entry.token)?,
@@ -116,7 +116,7 @@
 }
 
 impl CallerArgs {
-    /// Gives the caller's settings.
+    /// Converts the arguments to the caller's settings.
     pub fn settings(self) -> Result<CallerSettings, KeyError> {
         Ok(CallerSettings {
             token: read_token(&self.entry.token)?,
--- a/components/standin/examples/standin/endpoints.rs
+++ b/components/standin/examples/standin/endpoints.rs
@@ -1,4 +1,4 @@
-//! The arguments of the endpoints.
+//! The command line arguments of engines, services, scorers and stores.
 
 use std::net::SocketAddr;
 
@@ -8,31 +8,31 @@
 
 #[derive(Args)]
 pub struct EngineArgs {
-    /// Where it listens.
+    /// The address to listen on.
     #[arg(long)]
     pub listen: SocketAddr,
-    /// A model and its first version, as name=version; may be repeated.
-    #[arg(long = "model", value_parser = model)]
+    /// A model and its initial version, as name=version; may be repeated.
+    #[arg(long = "model", value_parser = parse_model)]
     models: Vec<(String, u64)>,
-    /// Completions that run at once.
+    /// Maximum number of completions that run concurrently.
     #[arg(long, default_value_t = 16)]
     slots: usize,
-    /// Microseconds a token.
+    /// Microseconds per token.
     #[arg(long, default_value_t = 2_000)]
     token_us: u64,
-    /// Tokens in a chunk.
+    /// Tokens per chunk.
     #[arg(long, default_value_t = 4)]
     chunk: u32,
     /// Median length of a completion, in tokens.
     #[arg(long, default_value_t = 48)]
     length: u32,
-    /// Milliseconds of a weight swap.
+    /// Duration of a weight swap, in milliseconds.
     #[arg(long, default_value_t = 200)]
     swap_ms: u64,
-    /// How many engines it gives its weights to at once.
+    /// Maximum number of engines that fetch weights from this one concurrently.
     #[arg(long, default_value_t = 2)]
     feeds: usize,
-    /// Bytes a second that it gives.
+    /// Rate at which weights are sent to them, in bytes per second.
     #[arg(long, default_value_t = 64 << 20)]
     link: u64,
     /// Ignore fencing numbers.
@@ -42,46 +42,46 @@
 
 #[derive(Args)]
 pub struct ServiceArgs {
-    /// Where it listens.
+    /// The address to listen on.
     #[arg(long)]
     pub listen: SocketAddr,
-    /// Its name.
+    /// The name of the service.
     #[arg(long, default_value = "labels")]
     pub name: String,
-    /// Milliseconds of a call.
+    /// Duration of a call, in milliseconds.
     #[arg(long, default_value_t = 10)]
     pub delay_ms: u64,
 }
 
 #[derive(Args)]
 pub struct ScorerArgs {
-    /// Where it listens.
+    /// The address to listen on.
     #[arg(long)]
     pub listen: SocketAddr,
-    /// Milliseconds of a call.
+    /// Duration of a call, in milliseconds.
     #[arg(long, default_value_t = 2)]
     pub delay_ms: u64,
 }
 
 #[derive(Args)]
 pub struct StoreArgs {
-    /// Where it listens.
+    /// The address to listen on.
     #[arg(long)]
     pub listen: SocketAddr,
-    /// Bytes of one version.
+    /// Size of one version, in bytes.
     #[arg(long, default_value_t = 1 << 20)]
     pub size: usize,
-    /// Bytes a second.
+    /// Rate for all readers together, in bytes per second.
     #[arg(long, default_value_t = 64 << 20)]
     pub rate: u64,
 }
 
-fn model(text: &str) -> Result<(String, u64)> {
+fn parse_model(text: &str) -> Result<(String, u64)> {
     let (name, version) = text.split_once('=').unwrap_or((text, "1"));
     Ok((name.to_owned(), version.parse()?))
 }
 
-/// Gives the engine's settings.
+/// Converts the arguments to the engine's settings.
 pub fn engine_settings(args: &EngineArgs) -> EngineSettings {
     let defaults = EngineSettings::default();
     let models = if args.models.is_empty() { defaults.models } else { args.models.clone() };
--- a/components/standin/examples/standin/main.rs
+++ b/components/standin/examples/standin/main.rs
@@ -29,7 +29,7 @@
 /// Stand-ins of the platform, for demonstrations and tests.
 #[derive(Parser)]
 struct Cli {
-    /// Where it appends its record, as JSON lines.
+    /// The file to which records are appended, as JSON lines.
     #[arg(long, global = true)]
     record: Option<PathBuf>,
     #[command(subcommand)]
@@ -46,9 +46,9 @@
     Scorer(ScorerArgs),
     /// A weight store.
     Store(StoreArgs),
-    /// A trainer; prints its report as JSON when it is done.
+    /// A trainer; prints its report as JSON at the end.
     Trainer(TrainerArgs),
-    /// A caller; prints its counts by outcome as JSON when it is done.
+    /// A caller; prints its counts by outcome as JSON at the end.
     Caller(CallerArgs),
 }
 
--- a/components/standin/src/caller.rs
+++ b/components/standin/src/caller.rs
@@ -1,5 +1,5 @@
-//! A caller: sends requests at a rate, each with a deadline, checks every answer, and counts
-//! what became of them.
+//! A stand-in of a caller. It sends requests at a rate, each with a deadline, checks every answer
+//! and counts the outcomes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -24,21 +24,21 @@
 use crate::record;
 use crate::record::Recorder;
 
-/// Tries of one request, the first included; each goes to the next entry.
-const TRIES: usize = 4;
-/// Pause before a resend where the refusal names none, in milliseconds.
-const PAUSE: u64 = 100;
-/// How long a caller waits for a late answer, as a multiple of the deadline.
-const PATIENCE: u32 = 3;
+/// Maximum number of attempts of a request, including the first. Each is sent to the next entry.
+const MAX_ATTEMPTS: usize = 4;
+/// Pause before a retry if the refusal specifies none.
+const DEFAULT_RETRY_PAUSE_MS: u64 = 100;
+/// Timeout of an attempt, as a multiple of the deadline, so that late answers are received.
+const TIMEOUT_DEADLINES: u32 = 3;
 
-/// How a caller behaves.
+/// The settings of a caller.
 #[derive(Clone, Debug)]
 pub struct CallerSettings {
     /// The addresses of entries.
     pub entries: Vec<String>,
     /// The caller's token.
     pub token: String,
-    /// Names the caller in its record and its keys.
+    /// The name of the caller in its records and idempotency keys.
     pub name: String,
     /// The workspace.
     pub workspace: String,
@@ -46,19 +46,19 @@
     pub model: String,
     /// Whether a plain service is called instead of a model.
     pub service: bool,
-    /// Whether calls may be repeated; if not, each carries an idempotency key.
+    /// Whether calls may be executed more than once. If not, each carries an idempotency key.
     pub repeatable: bool,
-    /// The class asked for; none for that of the template.
+    /// The requested class; `None` for that of the template.
     pub class: Option<String>,
-    /// Milliseconds until an answer is worthless.
+    /// The deadline of a request, in milliseconds.
     pub deadline_ms: u64,
-    /// Requests a second.
+    /// Mean rate, in requests per second.
     pub rate: f64,
-    /// For how long, in seconds.
+    /// Time for which requests are sent, in seconds.
     pub seconds: f64,
-    /// Tokens of an answer at most.
+    /// Maximum number of tokens of an answer.
     pub max_tokens: u32,
-    /// Determines prompts and gaps.
+    /// The seed of prompts and of the gaps between requests.
     pub seed: u64,
 }
 
@@ -82,51 +82,52 @@
     }
 }
 
-/// What became of one request.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fate {
-    /// The whole right answer came in time.
+    /// The complete, correct answer was received before the deadline.
     OnTime,
-    /// The whole right answer came late.
+    /// The complete, correct answer was received after the deadline.
     Late,
-    /// The last word was "not run".
+    /// The last response was a failure with the outcome `NotRun`.
     NotRun,
-    /// The last word was that it may have run, or no word came.
+    /// The request may have run: the last response was another failure, or no response was
+    /// received.
     Unknown,
-    /// An answer came that is not this request's, or not whole.
+    /// An answer was received that is incomplete or belongs to another request.
     Wrong,
 }
 
-/// One request, as the caller saw it.
+/// A line of the caller's records: one request.
 #[derive(Clone, Debug, Serialize)]
 pub struct Line {
-    /// Always `call`.
+    /// The event; always `call`.
     pub event: &'static str,
-    /// The caller.
+    /// The name of the caller.
     pub caller: String,
-    /// Counts its requests.
+    /// The number of the request, counted from zero.
     pub number: u64,
     /// The idempotency key, empty for none.
     pub key: String,
-    /// Unix milliseconds at the first try.
+    /// The time of the first attempt, in Unix milliseconds.
     pub at: u64,
-    /// Milliseconds to the last word.
+    /// Milliseconds from then to the last response or error.
     pub ms: u64,
-    /// Tries.
+    /// The number of attempts.
     pub tries: usize,
-    /// What became of it.
+    /// The outcome of the request.
     pub fate: Fate,
     /// The code of the last failure.
     pub code: String,
-    /// The answer's extension: request, spans, attempts.
+    /// The answer's extension (request, spans and attempts), or the execution number of a service.
     pub answer: Value,
 }
 
-/// Counts by fate.
+/// Counts of requests by outcome.
 pub type Counts = BTreeMap<Fate, u64>;
 
-/// Sends requests until the time is over, and waits for the last answers.
+/// Sends requests until the time is over, and waits until all of them have an outcome.
 pub async fn run(settings: CallerSettings, records: Recorder) -> Counts {
     let caller = Rc::new(Caller {
         entries: Entries::new(&settings.token, settings.entries.clone()),
@@ -136,17 +137,17 @@
     });
     let mut rng = SmallRng::seed_from_u64(caller.settings.seed);
     let end = Instant::now() + Duration::from_secs_f64(caller.settings.seconds);
-    let mut sent = Vec::new();
+    let mut requests = Vec::new();
     for number in 0.. {
-        // Gaps between independent callers are distributed exponentially.
+        // The gaps between requests of independent callers are exponentially distributed.
         let gap = -(1.0 - rng.random::<f64>()).ln() / caller.settings.rate;
         actix_rt::time::sleep(Duration::from_secs_f64(gap)).await;
         if Instant::now() >= end {
             break;
         }
-        sent.push(actix_rt::spawn(caller.clone().request(number)));
+        requests.push(actix_rt::spawn(caller.clone().request(number)));
     }
-    for request in sent {
+    for request in requests {
         let _ = request.await;
     }
     caller.counts.borrow().clone()
@@ -161,7 +162,7 @@
 
 impl Caller {
     async fn request(self: Rc<Self>, number: u64) {
-        let (at, begun) = (record::unix(), Instant::now());
+        let (at, started) = (record::unix(), Instant::now());
         let name = &self.settings.name;
         let key =
             if self.settings.repeatable { String::new() } else { format!("{at}.{name}-{number}") };
@@ -170,11 +171,11 @@
             let result = self.attempt(number, tries, &key).await;
             tries += 1;
             let Err(error) = &result else { break result };
-            let Some(pause) = self.pause(error, begun, tries) else { break result };
+            let Some(pause) = self.retry_pause(error, started, tries) else { break result };
             actix_rt::time::sleep(pause).await;
         };
-        let ms = begun.elapsed().as_millis() as u64;
-        let (fate, code, answer) = self.judge(number, ms, result);
+        let ms = started.elapsed().as_millis() as u64;
+        let (fate, code, answer) = self.evaluate(number, ms, result);
         *self.counts.borrow_mut().entry(fate).or_default() += 1;
         self.records.write(&Line {
             event: "call",
@@ -190,7 +191,7 @@
         });
     }
 
-    async fn attempt(&self, number: u64, turn: usize, key: &str) -> Result<Answer, CallError> {
+    async fn attempt(&self, number: u64, attempt: usize, key: &str) -> Result<Answer, CallError> {
         let settings = &self.settings;
         let mut headers = vec![
             ("chicoryford-workspace", settings.workspace.clone()),
@@ -203,13 +204,14 @@
         if !key.is_empty() {
             headers.push(("idempotency-key", key.to_owned()));
         }
-        let (path, body) = self.question(number);
-        let patience = Duration::from_millis(settings.deadline_ms) * PATIENCE;
-        let turn = turn + number as usize;
-        self.entries.post(turn, &path, &headers, &body, patience).await
+        let (path, body) = self.build_request(number);
+        let timeout = Duration::from_millis(settings.deadline_ms) * TIMEOUT_DEADLINES;
+        let entry_index = attempt + number as usize;
+        self.entries.post(entry_index, &path, &headers, &body, timeout).await
     }
 
-    fn question(&self, number: u64) -> (String, Value) {
+    /// Returns the path and body of a request.
+    fn build_request(&self, number: u64) -> (String, Value) {
         let settings = &self.settings;
         if settings.service {
             let path = format!("{}{}/print", paths::SERVICES, settings.model);
@@ -228,20 +230,22 @@
         format!("{} asks question {number} of run {}", self.settings.name, self.settings.seed)
     }
 
-    /// Gives the pause before a resend; none if the request is not sent again.
-    fn pause(&self, error: &CallError, begun: Instant, tries: usize) -> Option<Duration> {
+    /// Returns the pause before the next attempt, or `None` if the request is not sent again.
+    fn retry_pause(&self, error: &CallError, started: Instant, tries: usize) -> Option<Duration> {
         let failure = driver::failure(error);
-        let pause = failure.and_then(|failure| failure.retry_ms).unwrap_or(PAUSE);
-        let again = match failure {
+        let pause = failure.and_then(|failure| failure.retry_ms).unwrap_or(DEFAULT_RETRY_PAUSE_MS);
+        let may_retry = match failure {
             Some(failure) => failure.retry_ms.is_some() || failure.outcome == Outcome::Unknown,
             None => true,
         };
         let pause = Duration::from_millis(pause);
-        let left = Duration::from_millis(self.settings.deadline_ms).checked_sub(begun.elapsed())?;
-        (again && tries < TRIES && pause < left).then_some(pause)
+        let remaining =
+            Duration::from_millis(self.settings.deadline_ms).checked_sub(started.elapsed())?;
+        (may_retry && tries < MAX_ATTEMPTS && pause < remaining).then_some(pause)
     }
 
-    fn judge(
+    /// Returns the outcome, the code of a failure and the part of the answer that is recorded.
+    fn evaluate(
         &self,
         number: u64,
         ms: u64,
@@ -250,30 +254,31 @@
         match result {
             Ok(answer) => {
                 let value: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-                let fate = match self.is_right(number, &value) {
+                let outcome = match self.is_right(number, &value) {
                     false => Fate::Wrong,
                     true if ms <= self.settings.deadline_ms => Fate::OnTime,
                     true => Fate::Late,
                 };
-                let kept =
+                let recorded =
                     if self.settings.service { &value["number"] } else { &value["chicoryford"] };
-                (fate, String::new(), kept.clone())
+                (outcome, String::new(), recorded.clone())
             }
             Err(error) => match driver::failure(&error) {
                 Some(failure) => {
-                    let fate = match failure.outcome {
+                    let outcome = match failure.outcome {
                         Outcome::NotRun => Fate::NotRun,
                         Outcome::Ran | Outcome::Unknown => Fate::Unknown,
                     };
-                    (fate, format!("{:?}", failure.code), Value::Null)
+                    (outcome, format!("{:?}", failure.code), Value::Null)
                 }
                 None => (Fate::Unknown, error.to_string(), Value::Null),
             },
         }
     }
 
-    /// Checks that the answer is whole and this request's: stand-in engines generate the same
-    /// tokens for the same seed, and stand-in services repeat what they were sent.
+    /// Returns whether the answer is complete and belongs to this request. Stand-in engines
+    /// generate the same tokens for the same seed, and stand-in services return the body of the
+    /// call.
     fn is_right(&self, number: u64, value: &Value) -> bool {
         if self.settings.service {
             let body = value["body"].as_str().unwrap_or_default();
--- a/components/standin/src/driver.rs
+++ b/components/standin/src/driver.rs
@@ -36,8 +36,8 @@
         Self { client: Client::new(Some(token.to_owned()), None), addresses }
     }
 
-    /// Posts `payload` as JSON to one entry. `entry_index`, modulo the number of entries, selects it,
-    /// so that a retry can go to another entry.
+    /// Posts `payload` as JSON to one entry. `entry_index`, modulo the number of entries, selects
+    /// it, so that a retry can go to another entry.
     ///
     /// # Errors
     ///
--- a/components/standin/src/engine/cache.rs
+++ b/components/standin/src/engine/cache.rs
@@ -28,8 +28,8 @@
 }
 
 impl Cache {
-    /// Creates an empty cache of `capacity` blocks that does not report one in `lost_interval` events;
-    /// zero reports all.
+    /// Creates an empty cache of `capacity` blocks that does not report one in `lost_interval`
+    /// events; zero reports all.
     pub fn new(capacity: usize, lost_interval: u64) -> Self {
         Self { capacity, lost_interval, ..Self::default() }
     }
--- a/components/standin/src/engine/generate.rs
+++ b/components/standin/src/engine/generate.rs
@@ -26,8 +26,8 @@
     -((hash % 4_000) as f32) / 1_000.0
 }
 
-/// Returns the length of a completion in tokens. Lengths have the given median and a heavy tail, and
-/// are the same for the same prompt and seed.
+/// Returns the length of a completion in tokens. Lengths have the given median and a heavy tail,
+/// and are the same for the same prompt and seed.
 pub fn length(prompt: &str, seed: u64, median: u32) -> u32 {
     let hash = xxh3_64_with_seed(prompt.as_bytes(), seed);
     let uniform = ((hash >> 11) as f64 + 1.0) / (1_u64 << 53) as f64;
--- a/components/standin/src/engine/mod.rs
+++ b/components/standin/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in of a model engine with continuous batching, a prefix cache, weight swaps and faults that
-//! can be injected.
+//! A stand-in of a model engine with continuous batching, a prefix cache, weight swaps and faults
+//! that can be injected.
 
 mod batch;
 mod cache;
@@ -56,8 +56,8 @@
     pub gaps: u64,
     /// Time that a weight swap takes in addition to the fetch, in milliseconds.
     pub swap_ms: u64,
-    /// Maximum number of other engines that fetch weights from this one concurrently; zero if it does
-    /// not serve its weights.
+    /// Maximum number of other engines that fetch weights from this one concurrently; zero if it
+    /// does not serve its weights.
     pub feeds: usize,
     /// Rate at which it sends weights to all of them together, in bytes per second.
     pub link: u64,
@@ -65,7 +65,8 @@
     pub pause: bool,
     /// Whether orders with an old fencing number are refused. Some real engines ignore the number.
     pub fencing: bool,
-    /// Whether a crash exits the process. If not, the engine restarts within the process, for tests.
+    /// Whether a crash exits the process. If not, the engine restarts within the process, for
+    /// tests.
     pub exits: bool,
 }
 
--- a/components/standin/src/engine/protocol.rs
+++ b/components/standin/src/engine/protocol.rs
@@ -60,8 +60,8 @@
     pub model: String,
     /// The version to load.
     pub version: u64,
-    /// The source as `http://address` of a store or of an engine that has the version; empty to fetch
-    /// nothing.
+    /// The source as `http://address` of a store or of an engine that has the version; empty to
+    /// fetch nothing.
     pub source: String,
     /// The fencing number of the order.
     pub fence: u64,
--- a/components/standin/src/ports.rs
+++ b/components/standin/src/ports.rs
@@ -11,8 +11,8 @@
 
 use rand::Rng;
 
-/// The ports that are allocated. They are below the range that the operating system uses for outgoing
-/// connections, because such a connection could occupy a port before its process starts.
+/// The ports that are allocated. They are below the range that the operating system uses for
+/// outgoing connections, because such a connection could occupy a port before its process starts.
 const PORTS: Range<u16> = 10_000..32_000;
 
 /// The ports that this process has allocated.
--- a/components/standin/src/process.rs
+++ b/components/standin/src/process.rs
@@ -90,8 +90,8 @@
     /// Returns the operating system's error.
     pub fn freeze(&self) -> Result<()> {
         self.signal("-STOP")?;
-        // The signal is only pending when the command returns: on a busy machine threads continued to
-        // run for up to 14 ms, and a suspended process answered a call sent in that time.
+        // The signal is only pending when the command returns: on a busy machine threads continued
+        // to run for up to 14 ms, and a suspended process answered a call sent in that time.
         let started = Instant::now();
         while started.elapsed() < FREEZE_TIMEOUT && !self.is_stopped()? {
             std::thread::sleep(FREEZE_POLL_INTERVAL);
@@ -99,8 +99,8 @@
         Ok(())
     }
 
-    /// Returns whether all threads are stopped, according to the state that follows the bracketed name
-    /// in their `stat` files.
+    /// Returns whether all threads are stopped, according to the state that follows the bracketed
+    /// name in their `stat` files.
     fn is_stopped(&self) -> Result<bool> {
         for thread in std::fs::read_dir(format!("/proc/{}/task", self.child.id()))? {
             let text = std::fs::read_to_string(thread?.path().join("stat"))?;
--- a/components/standin/src/raw.rs
+++ b/components/standin/src/raw.rs
@@ -1,5 +1,5 @@
-//! HTTP written by hand on a connection of its own, blocking, so that a test decides what is sent
-//! when, may break off in the middle, and needs no runtime.
+//! A blocking HTTP/1.1 client that writes raw bytes to a new connection for each request. A test
+//! controls what is sent when, can abort in the middle, and needs no async runtime.
 
 use std::io::Read;
 use std::io::Result;
@@ -10,32 +10,32 @@
 
 use serde_json::Value;
 
-/// After this long without a byte the reader gives up; no test depends on it.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time without a byte after which a read fails. No test depends on it.
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// An answer, read to its end.
+/// A response that was read to its end.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Answer {
-    /// The HTTP status; zero if none came.
+    /// The HTTP status; zero if none was received.
     pub status: u16,
     /// The body, as text.
     pub body: String,
 }
 
 impl Answer {
-    /// Reads the object that the body holds; null if it holds none.
+    /// Parses the JSON object in the body. Returns null if there is none.
     pub fn json(&self) -> Value {
         let bounds = self.body.find('{').zip(self.body.rfind('}'));
         let object = bounds.and_then(|(begin, end)| self.body.get(begin..=end));
         object.and_then(|text| serde_json::from_str(text).ok()).unwrap_or_default()
     }
 
-    /// Gives the code of a failure.
+    /// Returns the code of a failure, or an empty string.
     pub fn code(&self) -> String {
         self.json()["error"]["code"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Gives the outcome that a failure names.
+    /// Returns the outcome of a failure, or an empty string.
     pub fn outcome(&self) -> String {
         self.json()["error"]["outcome"].as_str().unwrap_or_default().to_owned()
     }
@@ -48,7 +48,7 @@
     pub method: &'a str,
     /// The path.
     pub path: &'a str,
-    /// The token presented.
+    /// The bearer token.
     pub token: &'a str,
     /// Further headers.
     pub headers: &'a [(&'a str, &'a str)],
@@ -66,32 +66,33 @@
 ///
 /// # Errors
 ///
-/// What the operating system says.
+/// Returns the operating system's error.
 pub fn connect(address: SocketAddr) -> Result<TcpStream> {
     let stream = TcpStream::connect(address)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(READ_TIMEOUT))?;
     Ok(stream)
 }
 
-/// Sends a request and gives the connection on which its answer comes.
+/// Sends a request and returns the connection on which the response can be read.
 ///
 /// # Errors
 ///
-/// What the operating system says.
+/// Returns the operating system's error.
 pub fn send(address: SocketAddr, question: &Question) -> Result<TcpStream> {
     let mut stream = connect(address)?;
     stream.write_all(head(question).as_bytes())?;
-    // A server that has refused the request by its head may close before the body is read.
+    // A server that refuses the request because of its head may close the connection before it has
+    // read the body.
     let _ = stream.write_all(question.body);
     Ok(stream)
 }
 
-/// Sends a request and reads its answer; the status is zero if none came.
+/// Sends a request and reads the response. The status is zero if none was received.
 pub fn ask(address: SocketAddr, question: &Question) -> Answer {
     send(address, question).map(read).unwrap_or_default()
 }
 
-/// Sends a request and gives the body of its answer; it is empty if none came.
+/// Sends a request and returns the body of the response. It is empty if none was received.
 pub fn ask_bytes(address: SocketAddr, question: &Question) -> Vec<u8> {
     let mut bytes = Vec::new();
     if let Ok(mut stream) = send(address, question) {
@@ -101,7 +102,7 @@
     end.map(|end| bytes.split_off(end + 4)).unwrap_or_default()
 }
 
-/// Reads an answer until its connection ends.
+/// Reads a response until the server closes the connection.
 pub fn read(mut stream: TcpStream) -> Answer {
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes);
--- a/components/standin/src/record.rs
+++ b/components/standin/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of what a stand-in saw or did, as JSON lines in a file that is only appended to.
+//! Writes the records of a stand-in as JSON lines to an append-only file.
 
 use std::fs::File;
 use std::fs::OpenOptions;
@@ -11,7 +11,7 @@
 
 use serde::Serialize;
 
-/// Appends records to a file, or keeps them in memory for tests.
+/// Appends records to a file or, by default, keeps them in memory for tests.
 #[derive(Clone, Default)]
 pub struct Recorder {
     sink: Arc<Mutex<Sink>>,
@@ -24,19 +24,19 @@
 }
 
 impl Recorder {
-    /// Appends to `path`, which is made if it is not there.
+    /// Opens a recorder that appends to `path`, and creates the file if it does not exist.
     ///
     /// # Errors
     ///
-    /// What the operating system says.
+    /// Returns the operating system's error.
     pub fn open(path: &Path) -> std::io::Result<Self> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
         let sink = Sink { file: Some(file), kept: Vec::new() };
         Ok(Self { sink: Arc::new(Mutex::new(sink)) })
     }
 
-    /// Appends one record. Each is written whole by one call, so that a `kill -9` cuts at most
-    /// the last line.
+    /// Appends a record. Each record is written by a single call, so that a `kill -9` truncates at
+    /// most the last line.
     pub fn write<T: Serialize>(&self, record: &T) {
         let value = serde_json::to_value(record).expect("records are plain data");
         let mut sink = self.sink.lock().expect("nothing panics while it holds this lock");
@@ -50,19 +50,19 @@
         }
     }
 
-    /// Gives the records that were kept in memory.
+    /// Returns the records that are kept in memory.
     pub fn kept(&self) -> Vec<serde_json::Value> {
         self.sink.lock().expect("nothing panics while it holds this lock").kept.clone()
     }
 }
 
-/// Reads the wall clock, in milliseconds since 1970.
+/// Returns the wall clock time in Unix milliseconds.
 pub fn unix() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    since.map_or(0, |d| d.as_millis() as u64)
+    let elapsed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    elapsed.map_or(0, |d| d.as_millis() as u64)
 }
 
-/// Draws a number that differs from start to start.
+/// Returns a number that differs on each call and between processes and their starts.
 pub fn unique() -> u64 {
     static COUNT: AtomicU64 = AtomicU64::new(0);
     let count = COUNT.fetch_add(1, Ordering::Relaxed);
--- a/components/standin/src/scorer.rs
+++ b/components/standin/src/scorer.rs
@@ -1,4 +1,5 @@
-//! A scoring service: a number for a prompt and a text, the same each time.
+//! A stand-in of a scoring service. It returns the same score each time for the same prompt and
+//! text.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +16,7 @@
 
 use crate::http;
 
-/// What is to be scored.
+/// A request to score a text.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Question {
     /// The prompt.
@@ -27,13 +28,13 @@
 /// A score.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Score {
-    /// Between 0 and 1.
+    /// The score, between 0 and 1.
     pub score: f64,
 }
 
-/// Gives the score of a text.
-pub fn score(question: &Question) -> Score {
-    let hash = xxh3_64(question.prompt.as_bytes()) ^ xxh3_64(question.text.as_bytes());
+/// Computes the score of a text.
+pub fn score(request: &Question) -> Score {
+    let hash = xxh3_64(request.prompt.as_bytes()) ^ xxh3_64(request.text.as_bytes());
     Score { score: (hash % 1_000) as f64 / 1_000.0 }
 }
 
@@ -41,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// [`ServeError`] if the address cannot be bound.
+/// Returns [`ServeError`] if the address cannot be bound.
 pub fn start(address: SocketAddr, delay_ms: u64) -> Result<Running, ServeError> {
     http::open(address, move || {
         let mut routes = Routes::default();
@@ -54,7 +55,7 @@
 async fn answer(call: Call, delay_ms: u64) -> Reply {
     tokio::time::sleep(Duration::from_millis(delay_ms)).await;
     match call.json::<Question>() {
-        Ok(question) => reply::json(200, &score(&question)),
+        Ok(request) => reply::json(200, &score(&request)),
         Err(failure) => reply::failure(&failure),
     }
 }
--- a/components/standin/src/service.rs
+++ b/components/standin/src/service.rs
@@ -1,5 +1,5 @@
-//! A plain service, such as a label printer: it answers a call after a delay and records each
-//! execution with its idempotency key.
+//! A stand-in of a plain service, such as a label printer. It responds to a call after a delay and
+//! records each execution with its idempotency key.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,17 +21,17 @@
 
 /// The header that carries the idempotency key to a service.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// The header that names the request to a service.
+/// The header that carries the request identifier to a service.
 pub const REQUEST_HEADER: &str = "x-request-id";
-/// The content that makes the service drop the connection after it has executed the call.
+/// A body that contains this text makes the service drop the connection after executing the call.
 pub const DROP_MARK: &str = "<drop>";
 
-/// How a service behaves.
+/// The settings of a service.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
-    /// Names it in its answers.
+    /// The name of the service in its responses.
     pub name: String,
-    /// Time of a call, in milliseconds.
+    /// Duration of a call, in milliseconds.
     pub delay_ms: u64,
 }
 
@@ -41,22 +41,22 @@
     }
 }
 
-/// One execution, as recorded and as answered.
+/// An execution, as it is recorded and sent as the response.
 #[derive(Clone, Debug, Serialize)]
 pub struct Execution {
-    /// Always `run`.
+    /// The event; always `run`.
     pub event: &'static str,
-    /// Unix milliseconds.
+    /// The time, in Unix milliseconds.
     pub at: u64,
-    /// The service.
+    /// The name of the service.
     pub service: String,
     /// The path.
     pub path: String,
     /// The idempotency key, empty for none.
     pub key: String,
-    /// The request.
+    /// The request identifier.
     pub request: String,
-    /// Counts the executions.
+    /// The number of the execution, counted from zero.
     pub number: u64,
     /// The body, as text.
     pub body: String,
@@ -66,7 +66,7 @@
 ///
 /// # Errors
 ///
-/// [`ServeError`] if the address cannot be bound.
+/// Returns [`ServeError`] if the address cannot be bound.
 pub fn start(
     address: SocketAddr,
     settings: ServiceSettings,
@@ -105,8 +105,8 @@
     records.write(&execution);
     tokio::time::sleep(Duration::from_millis(settings.delay_ms)).await;
     if execution.body.contains(DROP_MARK) {
-        let broken = futures_util::stream::iter([Err(std::io::Error::other("dropped"))]);
-        return reply::stream(reply::JSON, broken);
+        let broken_body = futures_util::stream::iter([Err(std::io::Error::other("dropped"))]);
+        return reply::stream(reply::JSON, broken_body);
     }
     reply::json(200, &execution)
 }
--- a/components/standin/src/trainer.rs
+++ b/components/standin/src/trainer.rs
@@ -1,6 +1,6 @@
-//! A trainer: opens steps, some ahead of the one that it trains on, pulls finished groups,
-//! acknowledges them, publishes new weights, and measures how long it waited for data and how
-//! stale the data was.
+//! A stand-in of a trainer. It opens steps, some ahead of the one that it trains on, pulls finished
+//! groups, acknowledges them and publishes new weights. It measures how long it waited for data and
+//! how stale the data was.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,14 +20,14 @@
 use crate::record;
 use crate::record::Recorder;
 
-/// Time for one request to an entry.
-const TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a request that failed.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Tries to acknowledge a batch, before the trainer goes on and pulls it again.
-const ACK_TRIES: u32 = 50;
+/// Timeout of one request to an entry.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause after a failed request.
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Maximum number of attempts to acknowledge a batch, after which the trainer pulls it again.
+const MAX_ACK_ATTEMPTS: u32 = 50;
 
-/// How a trainer behaves.
+/// The settings of a trainer.
 #[derive(Clone, Debug)]
 pub struct TrainerSettings {
     /// The addresses of entries.
@@ -38,32 +38,32 @@
     pub workspace: String,
     /// The model.
     pub model: String,
-    /// Groups of a step.
+    /// Groups per step.
     pub groups: u32,
-    /// Samples of a group.
+    /// Samples per group.
     pub samples: u32,
-    /// Groups that are pulled at once.
+    /// Maximum number of groups per pull.
     pub pull: u32,
-    /// Tokens of a sample at most.
+    /// Maximum number of tokens of a sample.
     pub max_tokens: u32,
-    /// A tighter bound on staleness than the template's, in versions.
+    /// A bound on staleness that is tighter than the template's, in versions.
     pub freshness: Option<u64>,
-    /// Milliseconds that the training of a pulled group takes.
+    /// Training time of a pulled group, in milliseconds.
     pub train_ms: u64,
-    /// Steps that are opened ahead of the oldest one that is not whole. With none the trainer
-    /// works strictly in sequence, and waits for at least as long as a step's generation takes.
+    /// Number of steps that are opened ahead of the oldest incomplete one. With zero, the trainer
+    /// runs one step after another, and waits at least as long as the generation of a step takes.
     pub ahead: usize,
-    /// Milliseconds for which a pull waits at the entry for a group.
+    /// Time for which the entry holds a pull until a group is available, in milliseconds.
     pub wait_ms: u64,
-    /// Milliseconds between two publications.
+    /// Interval between publications, in milliseconds.
     pub publish_ms: u64,
-    /// Where the store has the weights.
+    /// The address of the weight store.
     pub source: String,
-    /// The newest version at the start.
+    /// The newest weight version at the start.
     pub version: u64,
-    /// For how long steps are opened, in seconds.
+    /// Time for which new steps are opened, in seconds.
     pub seconds: f64,
-    /// Determines prompts and samples.
+    /// The seed of prompts and samples.
     pub seed: u64,
 }
 
@@ -91,10 +91,10 @@
     }
 }
 
-/// What a trainer saw.
+/// The counts and durations that a trainer measured.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// Steps that were delivered whole.
+    /// Steps of which all samples were delivered.
     pub steps: u64,
     /// Samples delivered.
     pub samples: u64,
@@ -102,20 +102,20 @@
     pub tokens: u64,
     /// Samples delivered more than once; must be zero.
     pub doubled: u64,
-    /// Samples of whole steps that never came; must be zero.
+    /// Samples of open steps that were not delivered by the end; must be zero.
     pub lost: u64,
     /// Samples whose text, count or spans are wrong; must be zero.
     pub wrong: u64,
-    /// Samples older than the bound; must be zero.
+    /// Samples that are more stale than the bound; must be zero.
     pub stale: u64,
-    /// Pulls sent again that did not give the same bytes; must be zero.
+    /// Repeated pulls that did not return the same bytes; must be zero.
     pub changed: u64,
     /// Milliseconds spent waiting for data.
     pub idle_ms: u64,
-    /// Milliseconds spent training. What is left of the total besides the waits for data went to
-    /// opening, acknowledging and publishing.
+    /// Milliseconds spent training. The rest of the total, apart from the waits for data, was spent
+    /// on opening, acknowledging and publishing.
     pub trained_ms: u64,
-    /// Milliseconds in all.
+    /// Total duration in milliseconds.
     pub total_ms: u64,
     /// The sum of the samples' lags, in versions.
     pub lag: u64,
@@ -133,24 +133,24 @@
     retry_ms: u64,
 }
 
-/// Trains until the time is over and the last step is whole.
+/// Trains until the time is over and all open steps are complete.
 pub async fn run(settings: TrainerSettings, records: Recorder) -> Report {
     let mut trainer = Trainer {
         entries: Entries::new(&settings.token, settings.entries.clone()),
         report: Report { version: settings.version, ..Report::default() },
-        published: Instant::now(),
+        last_published: Instant::now(),
         cursor: 1,
-        turn: 0,
+        next_entry: 0,
         seen: BTreeSet::new(),
-        open: BTreeMap::new(),
-        opened: 0,
+        open_steps: BTreeMap::new(),
+        last_opened: 0,
         settings,
         records,
     };
-    let begun = Instant::now();
-    let end = begun + Duration::from_secs_f64(trainer.settings.seconds);
+    let started = Instant::now();
+    let end = started + Duration::from_secs_f64(trainer.settings.seconds);
     trainer.train(end).await;
-    trainer.report.total_ms = begun.elapsed().as_millis() as u64;
+    trainer.report.total_ms = started.elapsed().as_millis() as u64;
     trainer.records.write(&json!({ "event": "report", "report": trainer.report }));
     trainer.report
 }
@@ -160,68 +160,71 @@
     entries: Entries,
     records: Recorder,
     report: Report,
-    published: Instant,
+    last_published: Instant,
     cursor: u64,
-    turn: usize,
+    /// Selects the entry of the next request.
+    next_entry: usize,
+    /// Step, group and number of the samples received.
     seen: BTreeSet<(u64, u32, u32)>,
-    /// Samples that are still to come, by open step.
-    open: BTreeMap<u64, u64>,
-    opened: u64,
+    /// Number of samples still expected, by open step.
+    open_steps: BTreeMap<u64, u64>,
+    last_opened: u64,
 }
 
 impl Trainer {
-    /// Keeps steps open until `end`, and trains on their groups as they come. After `end` steps
-    /// that stand still are waited for as long again as one request may take, and then counted
-    /// as lost.
+    /// Keeps steps open until `end` and trains on their groups as they are delivered. If a pull
+    /// returns no samples later than one request timeout after `end`, the samples of the open steps
+    /// are counted as lost.
     async fn train(&mut self, end: Instant) {
         loop {
             self.open_ahead(end).await;
-            if self.open.is_empty() {
+            if self.open_steps.is_empty() {
                 return;
             }
             self.publish_if_due().await;
-            let waiting = Instant::now();
+            let wait_started = Instant::now();
             let batch = self.pull().await;
-            self.report.idle_ms += waiting.elapsed().as_millis() as u64;
+            self.report.idle_ms += wait_started.elapsed().as_millis() as u64;
             if let Some(batch) = batch {
-                self.learn(&batch).await;
-            } else if Instant::now() > end + TIMEOUT {
-                self.report.lost += self.open.values().sum::<u64>();
+                self.train_on(&batch).await;
+            } else if Instant::now() > end + REQUEST_TIMEOUT {
+                self.report.lost += self.open_steps.values().sum::<u64>();
                 return;
             }
         }
     }
 
     async fn open_ahead(&mut self, end: Instant) {
-        while self.open.len() <= self.settings.ahead && Instant::now() < end {
-            let step = self.opened + 1;
-            if !self.open(step, end).await {
+        while self.open_steps.len() <= self.settings.ahead && Instant::now() < end {
+            let step = self.last_opened + 1;
+            if !self.open_step(step, end).await {
                 return;
             }
-            self.opened = step;
-            let wanted = u64::from(self.settings.groups * self.settings.samples);
-            self.open.insert(step, wanted);
+            self.last_opened = step;
+            let expected = u64::from(self.settings.groups * self.settings.samples);
+            self.open_steps.insert(step, expected);
         }
     }
 
     /// Trains on a batch and acknowledges it.
-    async fn learn(&mut self, batch: &Batch) {
-        self.take(batch);
+    async fn train_on(&mut self, batch: &Batch) {
+        self.check_samples(batch);
         let groups = batch.samples.len() as u64 / u64::from(self.settings.samples.max(1));
-        let begun = Instant::now();
+        let started = Instant::now();
         actix_rt::time::sleep(Duration::from_millis(self.settings.train_ms * groups)).await;
-        self.report.trained_ms += begun.elapsed().as_millis() as u64;
+        self.report.trained_ms += started.elapsed().as_millis() as u64;
         self.acknowledge(batch.cursor).await;
         for sample in &batch.samples {
-            let Some(left) = self.open.get_mut(&sample.step.0) else { continue };
+            let Some(left) = self.open_steps.get_mut(&sample.step.0) else { continue };
             *left = left.saturating_sub(1);
         }
-        let before = self.open.len();
-        self.open.retain(|_, left| *left > 0);
-        self.report.steps += (before - self.open.len()) as u64;
+        let before = self.open_steps.len();
+        self.open_steps.retain(|_, left| *left > 0);
+        self.report.steps += (before - self.open_steps.len()) as u64;
     }
 
-    async fn open(&mut self, step: u64, end: Instant) -> bool {
+    /// Opens a step, with retries until `end`. Returns whether it was opened.
+    async fn open_step(&mut self, step: u64, end: Instant) -> bool {
         let settings = &self.settings;
         let prompts =
             (0..settings.groups).map(|group| json!({ "prompt": self.prompt(step, group) }));
@@ -241,7 +244,7 @@
         while Instant::now() < end {
             match self.post(paths::STEP_OPEN, &spec).await {
                 Ok(_) => return true,
-                Err(error) => self.failed("open", &error).await,
+                Err(error) => self.record_failure("open", &error).await,
             }
         }
         false
@@ -251,19 +254,19 @@
         format!("step {step} group {group} of run {}", self.settings.seed)
     }
 
-    /// Pulls the next batch, and now and then pulls it a second time to see that it is the same.
+    /// Pulls the next batch. Pulls every fourth one twice and counts a difference.
     async fn pull(&mut self) -> Option<Batch> {
-        let question = json!({
+        let payload = json!({
             "workspace": self.settings.workspace,
             "cursor": self.cursor,
             "groups": self.settings.pull,
             "newest": self.report.version,
             "wait_ms": self.settings.wait_ms,
         });
-        let answer = match self.post(paths::STEP_PULL, &question).await {
+        let answer = match self.post(paths::STEP_PULL, &payload).await {
             Ok(answer) => answer,
             Err(error) => {
-                self.failed("pull", &error).await;
+                self.record_failure("pull", &error).await;
                 return None;
             }
         };
@@ -273,7 +276,7 @@
             return None;
         }
         if self.cursor.is_multiple_of(4)
-            && let Ok(again) = self.post(paths::STEP_PULL, &question).await
+            && let Ok(again) = self.post(paths::STEP_PULL, &payload).await
         {
             self.report.changed += u64::from(again.body != answer.body);
         }
@@ -281,44 +284,45 @@
     }
 
     async fn acknowledge(&mut self, cursor: u64) {
-        let question = json!({ "workspace": self.settings.workspace, "cursor": cursor });
-        for _ in 0..ACK_TRIES {
-            match self.post(paths::STEP_ACK, &question).await {
+        let payload = json!({ "workspace": self.settings.workspace, "cursor": cursor });
+        for _ in 0..MAX_ACK_ATTEMPTS {
+            match self.post(paths::STEP_ACK, &payload).await {
                 Ok(_) => {
                     self.cursor = cursor + 1;
                     return;
                 }
-                Err(error) => self.failed("ack", &error).await,
+                Err(error) => self.record_failure("ack", &error).await,
             }
         }
     }
 
     async fn publish_if_due(&mut self) {
-        if self.published.elapsed() < Duration::from_millis(self.settings.publish_ms) {
+        if self.last_published.elapsed() < Duration::from_millis(self.settings.publish_ms) {
             return;
         }
-        self.published = Instant::now();
+        self.last_published = Instant::now();
         let version = self.report.version + 1;
-        let question = json!({
+        let payload = json!({
             "change": format!("{}.{}-{version}", record::unix(), self.settings.workspace),
             "workspace": self.settings.workspace,
             "model": self.settings.model,
             "version": version,
             "source": self.settings.source,
         });
-        match self.post(paths::PUBLISH, &question).await {
+        match self.post(paths::PUBLISH, &payload).await {
             Ok(_) => self.report.version = version,
-            Err(error) => self.failed("publish", &error).await,
+            Err(error) => self.record_failure("publish", &error).await,
         }
     }
 
-    fn take(&mut self, batch: &Batch) {
+    /// Checks and records the samples of a batch.
+    fn check_samples(&mut self, batch: &Batch) {
         for sample in &batch.samples {
-            let place = (sample.step.0, sample.group.0, sample.number.0);
+            let sample_id = (sample.step.0, sample.group.0, sample.number.0);
             let report = &mut self.report;
             report.samples += 1;
             report.tokens += u64::from(sample.tokens);
-            report.doubled += u64::from(!self.seen.insert(place));
+            report.doubled += u64::from(!self.seen.insert(sample_id));
             report.wrong += u64::from(!is_right(sample));
             let oldest = sample.oldest().map_or(0, |version| version.0);
             let lag = report.version.saturating_sub(oldest);
@@ -344,26 +348,28 @@
         }
     }
 
-    async fn post(&mut self, path: &str, question: &Value) -> Result<Answer, CallError> {
-        self.turn += 1;
+    async fn post(&mut self, path: &str, payload: &Value) -> Result<Answer, CallError> {
+        self.next_entry += 1;
         let workspace = self.settings.workspace.clone();
         let headers = [("chicoryford-workspace", workspace)];
-        self.entries.post(self.turn, path, &headers, question, TIMEOUT).await
+        self.entries.post(self.next_entry, path, &headers, payload, REQUEST_TIMEOUT).await
     }
 
-    async fn failed(&self, what: &str, error: &CallError) {
+    /// Records a failed request and pauses.
+    async fn record_failure(&self, action: &str, error: &CallError) {
         let error = error.to_string();
         self.records.write(
-            &json!({ "event": "failed", "at": record::unix(), "what": what, "error": error }),
+            &json!({ "event": "failed", "at": record::unix(), "what": action, "error": error }),
         );
-        actix_rt::time::sleep(PAUSE).await;
+        actix_rt::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-/// Checks that a sample is whole and attributed. Its seed is the system's choice, so that the
-/// text itself can only be compared with the engines' records.
+/// Returns whether a sample is complete and each token has a weight version. The system chooses the
+/// sample's seed, so that the text itself can only be compared with the engines' records.
 fn is_right(sample: &Sample) -> bool {
-    let words = sample.text.split_whitespace().count();
-    let scored = sample.logprobs.is_empty() || sample.logprobs.len() == sample.tokens as usize;
-    words == sample.tokens as usize && sample.is_attributed() && scored
+    let word_count = sample.text.split_whitespace().count();
+    let logprobs_match =
+        sample.logprobs.is_empty() || sample.logprobs.len() == sample.tokens as usize;
+    word_count == sample.tokens as usize && sample.is_attributed() && logprobs_match
 }
--- a/components/standin/tests/engine.rs
+++ b/components/standin/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in engine's own promises: the same tokens each time, bounds, faults.
+//! Tests of the stand-in engine: deterministic tokens, lengths and prefix hashes, and a crash.
 
 use chicoryford_standin::Recorder;
 use chicoryford_standin::engine::Engine;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn prefixes_of_equal_beginnings_have_equal_hashes() {
+fn common_prefixes_have_equal_hashes() {
     let common = "x".repeat(512);
     let (one, two) =
         (format!("{common}{}", "a".repeat(256)), format!("{common}{}", "b".repeat(256)));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_crash_makes_another_instance_with_the_first_weights() {
+fn a_crash_starts_a_new_instance_with_the_initial_weights() {
     let engine = Engine::new(EngineSettings::default(), Recorder::default());
     let before = engine.health();
     engine.state().models.insert("model".to_owned(), 5);
@@ -49,6 +49,6 @@
 
 #[test]
 fn scores_are_the_same_each_time() {
-    let question = Question { prompt: "p".to_owned(), text: "t".to_owned() };
-    assert_eq!(score(&question), score(&question));
+    let request = Question { prompt: "p".to_owned(), text: "t".to_owned() };
+    assert_eq!(score(&request), score(&request));
 }
--- a/components/standin/tests/store.rs
+++ b/components/standin/tests/store.rs
@@ -1,4 +1,5 @@
-//! The weight store gives whole versions, and engines give them on.
+//! Tests that the weight store sends complete versions and that engines serve them to other
+//! engines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +14,7 @@
 use chicoryford_wire::server::Running;
 
 #[test]
-fn a_version_comes_whole_through_the_rate_limit() {
+fn a_version_is_complete_despite_the_rate_limit() {
     actix_rt::System::new().block_on(async {
         let settings = StoreSettings { size: 300_000, rate: 8 << 20 };
         let running = store::start("127.0.0.1:0".parse().unwrap(), settings).unwrap();
@@ -25,8 +26,8 @@
     });
 }
 
-/// Starts an engine of version 1 that gives its weights to one other at a time.
-fn engine() -> (Running, Arc<Engine>) {
+/// Starts an engine with version 1 that serves its weights to one other engine at a time.
+fn start_engine() -> (Running, Arc<Engine>) {
     let settings = EngineSettings { feeds: 1, swap_ms: 0, ..EngineSettings::default() };
     engine::start("127.0.0.1:0".parse().unwrap(), settings, Recorder::default()).unwrap()
 }
@@ -44,21 +45,21 @@
 }
 
 #[test]
-fn an_engine_gives_on_what_it_fetched_and_nothing_else() {
+fn an_engine_serves_only_the_version_that_it_fetched() {
     actix_rt::System::new().block_on(async {
         let settings = StoreSettings { size: 300_000, ..StoreSettings::default() };
         let store = store::start("127.0.0.1:0".parse().unwrap(), settings).unwrap();
-        let (first, held) = engine();
-        let (second, renewed) = engine();
-        let gives = held.health().gives.unwrap();
-        assert_eq!(load(&second, 2, &gives).await, 502);
+        let (first, first_engine) = start_engine();
+        let (second, second_engine) = start_engine();
+        let source = first_engine.health().gives.unwrap();
+        assert_eq!(load(&second, 2, &source).await, 502);
         assert_eq!(load(&first, 2, &format!("http://{}", store.address)).await, 200);
-        assert_eq!(load(&second, 3, &gives).await, 502);
-        let place = held.feeds.clone().try_acquire_owned().unwrap();
-        assert_eq!(load(&second, 2, &gives).await, 502);
-        drop(place);
-        assert_eq!(load(&second, 2, &gives).await, 200);
-        assert_eq!(renewed.state().sizes["model"], 300_000);
+        assert_eq!(load(&second, 3, &source).await, 502);
+        let permit = first_engine.feeds.clone().try_acquire_owned().unwrap();
+        assert_eq!(load(&second, 2, &source).await, 502);
+        drop(permit);
+        assert_eq!(load(&second, 2, &source).await, 200);
+        assert_eq!(second_engine.state().sizes["model"], 300_000);
         for running in [store, first, second] {
             running.handle.stop(false).await;
         }
