--- a/components/node/src/hosts.rs
+++ b/components/node/src/hosts.rs
@@ -106,14 +106,14 @@
     pub fn take_expired(&self) -> Vec<String> {
         let mut known = self.known.borrow_mut();
         let now = clock::now();
-        let gone = |host: &Host| {
+        let is_gone = |host: &Host| {
             host.link.is_none()
                 && host.reporting_link.is_none()
                 && now.since(host.lost_at) >= RECONNECT_GRACE_MS
         };
         let names: Vec<String> =
-            known.iter().filter(|(_, host)| gone(host)).map(|(name, _)| name.clone()).collect();
-        known.retain(|_, host| !gone(host));
+            known.iter().filter(|(_, host)| is_gone(host)).map(|(name, _)| name.clone()).collect();
+        known.retain(|_, host| !is_gone(host));
         names
     }
 
--- a/components/node/src/leader/mod.rs
+++ b/components/node/src/leader/mod.rs
@@ -147,8 +147,8 @@
         let near = context.settings.policy.near_hosts;
         let hosts = Hosts::new(context.followers.clone(), context.runner.clone(), near);
         let copies = Copies::new(context.followers.clone(), &context.settings, now);
-        let lives = ReportTracker::new(now, context.replica.state().usage.processes().cloned());
-        let usage = usage::Usage::new(context.settings.windows(), lives);
+        let tracker = ReportTracker::new(now, context.replica.state().usage.processes().cloned());
+        let usage = usage::Usage::new(context.settings.windows(), tracker);
         let leader = Rc::new(Self {
             epoch,
             copies,
@@ -281,7 +281,7 @@
             return Answer::NotNow;
         }
         match call {
-            Call::Announce(said) => self.announce(said).await,
+            Call::Announce(announcement) => self.announce(announcement).await,
             Call::Leave(id) => self.leave(&id).await,
             Call::Configure(config) => self.commit(Command::Configure(config)).await,
             Call::ReadConfig => self.read_config().await,
--- a/components/node/src/leader/runs.rs
+++ b/components/node/src/leader/runs.rs
@@ -24,7 +24,7 @@
             endpoint,
             address,
             version,
-            output: made,
+            output,
             other_runs: beside,
             ..
         } = assignment;
@@ -40,7 +40,7 @@
             run,
             endpoint,
             version,
-            after = made.events.len(),
+            after = output.events.len(),
             beside,
             host,
             failures = cost.failures,
@@ -60,7 +60,7 @@
             min_version: step.min_version,
             single_version: step.single_version,
             remaining_ms: left_ms,
-            output: made,
+            output,
             cost,
         };
         self.plan.borrow_mut().set_host(&step.id, index, &host);
@@ -84,7 +84,7 @@
         let (next, events) = {
             let mut plan = self.plan.borrow_mut();
             let next = plan.record_run_end(step, index, end, clock::now());
-            (next, plan.output(step, index).map_or(0, |made| made.events.len()))
+            (next, plan.output(step, index).map_or(0, |output| output.events.len()))
         };
         metrics::RUNS.with_label_values(&[outcome_label(end)]).inc();
         tracing::info!(event = "run_ended", step, index, ?end, ?next, events);
@@ -168,10 +168,10 @@
                 self.settle(step, index, SampleResult::GivenUp);
             }
             RunStatus::Finished(score) => {
-                let made = self.plan.borrow().output(step, index).cloned().unwrap_or_default();
+                let output = self.plan.borrow().output(step, index).cloned().unwrap_or_default();
                 let verdict = SampleResult::Completed {
-                    text: made.events.join("\n"),
-                    versions: made.versions,
+                    text: output.events.join("\n"),
+                    versions: output.versions,
                     score: score.clone(),
                 };
                 self.settle(step, index, verdict);
--- a/components/node/src/leader/usage.rs
+++ b/components/node/src/leader/usage.rs
@@ -45,7 +45,7 @@
 /// Usage state of the leader that is not in the log.
 pub(super) struct Usage {
     windows: Windows,
-    lives: RefCell<ReportTracker>,
+    tracker: RefCell<ReportTracker>,
     /// Reports of entries that are not in the log yet.
     pending: RefCell<Vec<UsageReport>>,
     /// The newest window that the platform has accepted; it has also accepted all earlier ones.
@@ -53,10 +53,10 @@
 }
 
 impl Usage {
-    pub(super) fn new(windows: Windows, lives: ReportTracker) -> Self {
+    pub(super) fn new(windows: Windows, tracker: ReportTracker) -> Self {
         Self {
             windows,
-            lives: RefCell::new(lives),
+            tracker: RefCell::new(tracker),
             pending: RefCell::default(),
             accepted: Cell::default(),
         }
@@ -82,8 +82,8 @@
             self.usage.pending.borrow_mut().splice(0..0, reports);
             return;
         }
-        let mut lives = self.usage.lives.borrow_mut();
-        reports.iter().for_each(|report| lives.record(report));
+        let mut tracker = self.usage.tracker.borrow_mut();
+        reports.iter().for_each(|report| tracker.record(report));
     }
 
     /// Closes the next window if it is due.
@@ -99,7 +99,7 @@
             return;
         };
         let Some(ended_ms) = self.usage.windows.since_end(window, wall) else { return };
-        if !self.usage.lives.borrow_mut().may_close(window, ended_ms, clock::now()) {
+        if !self.usage.tracker.borrow_mut().may_close(window, ended_ms, clock::now()) {
             return;
         }
         let closed = self.propose(Command::CloseWindow { window, accepted }).await;
--- a/components/node/src/runner/execute.rs
+++ b/components/node/src/runner/execute.rs
@@ -46,14 +46,14 @@
     tokio::task::yield_now().await;
     let end = match try_run(&runner, &job, &state).await {
         Ok(None) => {
-            runner.set_standing(&job, &state, RunStatus::Scoring);
-            let standing = score(&runner, &job, &state).await;
-            runner.set_standing(&job, &state, standing);
+            runner.set_status(&job, &state, RunStatus::Scoring);
+            let status = score(&runner, &job, &state).await;
+            runner.set_status(&job, &state, status);
             return;
         }
         Ok(Some(end)) => end,
         Err(error) => {
-            let (sample, events) = (&job.sample.id, state.made.borrow().events.len());
+            let (sample, events) = (&job.sample.id, state.output.borrow().events.len());
             tracing::info!(event = "run_broken", sample, endpoint = job.endpoint, events, %error);
             let connection_broke = matches!(error, Broken::Lost(_) | Broken::Short);
             let made_no_progress = events <= job.output.events.len();
@@ -64,7 +64,7 @@
             }
         }
     };
-    runner.set_standing(&job, &state, RunStatus::Ended(end));
+    runner.set_status(&job, &state, RunStatus::Ended(end));
 }
 
 /// Runs a sample at its engine. Returns `None` if the sample is complete, otherwise how the run
@@ -139,8 +139,8 @@
         for fields in reader.feed(&piece) {
             let event = sample::event(fields);
             version = event.version.unwrap_or(version);
-            if !append_event(job, &mut state.made.borrow_mut(), event, version) {
-                *state.made.borrow_mut() = SampleOutput::default();
+            if !append_event(job, &mut state.output.borrow_mut(), event, version) {
+                *state.output.borrow_mut() = SampleOutput::default();
                 return Err(Broken::Unfit("an event out of order or of the wrong version"));
             }
             state.last_event.set(clock::now());
@@ -163,22 +163,23 @@
 
 /// Appends an event to the progress of the run. Returns false if the event is out of order or of a
 /// version that the job does not allow.
-fn append_event(job: &Job, made: &mut SampleOutput, event: Event, version: u64) -> bool {
+fn append_event(job: &Job, output: &mut SampleOutput, event: Event, version: u64) -> bool {
     let parse_id = |id: &Option<String>| id.as_ref().and_then(|id| id.parse::<u64>().ok());
-    if let (Some(last), Some(id)) = (parse_id(&made.last_id), parse_id(&event.id))
+    if let (Some(last), Some(id)) = (parse_id(&output.last_id), parse_id(&event.id))
         && id <= last
     {
         return false;
     }
-    let mixes_versions = job.single_version && made.versions.first().is_some_and(|v| *v != version);
+    let mixes_versions =
+        job.single_version && output.versions.first().is_some_and(|v| *v != version);
     if version < job.min_version || mixes_versions {
         return false;
     }
-    made.last_id = event.id.or(made.last_id.take());
-    made.events.push(event.data);
-    if !made.versions.contains(&version) {
-        made.versions.push(version);
-        made.versions.sort_unstable();
+    output.last_id = event.id.or(output.last_id.take());
+    output.events.push(event.data);
+    if !output.versions.contains(&version) {
+        output.versions.push(version);
+        output.versions.sort_unstable();
     }
     true
 }
@@ -217,7 +218,7 @@
                 outcome = &mut call => break Some(outcome),
                 // Reported at once: if this host is lost, the next host may prefer endpoints that
                 // have joined since, and would try them in addition.
-                () = budget.endpoint_added() => runner.set_standing(job, state, RunStatus::Scoring),
+                () = budget.endpoint_added() => runner.set_status(job, state, RunStatus::Scoring),
                 () = runner.confirmation_expired() => break None,
             }
         };
--- a/components/node/src/runner/mod.rs
+++ b/components/node/src/runner/mod.rs
@@ -56,8 +56,8 @@
 
 /// State shared by the task of a run and its reports.
 struct RunState {
-    made: RefCell<SampleOutput>,
-    standing: RefCell<RunStatus>,
+    output: RefCell<SampleOutput>,
+    status: RefCell<RunStatus>,
     /// Number of events that were reported to the leader.
     reported_events: Cell<usize>,
     /// When the last event arrived.
@@ -277,8 +277,8 @@
         let now = clock::now();
         let state = Rc::new(RunState {
             reported_events: Cell::new(job.output.events.len()),
-            made: RefCell::new(job.output.clone()),
-            standing: RefCell::new(RunStatus::Running),
+            output: RefCell::new(job.output.clone()),
+            status: RefCell::new(RunStatus::Running),
             last_event: Cell::new(now),
             last_reported_event: Cell::new(now),
             report_dropped: Cell::default(),
@@ -302,9 +302,9 @@
             tokio::time::sleep(REPORT_INTERVAL).await;
             let all = if self.sink.borrow().is_some() { self.all_runs() } else { Vec::new() };
             for hosted in all {
-                let running = *hosted.state.standing.borrow() == RunStatus::Running;
+                let running = *hosted.state.status.borrow() == RunStatus::Running;
                 let has_new_events =
-                    hosted.state.made.borrow().events.len() > hosted.state.reported_events.get();
+                    hosted.state.output.borrow().events.len() > hosted.state.reported_events.get();
                 if running && has_new_events
                     || hosted.state.report_dropped.get()
                     || hosted.state.has_unreported_cost()
@@ -323,7 +323,7 @@
     fn remove_old_runs(&self) {
         let now = clock::now();
         self.runs.borrow_mut().retain(|_, hosted| {
-            let ended = *hosted.state.standing.borrow() != RunStatus::Running;
+            let ended = *hosted.state.status.borrow() != RunStatus::Running;
             let old = ended && now.since(hosted.state.last_event.get()) >= FINISHED_RUN_TTL_MS;
             if old {
                 hosted.handle.abort();
@@ -336,10 +336,10 @@
     /// after a change of leader.
     fn report(&self, hosted: &HostedRun) {
         let state = &hosted.state;
-        let made = state.made.borrow();
-        let standing = state.standing.borrow().clone();
-        let from = state.reported_events.get().min(made.events.len());
-        let events = made.events.len() - from;
+        let output = state.output.borrow();
+        let status = state.status.borrow().clone();
+        let from = state.reported_events.get().min(output.events.len());
+        let events = output.events.len() - from;
         let ms = state.last_event.get().since(state.last_reported_event.get());
         let gap_ms = if from > 0 && events > 0 { ms / events as u64 } else { 0 };
         let report = RunReport {
@@ -347,12 +347,12 @@
             step: hosted.job.step.clone(),
             index: hosted.job.index,
             endpoint: hosted.job.endpoint.clone(),
-            status: standing,
+            status,
             from: from as u32,
             output: SampleOutput {
-                events: made.events[from..].to_vec(),
-                last_id: made.last_id.clone(),
-                versions: made.versions.clone(),
+                events: output.events[from..].to_vec(),
+                last_id: output.last_id.clone(),
+                versions: output.versions.clone(),
             },
             gap_ms: gap_ms as u32,
             cost: Cost { scorer: state.budget.spent(), ..hosted.job.cost.clone() },
@@ -363,7 +363,7 @@
         let sent = match sink {
             Some(Sink::Link(sender)) => sender.try_send(MemberMessage::Report(report)).is_ok(),
             Some(Sink::Local(handler)) => {
-                drop(made);
+                drop(output);
                 handler(&report);
                 true
             }
@@ -379,8 +379,8 @@
         }
     }
 
-    fn set_standing(&self, job: &Job, state: &Rc<RunState>, standing: RunStatus) {
-        *state.standing.borrow_mut() = standing;
+    fn set_status(&self, job: &Job, state: &Rc<RunState>, status: RunStatus) {
+        *state.status.borrow_mut() = status;
         let found = self.runs.borrow().get(&(job.step.clone(), job.index)).cloned();
         if let Some(hosted) = found.filter(|hosted| Rc::ptr_eq(&hosted.state, state)) {
             self.report(&hosted);
