--- a/components/standin/src/engine/batch.rs
+++ b/components/standin/src/engine/batch.rs
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Exits the process or, if the settings say so, aborts all completions and restarts the engine
-    /// within the process.
+    /// Simulates a crash: exits the process if [`EngineSettings::exits`] is set, otherwise aborts all
+    /// completions and restarts the engine within the process.
     pub fn crash(&self) {
         let instance = self.instance();
         self.records.write(&Line { event: "crash", ..Line::new(&instance) });
--- a/components/standin/tests/store.rs
+++ b/components/standin/tests/store.rs
@@ -33,15 +33,15 @@
 }
 
 async fn load(to: &Running, version: u64, source: &str) -> u16 {
-    let wanted = Weights {
+    let order = Weights {
         model: "model".to_owned(),
         version,
         source: source.to_owned(),
         ..Weights::default()
     };
     let client = awc::Client::builder().timeout(Duration::from_secs(20)).finish();
-    let sent = client.post(format!("http://{}/weights", to.address)).send_json(&wanted).await;
-    sent.unwrap().status().as_u16()
+    let response = client.post(format!("http://{}/weights", to.address)).send_json(&order).await;
+    response.unwrap().status().as_u16()
 }
 
 #[test]
