--- a/components/control/examples/commits.rs
+++ b/components/control/examples/commits.rs
@@ -10,7 +10,7 @@
 use chicoryford_control::Handle;
 use chicoryford_control::SERVICE;
 use chicoryford_control::Tuning;
-use chicoryford_control::replica::Interval;
+use chicoryford_control::replica::SnapshotThresholds;
 use chicoryford_kernel::unix;
 use chicoryford_settings::ControlSettings;
 use chicoryford_state::AgentAssignment;
@@ -68,7 +68,7 @@
 }
 
 fn commits(count: usize, group: usize, waiting: usize) {
-    let tuning = Tuning { group, ..Tuning::default() };
+    let tuning = Tuning { max_batch: group, ..Tuning::default() };
     let cluster = Cluster::start_as(count, tuning, ControlSettings::default());
     let leader = block_on(cluster.leader());
     let kernel = &cluster.processes[leader].as_ref().expect("the leader runs").kernel;
@@ -116,8 +116,8 @@
 
 fn recovery(missed: u64, tail: u64) {
     let entries = if tail == 0 { 5 } else { 20_000 };
-    let interval = Interval { entries, ..Interval::default() };
-    let tuning = Tuning { tail, interval, ..Tuning::default() };
+    let snapshot_thresholds = SnapshotThresholds { entries, ..SnapshotThresholds::default() };
+    let tuning = Tuning { retained_entries: tail, snapshot_thresholds, ..Tuning::default() };
     let mut cluster = Cluster::start_as(3, tuning, ControlSettings::default());
     block_on(async {
         let leader = cluster.leader().await;
--- a/components/control/src/apply.rs
+++ b/components/control/src/apply.rs
@@ -10,7 +10,7 @@
 use chicoryford_types::Position;
 
 use crate::body::Body;
-use crate::error::ContentError;
+use crate::error::DecodeError;
 
 /// The state and how far it has come.
 pub struct Applied {
@@ -33,11 +33,11 @@
     ///
     /// # Errors
     ///
-    /// [`ContentError`] if another release wrote it.
-    pub fn reset(&mut self, snapshot: &Snapshot) -> Result<(), ContentError> {
+    /// [`DecodeError`] if another release wrote it.
+    pub fn reset(&mut self, snapshot: &Snapshot) -> Result<(), DecodeError> {
         let mark = snapshot.meta.last;
         let state = rmp_serde::from_slice(&snapshot.data);
-        self.state = state.map_err(|source| ContentError { index: mark.index, source })?;
+        self.state = state.map_err(|source| DecodeError { index: mark.index, source })?;
         self.mark = mark;
         self.bytes = 0;
         if let Some(feed) = &self.feed {
@@ -50,9 +50,9 @@
     ///
     /// # Errors
     ///
-    /// [`ContentError`] if another release wrote a command that this one does not know. To go on
+    /// [`DecodeError`] if another release wrote a command that this one does not know. To go on
     /// without it would make this replica's state differ from the others'.
-    pub fn apply(&mut self, entry: Entry) -> Result<Option<Reply>, ContentError> {
+    pub fn apply(&mut self, entry: Entry) -> Result<Option<Reply>, DecodeError> {
         let index = entry.id.index;
         let follows = index == self.mark.index + 1;
         if !follows {
@@ -61,7 +61,7 @@
         let reply = match entry.payload {
             Payload::Data(data) => {
                 self.bytes += data.len();
-                let body = Body::decode(&data).map_err(|source| ContentError { index, source })?;
+                let body = Body::decode(&data).map_err(|source| DecodeError { index, source })?;
                 Some(self.command(entry.id, body))
             }
             Payload::Empty | Payload::Members(_) => None,
--- a/components/control/src/neighbours.rs
+++ b/components/control/src/control_peers.rs
@@ -14,19 +14,19 @@
 
 /// Looks for changes among the control processes that gossip knows.
 #[derive(Clone)]
-pub struct Neighbours {
+pub struct ControlPeers {
     members: Arc<Handle>,
     own: Node,
     known: BTreeMap<Node, String>,
 }
 
-impl Neighbours {
+impl ControlPeers {
     /// Watches all control processes but `own`.
     pub fn new(members: Arc<Handle>, own: Node) -> Self {
         Self { members, own, known: BTreeMap::new() }
     }
 
-    /// Gives the addresses of all neighbours if they have changed since the last look.
+    /// Gives the addresses of all control_peers if they have changed since the last look.
     pub fn changed(&mut self) -> Option<&BTreeMap<Node, String>> {
         let found = control_nodes(&self.members.view(), &self.own);
         if found == self.known {
--- a/components/control/src/convert.rs
+++ b/components/control/src/convert.rs
@@ -10,10 +10,10 @@
 use chicoryford_storage::Recovered;
 use chicoryford_storage::Vote;
 
-use crate::error::ContentError;
+use crate::error::DecodeError;
 
 /// Gives the hard state as it is stored.
-pub fn hard(from: agreement::HardState) -> storage::HardState {
+pub fn hard_state(from: agreement::HardState) -> storage::HardState {
     let vote = from.vote.map(|id| Vote { node: id.node, identity: id.incarnation });
     storage::HardState { epoch: from.epoch, vote }
 }
@@ -35,8 +35,8 @@
 ///
 /// # Errors
 ///
-/// [`ContentError`] if another release wrote something that this one does not know.
-pub fn saved(from: Recovered) -> Result<agreement::Saved, ContentError> {
+/// [`DecodeError`] if another release wrote something that this one does not know.
+pub fn saved_state(from: Recovered) -> Result<agreement::Saved, DecodeError> {
     let vote = from.hard.vote.map(|vote| ReplicaId::new(vote.node, vote.identity));
     let hard = agreement::HardState { epoch: from.hard.epoch, vote };
     let snapshot = from.snapshot.map(read_snapshot).transpose()?;
@@ -44,17 +44,17 @@
     Ok(agreement::Saved { hard, snapshot, entries })
 }
 
-fn read_snapshot(from: storage::Snapshot) -> Result<agreement::Snapshot, ContentError> {
-    rmp_serde::from_slice(&from.body).map_err(|source| ContentError { index: from.index, source })
+fn read_snapshot(from: storage::Snapshot) -> Result<agreement::Snapshot, DecodeError> {
+    rmp_serde::from_slice(&from.body).map_err(|source| DecodeError { index: from.index, source })
 }
 
-fn read_entry(from: storage::Entry) -> Result<agreement::Entry, ContentError> {
+fn read_entry(from: storage::Entry) -> Result<agreement::Entry, DecodeError> {
     let payload: Payload = rmp_serde::from_slice(&from.body)
-        .map_err(|source| ContentError { index: from.index, source })?;
+        .map_err(|source| DecodeError { index: from.index, source })?;
     Ok(agreement::Entry { id: EntryId { epoch: from.epoch, index: from.index }, payload })
 }
 
 /// Joins the meta data and content of a snapshot.
-pub fn join(meta: SnapshotMeta, data: Vec<u8>) -> agreement::Snapshot {
+pub fn build_snapshot(meta: SnapshotMeta, data: Vec<u8>) -> agreement::Snapshot {
     agreement::Snapshot { meta, data: Bytes::from(data) }
 }
--- a/components/control/src/disk.rs
+++ b/components/control/src/disk.rs
@@ -24,7 +24,7 @@
     /// What the replica wants kept.
     Write(Write),
     /// A snapshot that this process took itself.
-    Keep(Snapshot),
+    SaveSnapshot(Snapshot),
 }
 
 /// What this duty and that of the snapshots tell the replica.
@@ -38,9 +38,9 @@
         bytes: u64,
     },
     /// A state is encoded and waits to be kept.
-    Encoded(Snapshot),
+    SnapshotEncoded(Snapshot),
     /// The snapshot is on the disk.
-    Kept(Snapshot),
+    SnapshotSaved(Snapshot),
     /// A write or sync failed; nothing is written any more.
     Failed(StorageError),
 }
@@ -48,12 +48,17 @@
 /// Takes jobs until their ring closes; once one has failed, it drops the others.
 ///
 /// All jobs that wait are written before one sync serves them together (group commit), at most
-/// `group` of them, so that a measurement can compare with a sync for each.
-pub fn run(mut storage: Storage, mut jobs: Receiver<Job>, reports: &Sender<Report>, group: usize) {
+/// `max_batch` of them, so that a measurement can compare with a sync for each.
+pub fn run(
+    mut storage: Storage,
+    mut jobs: Receiver<Job>,
+    reports: &Sender<Report>,
+    max_batch: usize,
+) {
     let mut failed = false;
     while let Some(first) = jobs.next_blocking() {
         let mut batch = vec![first];
-        while batch.len() < group {
+        while batch.len() < max_batch {
             let Some(job) = jobs.take() else { break };
             batch.push(job);
         }
@@ -86,10 +91,10 @@
                 last = Some(write.number);
                 when_there_is_room(&ending, || write_one(storage, &write))?;
             }
-            Job::Keep(snapshot) => {
+            Job::SaveSnapshot(snapshot) => {
                 let kept = convert::snapshot(&snapshot);
                 when_there_is_room(&ending, || storage.save_snapshot(&kept))?;
-                done.push(Report::Kept(snapshot));
+                done.push(Report::SnapshotSaved(snapshot));
             }
         }
     }
@@ -128,7 +133,7 @@
 
 fn write_one(storage: &mut Storage, write: &Write) -> Result<(), StorageError> {
     if let Some(hard) = &write.hard {
-        storage.save_hard(&convert::hard(hard.clone()))?;
+        storage.save_hard_state(&convert::hard_state(hard.clone()))?;
     }
     if let Some(snapshot) = &write.snapshot {
         storage.save_snapshot(&convert::snapshot(snapshot))?;
--- a/components/control/src/error.rs
+++ b/components/control/src/error.rs
@@ -18,7 +18,7 @@
     Storage(#[from] StorageError),
     /// What the data folder holds cannot be read by this release.
     #[error(transparent)]
-    Content(#[from] ContentError),
+    Content(#[from] DecodeError),
     /// A folder could not be made from that of a lost deployment.
     #[error("cannot make the data folder for a restore")]
     Restore(#[source] std::io::Error),
@@ -36,7 +36,7 @@
 /// Something that was stored or sent cannot be read by this release.
 #[derive(Debug, Error)]
 #[error("entry {index} or the snapshot up to it cannot be read by this release")]
-pub struct ContentError {
+pub struct DecodeError {
     /// The entry.
     pub index: u64,
     /// What the decoder said.
--- a/components/control/src/handle.rs
+++ b/components/control/src/handle.rs
@@ -27,13 +27,13 @@
 
 /// How long an answer of the replica may take, in milliseconds. Beyond it, the leader has surely
 /// lost its majority and will say so by itself.
-pub const PATIENCE_MS: u64 = 5_000;
+pub const REPLY_TIMEOUT_MS: u64 = 5_000;
 /// When to come back if there is no leader, in milliseconds: about one election.
-pub const RETRY_MS: u64 = 500;
+pub const RETRY_AFTER_MS: u64 = 500;
 
 /// Why this replica did not do it.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-pub enum Refused {
+pub enum RequestError {
     /// Another replica leads, at this address if it is known.
     #[error("this replica does not lead")]
     NotLeader(Option<String>),
@@ -44,7 +44,7 @@
 
 /// A change of the replicas, as the leader is asked for it.
 #[derive(Clone, Debug)]
-pub enum Reform {
+pub enum MembershipRequest {
     /// Adds a replica, which is let to vote once it has caught up.
     Add {
         /// The replica.
@@ -63,19 +63,19 @@
 }
 
 /// An answer on its way.
-pub type Answer<T> = oneshot::Sender<Result<T, Refused>>;
+pub type Answer<T> = oneshot::Sender<Result<T, RequestError>>;
 
 /// What the replica's duty is asked for.
 #[derive(Debug)]
 pub enum Request {
     /// Commit and apply a command.
     Propose(Box<Command>, Answer<Reply>),
-    /// Take messages of other replicas.
+    /// SnapshotJob messages of other replicas.
     Deliver(Envelope),
-    /// Renew an entry's session.
+    /// SessionRenewal an entry's session.
     Renew(SessionRenewal, Answer<SessionRenewalReply>),
     /// Change the replicas.
-    Reform(Reform, Answer<()>),
+    ChangeMembers(MembershipRequest, Answer<()>),
     /// Give the configuration as of a linearizable read.
     Read(Answer<Config>),
     /// Tell how it stands.
@@ -109,8 +109,8 @@
     ///
     /// # Errors
     ///
-    /// [`Refused`]; the command may have been committed only if its outcome is unknown.
-    pub async fn propose(&self, command: Command) -> Result<Reply, Refused> {
+    /// [`RequestError`]; the command may have been committed only if its outcome is unknown.
+    pub async fn propose(&self, command: Command) -> Result<Reply, RequestError> {
         self.ask(|answer| Request::Propose(Box::new(command), answer)).await
     }
 
@@ -118,8 +118,8 @@
     ///
     /// # Errors
     ///
-    /// [`Refused`].
-    pub async fn renew(&self, renew: SessionRenewal) -> Result<SessionRenewalReply, Refused> {
+    /// [`RequestError`].
+    pub async fn renew(&self, renew: SessionRenewal) -> Result<SessionRenewalReply, RequestError> {
         self.ask(|answer| Request::Renew(renew, answer)).await
     }
 
@@ -127,17 +127,17 @@
     ///
     /// # Errors
     ///
-    /// [`Refused`].
-    pub async fn reform(&self, reform: Reform) -> Result<(), Refused> {
-        self.ask(|answer| Request::Reform(reform, answer)).await
+    /// [`RequestError`].
+    pub async fn change_members(&self, reform: MembershipRequest) -> Result<(), RequestError> {
+        self.ask(|answer| Request::ChangeMembers(reform, answer)).await
     }
 
     /// Reads accepted configuration so that every change accepted before the call is in it.
     ///
     /// # Errors
     ///
-    /// [`Refused`], also where this replica led until now and no majority confirms it.
-    pub async fn read(&self) -> Result<Config, Refused> {
+    /// [`RequestError`], also where this replica led until now and no majority confirms it.
+    pub async fn read(&self) -> Result<Config, RequestError> {
         self.ask(Request::Read).await
     }
 
@@ -166,7 +166,7 @@
         }
     }
 
-    async fn ask<T>(&self, request: impl FnOnce(Answer<T>) -> Request) -> Result<T, Refused> {
+    async fn ask<T>(&self, request: impl FnOnce(Answer<T>) -> Request) -> Result<T, RequestError> {
         let (sender, receiver) = oneshot::channel();
         self.requests.offer(request(sender)).map_err(|_| overloaded())?;
         match wait(receiver).await {
@@ -177,15 +177,16 @@
 }
 
 async fn wait<T>(receiver: oneshot::Receiver<T>) -> Option<T> {
-    let patience = Duration::from_millis(PATIENCE_MS);
+    let patience = Duration::from_millis(REPLY_TIMEOUT_MS);
     actix_rt::time::timeout(patience, receiver).await.ok()?.ok()
 }
 
 fn overloaded() -> Failure {
     let detail = "the replica has too much to do";
-    Failure::not_run(Code::Overloaded, detail).retry_after(RETRY_MS)
+    Failure::not_run(Code::Overloaded, detail).retry_after(RETRY_AFTER_MS)
 }
 
 fn silent(failure: fn(Code, &'static str) -> Failure) -> Failure {
-    failure(Code::NoQuorum, "no majority of the control processes answered").retry_after(RETRY_MS)
+    failure(Code::NoQuorum, "no majority of the control processes answered")
+        .retry_after(RETRY_AFTER_MS)
 }
--- a/components/control/src/lib.rs
+++ b/components/control/src/lib.rs
@@ -4,11 +4,11 @@
 
 pub mod apply;
 pub mod body;
+pub mod control_peers;
 pub mod convert;
 pub mod disk;
 pub mod error;
 pub mod handle;
-pub mod neighbours;
 pub mod orders;
 pub mod peers;
 pub mod pending;
@@ -30,5 +30,5 @@
 pub use start::start;
 pub use start::start_with;
 pub use status::Action;
-pub use status::Done;
+pub use status::ActionResult;
 pub use status::Status;
--- a/components/control/src/orders/duty.rs
+++ b/components/control/src/orders/dispatch.rs
@@ -26,8 +26,8 @@
 use tokio::sync::Notify;
 use tokio::sync::watch;
 
-use super::offers::Samplers;
-use super::offers::samplers;
+use super::samplers::Samplers;
+use super::samplers::samplers;
 
 /// The name under which the progress of weights is offered.
 pub const SERVICE: &str = "orders";
@@ -39,7 +39,7 @@
 
 /// What the orders depend on, as the replica's duty sees it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Lead {
+pub struct Leadership {
     /// The epoch in which this process leads; none if it does not, or if its lease has run out.
     pub epoch: Option<Epoch>,
     /// The newest accepted version of each model.
@@ -47,7 +47,7 @@
 }
 
 /// What the duty holds.
-pub struct Driver {
+pub struct Dispatcher {
     /// The ways to the rest of the process.
     pub kernel: Kernel,
     /// Calls agents.
@@ -55,7 +55,7 @@
     /// Who is there.
     pub members: Arc<Membership>,
     /// Whether this process leads, and what is accepted.
-    pub lead: watch::Receiver<Lead>,
+    pub lead: watch::Receiver<Leadership>,
     /// Where the progress goes.
     pub shown: watch::Sender<Vec<Progress>>,
     /// The bounds within which weights are spread.
@@ -69,16 +69,16 @@
     filled: Notify,
 }
 
-/// What the planner was told last.
+/// What the planner was inputs last.
 #[derive(Default)]
-struct Told {
+struct PlannerInputs {
     epoch: Option<Epoch>,
     weights: BTreeMap<Model, Published>,
     view: Arc<Members>,
     samplers: Samplers,
 }
 
-impl Driver {
+impl Dispatcher {
     /// Gives orders while this process leads, until it stops.
     pub async fn run(self) {
         let phases = self.kernel.phases.clone();
@@ -91,16 +91,16 @@
     async fn drive(mut self) {
         let mut planner = Planner::new(self.settings.clone());
         let inbox = Rc::new(Inbox::default());
-        let mut told = Told::default();
+        let mut inputs = PlannerInputs::default();
         loop {
             let lead = self.lead.borrow_and_update().clone();
             // Answers wait while this process does not lead: taking one could bring about another
             // order, and another process may lead by now.
             if let Some(epoch) = lead.epoch {
-                let mut events = self.changes(&mut told, epoch, &lead);
+                let mut events = self.changes(&mut inputs, epoch, &lead);
                 events.append(&mut inbox.events.borrow_mut());
                 for order in self.plan(&mut planner, events) {
-                    self.give(&told, &inbox, order);
+                    self.give(&inputs, &inbox, order);
                 }
                 self.shown.send_replace(planner.progress());
             }
@@ -112,25 +112,25 @@
         }
     }
 
-    /// Lists what the planner must be told of the epoch, the members and the weights.
-    fn changes(&self, told: &mut Told, epoch: Epoch, lead: &Lead) -> Vec<Event> {
+    /// Lists what the planner must be inputs of the epoch, the members and the weights.
+    fn changes(&self, inputs: &mut PlannerInputs, epoch: Epoch, lead: &Leadership) -> Vec<Event> {
         let mut events = Vec::new();
-        let led = told.epoch == Some(epoch);
+        let led = inputs.epoch == Some(epoch);
         if !led {
-            told.epoch = Some(epoch);
+            inputs.epoch = Some(epoch);
             events.push(Event::NewEpoch(epoch));
         }
         let view = self.members.view();
-        if !led || !Arc::ptr_eq(&view, &told.view) {
+        if !led || !Arc::ptr_eq(&view, &inputs.view) {
             let found = samplers(&view);
-            told.view = view;
-            if !led || found != told.samplers {
-                told.samplers = found;
-                events.push(Event::Members(told.samplers.offers()));
+            inputs.view = view;
+            if !led || found != inputs.samplers {
+                inputs.samplers = found;
+                events.push(Event::Members(inputs.samplers.offers()));
             }
         }
-        if !led || lead.weights != told.weights {
-            told.weights.clone_from(&lead.weights);
+        if !led || lead.weights != inputs.weights {
+            inputs.weights.clone_from(&lead.weights);
             events.extend(lead.weights.iter().map(|(model, published)| Event::Published {
                 model: model.clone(),
                 version: published.version,
@@ -163,9 +163,14 @@
         orders
     }
 
-    fn give(&self, told: &Told, inbox: &Rc<Inbox>, (endpoint, order): (Endpoint, Order)) {
+    fn give(
+        &self,
+        inputs: &PlannerInputs,
+        inbox: &Rc<Inbox>,
+        (endpoint, order): (Endpoint, Order),
+    ) {
         // An endpoint that is gone cannot be asked; the planner ends its order in time.
-        let address = told.samplers.address(&endpoint).map(str::to_owned);
+        let address = inputs.samplers.address(&endpoint).map(str::to_owned);
         let (client, inbox) = (self.client.clone(), inbox.clone());
         actix_rt::spawn(async move {
             let reply = match address {
--- a/components/control/src/orders/mod.rs
+++ b/components/control/src/orders/mod.rs
@@ -1,9 +1,9 @@
 //! The leader's driver of weights: every accepted version reaches every sampler (docs/WEIGHTS.md).
 
-pub mod duty;
-pub mod offers;
+pub mod dispatch;
+pub mod samplers;
 
-pub use duty::Lead;
-pub use duty::SERVICE;
-pub use offers::Samplers;
-pub use offers::samplers;
+pub use dispatch::Leadership;
+pub use dispatch::SERVICE;
+pub use samplers::Samplers;
+pub use samplers::samplers;
--- a/components/control/src/peers.rs
+++ b/components/control/src/peers.rs
@@ -38,15 +38,15 @@
 }
 
 /// What the lanes share.
-pub struct Post {
+pub struct MessageSender {
     caller: Caller,
     own: String,
     timeout: Duration,
     reach: Arc<dyn Fn(&str) -> bool + Send + Sync>,
-    lanes: RefCell<BTreeMap<String, Lane>>,
+    lanes: RefCell<BTreeMap<String, PeerQueue>>,
 }
 
-impl Post {
+impl MessageSender {
     /// Sends as `own`, with `timeout` for each call, what `reach` lets through.
     pub fn new(
         caller: Caller,
@@ -58,14 +58,14 @@
     }
 }
 
-struct Lane {
+struct PeerQueue {
     queue: VecDeque<Message>,
     calls: usize,
     client: Client,
 }
 
 /// Sends messages until their ring closes.
-pub async fn run(post: Post, mut outgoing: Receiver<Outgoing>) {
+pub async fn run(post: MessageSender, mut outgoing: Receiver<Outgoing>) {
     let post = Rc::new(post);
     while let Some(first) = outgoing.next().await {
         let mut touched = BTreeSet::new();
@@ -81,13 +81,13 @@
     }
 }
 
-fn enqueue(post: &Post, address: &str, message: Message) {
+fn enqueue(post: &MessageSender, address: &str, message: Message) {
     if !(post.reach)(address) {
         return;
     }
     let mut lanes = post.lanes.borrow_mut();
     if !lanes.contains_key(address) {
-        let lane = Lane { queue: VecDeque::new(), calls: 0, client: post.caller.client() };
+        let lane = PeerQueue { queue: VecDeque::new(), calls: 0, client: post.caller.client() };
         lanes.insert(address.to_owned(), lane);
     }
     let Some(lane) = lanes.get_mut(address) else { return };
@@ -97,7 +97,7 @@
     lane.queue.push_back(message);
 }
 
-fn start_call(post: &Rc<Post>, address: &str) {
+fn start_call(post: &Rc<MessageSender>, address: &str) {
     let Some((messages, client)) = take_batch(post, address) else { return };
     let (post, address) = (post.clone(), address.to_owned());
     actix_rt::spawn(async move {
@@ -112,7 +112,7 @@
     });
 }
 
-fn take_batch(post: &Post, address: &str) -> Option<(Vec<Message>, Client)> {
+fn take_batch(post: &MessageSender, address: &str) -> Option<(Vec<Message>, Client)> {
     let mut lanes = post.lanes.borrow_mut();
     let lane = lanes.get_mut(address)?;
     if lane.calls >= CALLS || lane.queue.is_empty() {
@@ -136,7 +136,7 @@
     }
 }
 
-fn end_call(post: &Post, address: &str, failed: bool) {
+fn end_call(post: &MessageSender, address: &str, failed: bool) {
     let mut lanes = post.lanes.borrow_mut();
     let Some(lane) = lanes.get_mut(address) else { return };
     lane.calls -= 1;
--- a/components/control/src/pending.rs
+++ b/components/control/src/pending.rs
@@ -7,14 +7,14 @@
 use chicoryford_types::Config;
 
 use crate::handle::Answer;
-use crate::handle::Refused;
+use crate::handle::RequestError;
 
 /// Whoever waits for an entry.
 pub enum Waiter {
     /// A proposed command.
     Reply(Answer<Reply>),
     /// A change of the replicas.
-    Reform(Answer<()>),
+    ChangeMembers(Answer<()>),
     /// A linearizable read.
     Read(Answer<Config>),
     /// Nobody: the leader itself proposed it.
@@ -44,7 +44,7 @@
             Some(Waiter::Reply(answer)) => {
                 let _ = answer.send(Ok(reply.unwrap_or(Reply::Done)));
             }
-            Some(Waiter::Reform(answer)) => {
+            Some(Waiter::ChangeMembers(answer)) => {
                 let _ = answer.send(Ok(()));
             }
             Some(Waiter::Read(_) | Waiter::Nobody) | None => {}
@@ -59,12 +59,12 @@
     }
 
     /// Tells a waiter that its entry or read was refused.
-    pub fn refuse(&mut self, token: Token, why: Refused) {
+    pub fn refuse(&mut self, token: Token, why: RequestError) {
         match self.waiters.remove(&token) {
             Some(Waiter::Reply(answer)) => {
                 let _ = answer.send(Err(why));
             }
-            Some(Waiter::Reform(answer)) => {
+            Some(Waiter::ChangeMembers(answer)) => {
                 let _ = answer.send(Err(why));
             }
             Some(Waiter::Read(answer)) => {
--- a/components/control/src/replica.rs
+++ b/components/control/src/replica.rs
@@ -22,29 +22,29 @@
 use tokio::sync::watch;
 
 use crate::apply::Applied;
+use crate::control_peers::ControlPeers;
 use crate::disk::Job;
 use crate::disk::Report;
-use crate::error::ContentError;
+use crate::error::DecodeError;
 use crate::handle::Request;
-use crate::neighbours::Neighbours;
-use crate::orders::Lead;
+use crate::orders::Leadership;
 use crate::peers::Outgoing;
 use crate::pending::Pending;
 use crate::pending::Waiter;
 use crate::sessions::Sessions;
-use crate::snapshots::Take;
+use crate::snapshots::SnapshotJob;
 use crate::status::StorageStatus;
 
 /// The replica is told about the time this often.
 const TICK: Duration = Duration::from_millis(20);
 /// Requests taken at once.
-pub const ROUND: usize = 256;
+pub const MAX_BATCH: usize = 256;
 /// Milliseconds for which the process's end may wait for another leader.
-pub const LINGER_MS: u64 = 1_000;
+pub const HAND_OVER_TIMEOUT_MS: u64 = 1_000;
 /// Milliseconds between two looks for lapsed sessions.
 const SESSIONS_MS: u64 = 200;
 /// Milliseconds between two looks at the control processes that gossip knows.
-const NEIGHBOURS_MS: u64 = 500;
+const PEER_CHECK_INTERVAL_MS: u64 = 500;
 
 /// The rings that end or begin at the replica's duty.
 pub struct Rings {
@@ -57,21 +57,21 @@
     /// What other replicas are to be told.
     pub outgoing: Sender<Outgoing>,
     /// States to be encoded as snapshots.
-    pub takes: Sender<Take>,
+    pub takes: Sender<SnapshotJob>,
     /// What the orders' duty depends on.
-    pub lead: watch::Sender<Lead>,
+    pub lead: watch::Sender<Leadership>,
 }
 
 /// When a snapshot is taken.
 #[derive(Clone, Debug)]
-pub struct Interval {
+pub struct SnapshotThresholds {
     /// After this many entries.
     pub entries: u64,
     /// Or after commands of this many bytes.
     pub bytes: usize,
 }
 
-impl Default for Interval {
+impl Default for SnapshotThresholds {
     fn default() -> Self {
         Self { entries: 20_000, bytes: 64 << 20 }
     }
@@ -83,19 +83,19 @@
     pub(crate) replica: Replica,
     pub(crate) applied: Applied,
     pub(crate) rings: Rings,
-    pub(crate) interval: Interval,
+    pub(crate) snapshot_thresholds: SnapshotThresholds,
     /// Requests taken at once; the proposals among them become one event and one write.
-    pub(crate) round: usize,
+    pub(crate) max_batch: usize,
     /// How long the process's end may wait for another leader, in milliseconds.
-    pub(crate) linger_ms: u64,
+    pub(crate) hand_over_timeout_ms: u64,
     /// Jobs for which the disk's ring had no room.
     pub(crate) backlog: VecDeque<Job>,
     pub(crate) pending: Pending,
     pub(crate) sessions: Sessions,
     pub(crate) sessions_at: u64,
     /// The control processes that gossip knows; none in a process without gossip.
-    pub(crate) neighbours: Option<Neighbours>,
-    pub(crate) neighbours_at: u64,
+    pub(crate) control_peers: Option<ControlPeers>,
+    pub(crate) peers_checked_at: u64,
     /// Addresses of replicas that the log does not name yet.
     pub(crate) learned: BTreeMap<Node, String>,
     pub(crate) storage: StorageStatus,
@@ -121,15 +121,15 @@
             replica,
             applied,
             rings,
-            interval: Interval::default(),
-            round: ROUND,
-            linger_ms: LINGER_MS,
+            snapshot_thresholds: SnapshotThresholds::default(),
+            max_batch: MAX_BATCH,
+            hand_over_timeout_ms: HAND_OVER_TIMEOUT_MS,
             backlog: VecDeque::new(),
             pending: Pending::default(),
             sessions: Sessions::default(),
             sessions_at: 0,
-            neighbours: None,
-            neighbours_at: 0,
+            control_peers: None,
+            peers_checked_at: 0,
             learned: founders,
             storage,
             taking: None,
@@ -146,7 +146,7 @@
         loop {
             if phases.now() >= Phase::Stopping {
                 let since = *stopping.get_or_insert(self.kernel.now());
-                let over = self.kernel.now().since(since) >= self.linger_ms;
+                let over = self.kernel.now().since(since) >= self.hand_over_timeout_ms;
                 if over || !self.is_wanted() {
                     return;
                 }
@@ -196,11 +196,12 @@
     /// Tells the replica of the control processes that gossip knows, when they change.
     fn look_around(&mut self) {
         let now = self.kernel.now().0;
-        if now < self.neighbours_at + NEIGHBOURS_MS {
+        if now < self.peers_checked_at + PEER_CHECK_INTERVAL_MS {
             return;
         }
-        self.neighbours_at = now;
-        let Some(known) = self.neighbours.as_mut().and_then(Neighbours::changed).cloned() else {
+        self.peers_checked_at = now;
+        let Some(known) = self.control_peers.as_mut().and_then(ControlPeers::changed).cloned()
+        else {
             return;
         };
         let nodes = known.keys().cloned().collect();
@@ -222,8 +223,10 @@
                 self.storage.bytes = bytes;
                 self.tell(Event::Synced { write });
             }
-            Report::Encoded(snapshot) => self.backlog.push_back(Job::Keep(snapshot)),
-            Report::Kept(snapshot) => {
+            Report::SnapshotEncoded(snapshot) => {
+                self.backlog.push_back(Job::SaveSnapshot(snapshot))
+            }
+            Report::SnapshotSaved(snapshot) => {
                 let index = snapshot.meta.last.index;
                 self.storage.snapshot = self.storage.snapshot.max(index);
                 self.taking = None;
@@ -250,7 +253,7 @@
         }
     }
 
-    fn act(&mut self, action: Action) -> Result<(), ContentError> {
+    fn act(&mut self, action: Action) -> Result<(), DecodeError> {
         match action {
             Action::Persist(write) => self.backlog.push_back(Job::Write(write)),
             Action::Send(message) => self.send(message),
@@ -260,8 +263,8 @@
                 self.applied.reset(&snapshot)?;
             }
             Action::Refuse { token, reason } => {
-                let refused = self.refused(reason);
-                self.pending.refuse(token, refused);
+                let error = self.refused(reason);
+                self.pending.refuse(token, error);
             }
             // What it must hold is applied already: commits are handed over before.
             Action::ReadReady { token, index } => self.read_ready(token, index),
@@ -289,7 +292,7 @@
         self.pending.read(token, &self.applied.state.config);
     }
 
-    fn commit(&mut self, batch: Vec<Committed>) -> Result<(), ContentError> {
+    fn commit(&mut self, batch: Vec<Committed>) -> Result<(), DecodeError> {
         for Committed { entry, token } in batch {
             let reply = self.applied.apply(entry)?;
             if let Some(token) = token {
@@ -301,7 +304,7 @@
 
     /// Stops taking part: a command or snapshot of a later release cannot be skipped, because
     /// this replica's state would then differ from the others'.
-    fn give_up(&mut self, error: &ContentError) {
+    fn give_up(&mut self, error: &DecodeError) {
         tracing::error!(event = "content_unreadable", index = error.index, %error);
         self.unreadable = true;
         self.storage.failure = Some(error.to_string());
@@ -336,7 +339,7 @@
         self.rings.lead.send_if_modified(|lead| {
             let differs = lead.epoch != epoch || lead.weights != *weights;
             if differs {
-                *lead = Lead { epoch, weights: weights.clone() };
+                *lead = Leadership { epoch, weights: weights.clone() };
             }
             differs
         });
@@ -344,15 +347,15 @@
 
     fn take_snapshot(&mut self) {
         let index = self.applied.mark.index;
-        let many = index.saturating_sub(self.storage.snapshot) >= self.interval.entries;
-        let due = many || self.applied.bytes >= self.interval.bytes;
+        let many = index.saturating_sub(self.storage.snapshot) >= self.snapshot_thresholds.entries;
+        let due = many || self.applied.bytes >= self.snapshot_thresholds.bytes;
         if !due || self.taking.is_some() || self.storage.failure.is_some() {
             return;
         }
         let meta =
             SnapshotMeta { last: self.applied.mark, members: self.replica.members_at(index) };
         let state = Box::new(self.applied.state.clone());
-        if self.rings.takes.offer(Take { meta, state }).is_ok() {
+        if self.rings.takes.offer(SnapshotJob { meta, state }).is_ok() {
             self.taking = Some(index);
             self.applied.bytes = 0;
         }
--- a/components/control/src/restore.rs
+++ b/components/control/src/restore.rs
@@ -66,7 +66,7 @@
         entries: salvaged.entries,
         ..Recovered::default()
     };
-    let saved = convert::saved(found)?;
+    let saved = convert::saved_state(found)?;
     let mut applied = Applied::new(None);
     if let Some(snapshot) = &saved.snapshot {
         applied.reset(snapshot)?;
@@ -96,7 +96,7 @@
     let meta = SnapshotMeta { last: applied.mark, members };
     let data = rmp_serde::to_vec_named(&applied.state).expect("the state is plain data");
     let epoch = Epoch(applied.mark.epoch.0 + RAISE);
-    storage.save_hard(&HardState { epoch, vote: None })?;
-    storage.save_snapshot(&convert::snapshot(&convert::join(meta, data)))?;
+    storage.save_hard_state(&HardState { epoch, vote: None })?;
+    storage.save_snapshot(&convert::snapshot(&convert::build_snapshot(meta, data)))?;
     Ok(())
 }
--- a/components/control/src/routes.rs
+++ b/components/control/src/routes.rs
@@ -34,14 +34,14 @@
 
 use crate::handle::Envelope;
 use crate::handle::Handle;
-use crate::handle::PATIENCE_MS;
-use crate::handle::RETRY_MS;
-use crate::handle::Reform;
-use crate::handle::Refused;
+use crate::handle::MembershipRequest;
+use crate::handle::REPLY_TIMEOUT_MS;
+use crate::handle::RETRY_AFTER_MS;
+use crate::handle::RequestError;
 use crate::handle::SERVICE;
 use crate::orders;
 use crate::status::Action;
-use crate::status::Done;
+use crate::status::ActionResult;
 use crate::status::Status;
 
 /// Marks a call that another control process passed on; it is not passed on again, so that two
@@ -156,12 +156,12 @@
         }
         let action: Action = call.json()?;
         let reform = self.reform(action.clone()).await?;
-        match self.handle.reform(reform).await {
+        match self.handle.change_members(reform).await {
             Ok(()) => {
                 tracing::info!(event = "control_action", ?action);
                 let done = format!("{action:?}");
                 let status = self.status().await?;
-                Ok(reply::json(200, &Done { done, status }))
+                Ok(reply::json(200, &ActionResult { done, status }))
             }
             Err(refused) => self.forward_action(call, &action, refused).await,
         }
@@ -183,19 +183,19 @@
         Ok(Status { weights, ..self.handle.status().await? })
     }
 
-    async fn reform(&self, action: Action) -> Result<Reform, Failure> {
+    async fn reform(&self, action: Action) -> Result<MembershipRequest, Failure> {
         Ok(match action {
             Action::Add { node, address } => {
                 let id = self.identify(&address, node).await?;
-                Reform::Add { id, address, replaces: None }
+                MembershipRequest::Add { id, address, replaces: None }
             }
             Action::Replace { node, by, address } => {
                 let id = self.identify(&address, by).await?;
-                Reform::Add { id, address, replaces: Some(node) }
+                MembershipRequest::Add { id, address, replaces: Some(node) }
             }
-            Action::Promote(node) => Reform::Promote(node),
-            Action::Remove(node) => Reform::Remove(node),
-            Action::HandOver(to) => Reform::HandOver(to),
+            Action::Promote(node) => MembershipRequest::Promote(node),
+            Action::Remove(node) => MembershipRequest::Remove(node),
+            Action::HandOver(to) => MembershipRequest::HandOver(to),
         })
     }
 
@@ -218,13 +218,13 @@
         &self,
         call: &Call,
         action: &Action,
-        refused: Refused,
+        refused: RequestError,
     ) -> Result<Reply, Failure> {
         let address = next_leader(call, refused)?;
         let path = format!("{}?{FORWARDED}", paths::CONTROL_STATUS);
         let url = self.client.url(&address, &path);
         let body = serde_json::to_vec(action).expect("actions are plain data");
-        let done: Done = self.ask_json(&url, Some(body)).await?;
+        let done: ActionResult = self.ask_json(&url, Some(body)).await?;
         Ok(reply::json(200, &done))
     }
 
@@ -233,7 +233,7 @@
         url: &str,
         body: Option<Vec<u8>>,
     ) -> Result<T, Failure> {
-        let patience = Duration::from_millis(PATIENCE_MS);
+        let patience = Duration::from_millis(REPLY_TIMEOUT_MS);
         let lost = |detail: String| CallError::Lost { url: url.to_owned(), detail }.into_failure();
         let sent = match body {
             None => self.client.get(url).timeout(patience).send(),
@@ -257,11 +257,11 @@
         call: &Call,
         path: &str,
         question: &Q,
-        refused: Refused,
+        refused: RequestError,
     ) -> Result<A, Failure> {
         let address = next_leader(call, refused)?;
         let path = format!("{path}?{FORWARDED}");
-        let patience = Duration::from_millis(PATIENCE_MS);
+        let patience = Duration::from_millis(REPLY_TIMEOUT_MS);
         let answer = self.client.call(&address, &path, question, patience).await;
         answer.map_err(|error| match error {
             CallError::Failure(failure) => failure,
@@ -271,17 +271,18 @@
     }
 }
 
-fn next_leader(call: &Call, refused: Refused) -> Result<String, Failure> {
+fn next_leader(call: &Call, refused: RequestError) -> Result<String, Failure> {
     match refused {
-        Refused::Failed(failure) => Err(failure),
-        Refused::NotLeader(Some(address)) if call.query != FORWARDED => Ok(address),
-        Refused::NotLeader(_) => {
+        RequestError::Failed(failure) => Err(failure),
+        RequestError::NotLeader(Some(address)) if call.query != FORWARDED => Ok(address),
+        RequestError::NotLeader(_) => {
             let detail = "the control processes have no leader just now";
-            Err(Failure::not_run(Code::NoQuorum, detail).retry_after(RETRY_MS))
+            Err(Failure::not_run(Code::NoQuorum, detail).retry_after(RETRY_AFTER_MS))
         }
     }
 }
 
 fn no_quorum(failure: fn(Code, String) -> Failure, error: &CallError) -> Failure {
-    failure(Code::NoQuorum, format!("the leader did not answer: {error}")).retry_after(RETRY_MS)
+    failure(Code::NoQuorum, format!("the leader did not answer: {error}"))
+        .retry_after(RETRY_AFTER_MS)
 }
--- a/components/control/src/serve.rs
+++ b/components/control/src/serve.rs
@@ -19,10 +19,10 @@
 
 use crate::body::Body;
 use crate::handle::Answer;
-use crate::handle::RETRY_MS;
-use crate::handle::Reform;
-use crate::handle::Refused;
+use crate::handle::MembershipRequest;
+use crate::handle::RETRY_AFTER_MS;
 use crate::handle::Request;
+use crate::handle::RequestError;
 use crate::pending::Waiter;
 use crate::replica::Driver;
 
@@ -51,13 +51,13 @@
                     let token = self.pending.add(Waiter::Read(answer));
                     self.tell(Event::Read { token });
                 }
-                Request::Reform(reform, answer) => self.reform(reform, answer),
+                Request::ChangeMembers(reform, answer) => self.reform(reform, answer),
                 Request::Status(answer) => {
                     let _ = answer.send(self.status());
                 }
             }
             count += 1;
-            next = if count < self.round { self.rings.requests.take() } else { None };
+            next = if count < self.max_batch { self.rings.requests.take() } else { None };
         }
         self.propose(proposals);
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    fn renew(&mut self, renew: &SessionRenewal) -> Result<SessionRenewalReply, Refused> {
+    fn renew(&mut self, renew: &SessionRenewal) -> Result<SessionRenewalReply, RequestError> {
         // Only the lease tells that no other leader closes sessions at this moment.
         if !self.leads() {
             return Err(self.not_leader());
@@ -114,12 +114,12 @@
         }
     }
 
-    fn reform(&mut self, reform: Reform, answer: Answer<()>) {
+    fn reform(&mut self, reform: MembershipRequest, answer: Answer<()>) {
         if self.replica.role() != Role::Leader {
             let _ = answer.send(Err(self.not_leader()));
             return;
         }
-        if let Reform::HandOver(to) = &reform {
+        if let MembershipRequest::HandOver(to) = &reform {
             let to = to.as_ref().and_then(|node| self.find(node));
             self.tell(Event::HandOver { to });
             let _ = answer.send(Ok(()));
@@ -130,22 +130,22 @@
             let _ = answer.send(Err(failure.into()));
             return;
         };
-        let token = self.pending.add(Waiter::Reform(answer));
+        let token = self.pending.add(Waiter::ChangeMembers(answer));
         self.tell(Event::ChangeMembers { token, change });
     }
 
-    fn change(&self, reform: Reform) -> Option<MembershipChange> {
+    fn change(&self, reform: MembershipRequest) -> Option<MembershipChange> {
         match reform {
-            Reform::Add { id, address, replaces } => {
+            MembershipRequest::Add { id, address, replaces } => {
                 let replaces = match replaces {
                     Some(node) => Some(self.find(&node)?),
                     None => None,
                 };
                 Some(MembershipChange::Add { id, address, replaces })
             }
-            Reform::Promote(node) => self.find(&node).map(MembershipChange::Promote),
-            Reform::Remove(node) => self.find(&node).map(MembershipChange::Remove),
-            Reform::HandOver(_) => None,
+            MembershipRequest::Promote(node) => self.find(&node).map(MembershipChange::Promote),
+            MembershipRequest::Remove(node) => self.find(&node).map(MembershipChange::Remove),
+            MembershipRequest::HandOver(_) => None,
         }
     }
 
@@ -163,24 +163,24 @@
         self.replica.members().replicas.get(leader).map(|seat| seat.address.clone())
     }
 
-    fn not_leader(&self) -> Refused {
+    fn not_leader(&self) -> RequestError {
         match &self.storage.failure {
             Some(failure) => self.storage_failed(failure),
-            None => Refused::NotLeader(self.leader_address()),
+            None => RequestError::NotLeader(self.leader_address()),
         }
     }
 
-    fn storage_failed(&self, failure: &str) -> Refused {
+    fn storage_failed(&self, failure: &str) -> RequestError {
         Failure::not_run(Code::StorageFailed, failure).into()
     }
 
-    pub(crate) fn refused(&self, why: Refusal) -> Refused {
+    pub(crate) fn refused(&self, why: Refusal) -> RequestError {
         let detail = why.to_string();
-        let later = |code| Failure::not_run(code, detail.clone()).retry_after(RETRY_MS);
+        let later = |code| Failure::not_run(code, detail.clone()).retry_after(RETRY_AFTER_MS);
         match why {
             Refusal::NotLeader { .. } => self.not_leader(),
             Refusal::Unknown { .. } => {
-                Failure::unknown(Code::NoQuorum, detail).retry_after(RETRY_MS).into()
+                Failure::unknown(Code::NoQuorum, detail).retry_after(RETRY_AFTER_MS).into()
             }
             Refusal::Full => later(Code::Overloaded).into(),
             Refusal::HandingOver => later(Code::NoQuorum).into(),
--- a/components/control/src/snapshots.rs
+++ b/components/control/src/snapshots.rs
@@ -9,7 +9,7 @@
 use crate::disk::Report;
 
 /// A state to be encoded.
-pub struct Take {
+pub struct SnapshotJob {
     /// What the snapshot stands for.
     pub meta: SnapshotMeta,
     /// The state after its last entry.
@@ -21,11 +21,14 @@
 /// A snapshot goes back to the replica, which puts it behind the entries that it covers. If it
 /// went to the disk from here, it could overtake entries that wait for room in the disk's ring;
 /// the log would then start anew after it, and those entries would no longer fit.
-pub fn run(mut takes: Receiver<Take>, reports: &Sender<Report>) {
-    while let Some(Take { meta, state }) = takes.next_blocking() {
+pub fn run(mut takes: Receiver<SnapshotJob>, reports: &Sender<Report>) {
+    while let Some(SnapshotJob { meta, state }) = takes.next_blocking() {
         let data = rmp_serde::to_vec_named(&*state).expect("the state is plain data");
         tracing::info!(event = "snapshot_encoded", index = meta.last.index, bytes = data.len());
-        if reports.send_blocking(Report::Encoded(convert::join(meta, data))).is_err() {
+        if reports
+            .send_blocking(Report::SnapshotEncoded(convert::build_snapshot(meta, data)))
+            .is_err()
+        {
             return;
         }
     }
--- a/components/control/src/start.rs
+++ b/components/control/src/start.rs
@@ -26,21 +26,21 @@
 use tokio::sync::watch;
 
 use crate::apply::Applied;
+use crate::control_peers::ControlPeers;
 use crate::convert;
 use crate::disk;
 use crate::error::StartError;
 use crate::handle::Handle;
 use crate::handle::SERVICE;
-use crate::neighbours::Neighbours;
 use crate::orders;
-use crate::orders::Lead;
+use crate::orders::Leadership;
 use crate::peers;
-use crate::peers::Post;
+use crate::peers::MessageSender;
 use crate::replica::Driver;
-use crate::replica::Interval;
-use crate::replica::LINGER_MS;
-use crate::replica::ROUND;
+use crate::replica::HAND_OVER_TIMEOUT_MS;
+use crate::replica::MAX_BATCH;
 use crate::replica::Rings;
+use crate::replica::SnapshotThresholds;
 use crate::restore::restore;
 use crate::sessions::Sessions;
 use crate::snapshots;
@@ -48,41 +48,41 @@
 /// The folder of the control role below the process's data folder.
 pub const FOLDER: &str = "control";
 
-const REQUESTS: usize = 4_096;
-const JOBS: usize = 1_024;
-const REPORTS: usize = 1_024;
-const OUTGOING: usize = 4_096;
-const TAKES: usize = 1;
+const REQUEST_QUEUE_LENGTH: usize = 4_096;
+const DISK_QUEUE_LENGTH: usize = 1_024;
+const REPORT_QUEUE_LENGTH: usize = 1_024;
+const OUTGOING_QUEUE_LENGTH: usize = 4_096;
+const SNAPSHOT_QUEUE_LENGTH: usize = 1;
 
 /// What tests and measurements change, and no settings file does.
 #[derive(Clone)]
 pub struct Tuning {
     /// Proposals and writes that one sync may serve.
-    pub group: usize,
+    pub max_batch: usize,
     /// Writes that may wait for the disk in its ring.
-    pub jobs: usize,
+    pub disk_queue_length: usize,
     /// When snapshots are taken.
-    pub interval: Interval,
+    pub snapshot_thresholds: SnapshotThresholds,
     /// Entries kept behind a snapshot.
-    pub tail: u64,
+    pub retained_entries: u64,
     /// The file operations.
     pub disk: Disk,
     /// How long the process's end may wait for another leader, in milliseconds.
-    pub linger_ms: u64,
+    pub hand_over_timeout_ms: u64,
     /// Whether messages to an address of another replica get through.
-    pub reach: Arc<dyn Fn(&str) -> bool + Send + Sync>,
+    pub can_reach: Arc<dyn Fn(&str) -> bool + Send + Sync>,
 }
 
 impl Default for Tuning {
     fn default() -> Self {
         Self {
-            group: JOBS,
-            jobs: JOBS,
-            interval: Interval::default(),
-            tail: 4_096,
+            max_batch: DISK_QUEUE_LENGTH,
+            disk_queue_length: DISK_QUEUE_LENGTH,
+            snapshot_thresholds: SnapshotThresholds::default(),
+            retained_entries: 4_096,
             disk: Disk::default(),
-            linger_ms: LINGER_MS,
-            reach: Arc::new(|_| true),
+            hand_over_timeout_ms: HAND_OVER_TIMEOUT_MS,
+            can_reach: Arc::new(|_| true),
         }
     }
 }
@@ -107,7 +107,7 @@
     let folder = settings.data.as_ref().ok_or(StartError::NoFolder)?.join(FOLDER);
     let kept = StorageSettings {
         identity: Incarnation(unix().0),
-        kept: tuning.tail,
+        retained_entries: tuning.retained_entries,
         ..StorageSettings::default()
     };
     let own = own_address(settings, control);
@@ -116,7 +116,7 @@
     }
     let (storage, recovered) = Storage::open(&folder, kept, tuning.disk)?;
     let id = ReplicaId::new(settings.node.clone(), recovered.identity);
-    let saved = convert::saved(recovered)?;
+    let saved = convert::saved_state(recovered)?;
     let feed = kernel.registry.find::<Feed>(FEED).ok().map(|feed| Feed::clone(&feed));
     let mut applied = Applied::new(feed);
     if let Some(snapshot) = &saved.snapshot {
@@ -124,28 +124,29 @@
     }
     let founders = founders(settings, control, &own);
     let seed = id.incarnation.0 ^ unix().0;
-    let replica = Replica::new(behaviour(control, id, &founders, tuning.tail), saved, seed);
-
-    let (requests, requests_end) = ring(REQUESTS);
-    let (reports, reports_end) = ring(REPORTS);
-    let (jobs, jobs_end) = ring(tuning.jobs);
-    let (outgoing, outgoing_end) = ring(OUTGOING);
-    let (takes, takes_end) = ring(TAKES);
+    let replica =
+        Replica::new(behaviour(control, id, &founders, tuning.retained_entries), saved, seed);
+
+    let (requests, requests_end) = ring(REQUEST_QUEUE_LENGTH);
+    let (reports, reports_end) = ring(REPORT_QUEUE_LENGTH);
+    let (jobs, jobs_end) = ring(tuning.disk_queue_length);
+    let (outgoing, outgoing_end) = ring(OUTGOING_QUEUE_LENGTH);
+    let (takes, takes_end) = ring(SNAPSHOT_QUEUE_LENGTH);
     let handle = Handle::new(requests);
     kernel.registry.offer(SERVICE, handle.clone());
     offer_dump(kernel, handle);
-    let (lead, followed) = watch::channel(Lead::default());
+    let (lead, followed) = watch::channel(Leadership::default());
     start_orders(kernel, control, followed)?;
 
-    let group = tuning.group;
+    let group = tuning.max_batch;
     let encoded = reports.clone();
     kernel.blocking_duty("disk", move |_| disk::run(storage, jobs_end, &reports, group))?;
     kernel.blocking_duty("snapshots", move |_| snapshots::run(takes_end, &encoded))?;
     let caller = kernel.registry.find::<Caller>(CALLER)?;
     let timeout = Duration::from_millis(control.election_ms.max(500));
-    let reach = tuning.reach;
+    let reach = tuning.can_reach;
     kernel.duty("peers", move |_| async move {
-        let post = Post::new(Caller::clone(&caller), own, timeout, reach);
+        let post = MessageSender::new(Caller::clone(&caller), own, timeout, reach);
         peers::run(post, outgoing_end).await;
     })?;
     let rings = Rings { requests: requests_end, reports: reports_end, jobs, outgoing, takes, lead };
@@ -153,14 +154,14 @@
     let known: BTreeMap<_, _> =
         founders.into_iter().map(|founder| (founder.node, founder.address)).collect();
     let members = kernel.registry.find::<Membership>(chicoryford_membership::SERVICE).ok();
-    let neighbours = members.map(|members| Neighbours::new(members, settings.node.clone()));
+    let control_peers = members.map(|members| ControlPeers::new(members, settings.node.clone()));
     kernel.duty("replica", move |kernel| async move {
         let driver = Driver {
-            interval: tuning.interval,
-            round: ROUND.min(group),
-            linger_ms: tuning.linger_ms,
+            snapshot_thresholds: tuning.snapshot_thresholds,
+            max_batch: MAX_BATCH.min(group),
+            hand_over_timeout_ms: tuning.hand_over_timeout_ms,
             sessions,
-            neighbours,
+            control_peers,
             ..Driver::new(kernel, replica, applied, rings, known)
         };
         driver.run().await;
@@ -172,7 +173,7 @@
 fn start_orders(
     kernel: &Kernel,
     control: &ControlSettings,
-    lead: watch::Receiver<Lead>,
+    lead: watch::Receiver<Leadership>,
 ) -> Result<(), StartError> {
     let shown = watch::Sender::new(Vec::new());
     let status = shown.subscribe();
@@ -189,7 +190,7 @@
         PlannerSettings { swap_percent: control.swap_percent, ..PlannerSettings::default() };
     kernel.duty("orders", move |kernel| async move {
         let client = caller.client();
-        orders::duty::Driver { kernel, client, members, lead, shown, settings }.run().await;
+        orders::dispatch::Dispatcher { kernel, client, members, lead, shown, settings }.run().await;
     })?;
     Ok(())
 }
--- a/components/control/src/status.rs
+++ b/components/control/src/status.rs
@@ -109,7 +109,7 @@
 
 /// What an [`Action`] came to.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-pub struct Done {
+pub struct ActionResult {
     /// What was done, for people.
     pub done: String,
     /// How the leader stands after it.
--- a/components/control/tests/neighbours.rs
+++ b/components/control/tests/control_peers.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use chicoryford_control::neighbours::Neighbours;
-use chicoryford_control::neighbours::control_nodes;
+use chicoryford_control::control_peers::ControlPeers;
+use chicoryford_control::control_peers::control_nodes;
 use chicoryford_membership::Handle;
 use chicoryford_types::Known;
 use chicoryford_types::Member;
@@ -46,9 +46,9 @@
 fn can_tell_each_change_once() {
     let (view, watched) = watch::channel(Arc::new(Members::default()));
     let own = Arc::new(watch::Sender::new(Member::default()));
-    let mut neighbours = Neighbours::new(Arc::new(Handle::new(watched, own)), Node::from("a"));
-    assert!(neighbours.changed().is_none());
+    let mut control_peers = ControlPeers::new(Arc::new(Handle::new(watched, own)), Node::from("a"));
+    assert!(control_peers.changed().is_none());
     view.send_replace(Arc::new(members()));
-    assert_eq!(neighbours.changed().map(|all| all.len()), Some(2));
-    assert!(neighbours.changed().is_none());
+    assert_eq!(control_peers.changed().map(|all| all.len()), Some(2));
+    assert!(control_peers.changed().is_none());
 }
--- a/components/control/tests/replicas.rs
+++ b/components/control/tests/replicas.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 
 use chicoryford_control::Tuning;
-use chicoryford_control::replica::Interval;
+use chicoryford_control::replica::SnapshotThresholds;
 use chicoryford_kernel::Phase;
 use chicoryford_settings::ControlSettings;
 use chicoryford_state::Command;
@@ -168,8 +168,8 @@
 #[test]
 fn catches_up_by_snapshot_after_a_long_absence() {
     block_on(async {
-        let interval = Interval { entries: 50, bytes: 64 << 20 };
-        let tuning = Tuning { interval, tail: 10, ..Tuning::default() };
+        let snapshot_thresholds = SnapshotThresholds { entries: 50, bytes: 64 << 20 };
+        let tuning = Tuning { snapshot_thresholds, retained_entries: 10, ..Tuning::default() };
         let mut cluster = Cluster::start(3, tuning);
         let leader = cluster.leader().await;
         cluster.propose(leader, &publish(1)).await;
@@ -405,8 +405,8 @@
     // Symptom: nothing is accepted any more. Sequence: two of three disks are lost; the third's
     // folder is given to a new process, and others join it. Cause: a majority of disks is gone.
     block_on(async {
-        let interval = Interval { entries: 20, bytes: 64 << 20 };
-        let mut cluster = Cluster::start(3, Tuning { interval, ..Tuning::default() });
+        let snapshot_thresholds = SnapshotThresholds { entries: 20, bytes: 64 << 20 };
+        let mut cluster = Cluster::start(3, Tuning { snapshot_thresholds, ..Tuning::default() });
         let leader = cluster.leader().await;
         let mut last = Position::default();
         for n in 1..=50 {
@@ -441,8 +441,9 @@
     // the snapshot reaches the disk before the entries that it covers. Cause: writes that wait
     // for room in the disk's ring are overtaken.
     block_on(async {
-        let interval = Interval { entries: 100, bytes: 64 << 20 };
-        let tuning = Tuning { group: 1, jobs: 2, interval, ..Tuning::default() };
+        let snapshot_thresholds = SnapshotThresholds { entries: 100, bytes: 64 << 20 };
+        let tuning =
+            Tuning { max_batch: 1, disk_queue_length: 2, snapshot_thresholds, ..Tuning::default() };
         let cluster = Cluster::start(3, tuning);
         let leader = cluster.leader().await;
         for round in 0..20 {
--- a/components/control/tests/support/mod.rs
+++ b/components/control/tests/support/mod.rs
@@ -80,7 +80,7 @@
         let mut cluster = Self {
             settings: Vec::new(),
             processes: Vec::new(),
-            tuning: Tuning { linger_ms: 0, ..tuning },
+            tuning: Tuning { hand_over_timeout_ms: 0, ..tuning },
             cut: Arc::default(),
             client: client(TOKEN),
             folder,
@@ -138,7 +138,7 @@
             let cut = cut.lock().unwrap();
             !cut.contains(to) && !cut.contains(&own)
         };
-        Tuning { reach: Arc::new(reach), ..self.tuning.clone() }
+        Tuning { can_reach: Arc::new(reach), ..self.tuning.clone() }
     }
 
     pub fn data(&self, i: usize) -> PathBuf {
--- a/components/depot/src/depot.rs
+++ b/components/depot/src/depot.rs
@@ -66,7 +66,8 @@
     /// Returns [`DepotError`] if the folder cannot be opened or read.
     pub fn open(folder: &Path, disk: Disk) -> Result<Self, DepotError> {
         let identity = Incarnation(rand::random());
-        let settings = StorageSettings { segment: SEGMENT_BYTES, kept: 0, identity };
+        let settings =
+            StorageSettings { segment_bytes: SEGMENT_BYTES, retained_entries: 0, identity };
         let (storage, recovered) = Storage::open(folder, settings, disk)?;
         let mut index = BTreeMap::new();
         for entry in recovered.entries {
@@ -96,7 +97,7 @@
         }
         let stored = StoredPart { part, bytes: bytes.clone() };
         let body = rmp_serde::to_vec(&stored).expect("parts are always serialisable").into();
-        let index = self.storage.last() + 1;
+        let index = self.storage.last_index() + 1;
         self.storage.append(&[Entry { index, epoch: Epoch(1), body }])?;
         self.index.insert(part, index);
         self.recent.insert(part);
@@ -134,7 +135,7 @@
         let before = self.index.len();
         let recent = std::mem::take(&mut self.recent);
         self.index.retain(|part, _| wanted.contains(part) || recent.contains(part));
-        let last = self.storage.last();
+        let last = self.storage.last_index();
         let dropped_to = self.index.values().min().map_or(last, |first| first - 1);
         if dropped_to > self.base && before > self.index.len() {
             let snapshot = Snapshot { index: dropped_to, epoch: Epoch(1), body: Bytes::new() };
--- a/components/http/src/client.rs
+++ b/components/http/src/client.rs
@@ -34,7 +34,7 @@
 
 /// Why an exchange came to no whole reply.
 #[derive(Debug, Error)]
-pub enum Broken {
+pub enum ExchangeError {
     /// No connection came about: not a byte of the request has left.
     #[error("no connection: {0}")]
     NotSent(#[source] io::Error),
@@ -43,13 +43,13 @@
     Lost(#[source] io::Error),
     /// The connection ended before the reply did.
     #[error("the reply was cut short")]
-    Short,
+    Truncated,
     /// What came is no reply in the protocol, or belongs to another request.
     #[error("unfit reply: {0}")]
-    Unfit(&'static str),
+    Invalid(&'static str),
 }
 
-impl Broken {
+impl ExchangeError {
     /// Tells whether the endpoint certainly saw nothing of the request.
     pub fn is_unsent(&self) -> bool {
         matches!(self, Self::NotSent(_))
@@ -66,7 +66,7 @@
 }
 
 /// The head of a reply whose body is still to be read.
-pub struct Incoming {
+pub struct IncomingReply {
     connection: Connection,
     codec: ClientPayloadCodec,
     framing: Framing,
@@ -93,9 +93,9 @@
     ///
     /// # Errors
     ///
-    /// [`Broken::NotSent`] if there is none within the limit.
-    pub async fn open(address: SocketAddr, limit: Duration) -> Result<Self, Broken> {
-        let stream = socket::connect(address, limit).await.map_err(Broken::NotSent)?;
+    /// [`ExchangeError::NotSent`] if there is none within the limit.
+    pub async fn open(address: SocketAddr, limit: Duration) -> Result<Self, ExchangeError> {
+        let stream = socket::connect(address, limit).await.map_err(ExchangeError::NotSent)?;
         Ok(Self { address, stream, input: BytesMut::new(), spoiled: false })
     }
 
@@ -115,18 +115,18 @@
     ///
     /// # Errors
     ///
-    /// [`Broken`], after which the connection is gone.
-    pub async fn start(mut self, request: &Request) -> Result<Incoming, Broken> {
+    /// [`ExchangeError`], after which the connection is gone.
+    pub async fn start(mut self, request: &Request) -> Result<IncomingReply, ExchangeError> {
         let mut codec = ClientCodec::default();
         let output = encode(&mut codec, request, self.address)?;
         // A connection whose exchange is given up is reset, also if this process dies meanwhile. A close
         // would let the bytes that were written arrive later, when the network carries them again, and
         // the endpoint would begin what nobody wants any more.
-        self.stream.set_zero_linger().map_err(Broken::NotSent)?;
+        self.stream.set_zero_linger().map_err(ExchangeError::NotSent)?;
         self.send(&output).await?;
         let head = loop {
             let decoded = codec.decode(&mut self.input);
-            if let Some(head) = decoded.map_err(|_| Broken::Unfit("no HTTP reply"))? {
+            if let Some(head) = decoded.map_err(|_| ExchangeError::Invalid("no HTTP reply"))? {
                 // A continuation is no answer; the answer follows.
                 if head.status != StatusCode::CONTINUE {
                     break head;
@@ -134,14 +134,14 @@
                 continue;
             }
             if self.fill().await? == 0 {
-                return Err(Broken::Short);
+                return Err(ExchangeError::Truncated);
             }
         };
         if !codec.keep_alive() {
             self.spoiled = true;
         }
         let framing = framing(&codec, request, &head);
-        Ok(Incoming {
+        Ok(IncomingReply {
             connection: self,
             done: framing == Framing::Empty,
             framing,
@@ -154,29 +154,29 @@
     /// Writes a request while watching for an early reply. An endpoint may answer before it has
     /// read a long body; going on to write would then fail, or leave the rest of the body to be
     /// read as the next request, so the rest is not sent and the connection not used again.
-    async fn send(&mut self, output: &[u8]) -> Result<(), Broken> {
+    async fn send(&mut self, output: &[u8]) -> Result<(), ExchangeError> {
         let mut sent = 0;
         while sent < output.len() {
             tokio::select! {
                 biased;
                 wrote = self.stream.writable() => {
-                    wrote.map_err(Broken::Lost)?;
+                    wrote.map_err(ExchangeError::Lost)?;
                     match self.stream.try_write(&output[sent..]) {
                         Ok(wrote) => sent += wrote,
                         Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                        Err(error) => return Err(Broken::Lost(error)),
+                        Err(error) => return Err(ExchangeError::Lost(error)),
                     }
                 }
                 read = self.stream.readable() => {
-                    read.map_err(Broken::Lost)?;
+                    read.map_err(ExchangeError::Lost)?;
                     match self.stream.try_read_buf(&mut self.input) {
-                        Ok(0) => return Err(Broken::Short),
+                        Ok(0) => return Err(ExchangeError::Truncated),
                         Ok(_) => {
                             self.spoiled = true;
                             return Ok(());
                         }
                         Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                        Err(error) => return Err(Broken::Lost(error)),
+                        Err(error) => return Err(ExchangeError::Lost(error)),
                     }
                 }
             }
@@ -184,18 +184,18 @@
         Ok(())
     }
 
-    async fn fill(&mut self) -> Result<usize, Broken> {
-        self.stream.read_buf(&mut self.input).await.map_err(Broken::Lost)
+    async fn fill(&mut self) -> Result<usize, ExchangeError> {
+        self.stream.read_buf(&mut self.input).await.map_err(ExchangeError::Lost)
     }
 }
 
-impl Incoming {
+impl IncomingReply {
     /// Reads the next piece of the body; none at its end.
     ///
     /// # Errors
     ///
-    /// [`Broken`] if the connection ended or failed before the body did.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
+    /// [`ExchangeError`] if the connection ended or failed before the body did.
+    pub async fn next(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             if self.done {
                 return Ok(None);
@@ -203,7 +203,7 @@
             if self.framing == Framing::Connection {
                 return self.next_raw().await;
             }
-            let unfit = |_| Broken::Unfit("broken framing of a body");
+            let unfit = |_| ExchangeError::Invalid("broken framing of a body");
             match self.codec.decode(&mut self.connection.input).map_err(unfit)? {
                 Some(Some(piece)) => return Ok(Some(piece)),
                 Some(None) => {
@@ -213,13 +213,13 @@
                 None => {}
             }
             if self.connection.fill().await? == 0 {
-                return Err(Broken::Short);
+                return Err(ExchangeError::Truncated);
             }
         }
     }
 
     /// Reads the next piece of a body that ends with its connection. A reset is no end of it.
-    async fn next_raw(&mut self) -> Result<Option<Bytes>, Broken> {
+    async fn next_raw(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         self.connection.spoiled = true;
         if self.connection.input.is_empty() && self.connection.fill().await? == 0 {
             self.done = true;
@@ -232,13 +232,13 @@
     ///
     /// # Errors
     ///
-    /// [`Broken`] if it does not come whole.
-    pub async fn whole(mut self) -> Result<(Reply, Option<Connection>), Broken> {
+    /// [`ExchangeError`] if it does not come whole.
+    pub async fn read_all(mut self) -> Result<(Reply, Option<Connection>), ExchangeError> {
         let mut body = BytesMut::new();
         while let Some(piece) = self.next().await? {
             body.extend_from_slice(&piece);
             if body.len() > REPLY_BOUND {
-                return Err(Broken::Unfit("a reply beyond all bounds"));
+                return Err(ExchangeError::Invalid("a reply beyond all bounds"));
             }
         }
         let headers = std::mem::take(&mut self.headers);
@@ -276,10 +276,10 @@
     codec: &mut ClientCodec,
     request: &Request,
     address: SocketAddr,
-) -> Result<BytesMut, Broken> {
+) -> Result<BytesMut, ExchangeError> {
     let mut head = RequestHead::default();
     head.method = request.method.clone();
-    head.uri = request.target.parse::<Uri>().map_err(|_| Broken::Unfit("target"))?;
+    head.uri = request.target.parse::<Uri>().map_err(|_| ExchangeError::Invalid("target"))?;
     let mut headers = request.headers.clone();
     if headers.get("host").is_none() {
         // A request without one is refused as unfit.
@@ -291,10 +291,10 @@
     let size = if bare { BodySize::None } else { BodySize::Sized(length) };
     let mut output = BytesMut::with_capacity(512 + request.body.len());
     let head = RequestHeadType::Owned(head);
-    codec.encode(Message::Item((head, size)), &mut output).map_err(Broken::NotSent)?;
+    codec.encode(Message::Item((head, size)), &mut output).map_err(ExchangeError::NotSent)?;
     if length > 0 {
         let body = Message::Chunk(Some(request.body.clone()));
-        codec.encode(body, &mut output).map_err(Broken::NotSent)?;
+        codec.encode(body, &mut output).map_err(ExchangeError::NotSent)?;
     }
     Ok(output)
 }
--- a/components/http/src/lib.rs
+++ b/components/http/src/lib.rs
@@ -11,9 +11,9 @@
 pub mod server;
 pub mod socket;
 
-pub use client::Broken;
 pub use client::Connection;
-pub use client::Incoming;
+pub use client::ExchangeError;
+pub use client::IncomingReply;
 pub use message::Headers;
 pub use message::Reply;
 pub use message::Request;
--- a/components/http/src/message.rs
+++ b/components/http/src/message.rs
@@ -105,7 +105,7 @@
     }
 
     /// Gives a field of the query, as it stands there.
-    pub fn field(&self, name: &str) -> Option<&str> {
+    pub fn query_field(&self, name: &str) -> Option<&str> {
         let mut pairs = self.query().split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
     }
--- a/components/http/src/server.rs
+++ b/components/http/src/server.rs
@@ -46,23 +46,23 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Bounds {
     /// Bytes of a request's head.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Bytes of a body.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Time from the first byte of a request to the end of its head, and between two pieces of
     /// its body.
-    pub read: Duration,
+    pub read_timeout: Duration,
     /// Time for which a connection may stay idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Self {
-            head: 16 << 10,
-            body: 32 << 20,
-            read: Duration::from_secs(10),
-            idle: Duration::from_secs(75),
+            max_head_bytes: 16 << 10,
+            max_body_bytes: 32 << 20,
+            read_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(75),
         }
     }
 }
@@ -92,7 +92,7 @@
     }
 
     /// Counts the requests of which a byte was read and that are not answered.
-    pub fn busy(&self) -> usize {
+    pub fn active_requests(&self) -> usize {
         self.busy.get()
     }
 
@@ -199,7 +199,7 @@
         if !self.input.is_empty() {
             return Ok(());
         }
-        let idle = self.bounds.get().idle;
+        let idle = self.bounds.get().idle_timeout;
         let farewell = async {
             // The sender lives as long as the server, so this only ends when it says so.
             let _ = self.closing.wait_for(|closing| *closing).await;
@@ -218,14 +218,15 @@
 
     async fn read_request(&mut self) -> Result<Request, Unread> {
         let bounds = self.bounds.get();
-        let head = tokio::time::timeout(bounds.read, self.read_head(bounds.head)).await;
+        let head =
+            tokio::time::timeout(bounds.read_timeout, self.read_head(bounds.max_head_bytes)).await;
         let late = Unread::Refused(StatusCode::REQUEST_TIMEOUT, "the head came too slowly");
         let mut request = head.map_err(|_| late)??;
         if self.codec.message_type() == MessageType::None {
             return Ok(request);
         }
         let declared = request.headers.number("content-length");
-        if declared.is_some_and(|length| length > bounds.body as u64) {
+        if declared.is_some_and(|length| length > bounds.max_body_bytes as u64) {
             return Err(too_large());
         }
         if request.headers.get("expect").is_some() {
@@ -270,13 +271,13 @@
                 Some(Message::Chunk(None)) => return Ok(whole.freeze()),
                 Some(Message::Item(_)) => return Err(Unread::Over),
                 None => {
-                    let read = tokio::time::timeout(bounds.read, self.fill()).await;
+                    let read = tokio::time::timeout(bounds.read_timeout, self.fill()).await;
                     let late = "the body came too slowly";
                     let late = Unread::Refused(StatusCode::REQUEST_TIMEOUT, late);
                     raw += read.map_err(|_| late)??;
                 }
             }
-            if whole.len() > bounds.body || raw > 2 * bounds.body + FRAMING {
+            if whole.len() > bounds.max_body_bytes || raw > 2 * bounds.max_body_bytes + FRAMING {
                 return Err(too_large());
             }
         }
--- a/components/http/src/socket.rs
+++ b/components/http/src/socket.rs
@@ -17,7 +17,7 @@
 /// drops packets without a reset, so without it a connection through one hangs for minutes. Some
 /// round trips at most are a few milliseconds here, and lost packets are sent again after 0.2 s
 /// and 0.6 s, so two seconds are beyond what a live peer needs.
-pub const UNACKNOWLEDGED: Duration = Duration::from_secs(2);
+pub const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time without traffic after which a connection is probed, and between two probes. An idle
 /// connection whose other side lost power is noticed after about four of them.
 const PROBE: Duration = Duration::from_secs(1);
@@ -34,12 +34,12 @@
 /// # Errors
 ///
 /// The error of the system call that failed.
-pub fn tune(stream: &TcpStream) -> io::Result<()> {
+pub fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new().with_time(PROBE).with_interval(PROBE).with_retries(PROBES);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
 
 /// Opens a connection within a time limit.
@@ -50,7 +50,7 @@
 pub async fn connect(address: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
     let opened = tokio::time::timeout(limit, TcpStream::connect(address));
     let stream = opened.await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    tune(&stream)?;
+    configure(&stream)?;
     Ok(stream)
 }
 
@@ -59,7 +59,7 @@
 pub async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => match tune(&stream) {
+            Ok((stream, _)) => match configure(&stream) {
                 Ok(()) => return stream,
                 // The other side has left already.
                 Err(error) => tracing::debug!(event = "socket_untuned", %error),
@@ -91,6 +91,6 @@
 /// # Errors
 ///
 /// The error of the system call.
-pub fn limit_silence(stream: &TcpStream, limit: Duration) -> io::Result<()> {
+pub fn set_unacknowledged_timeout(stream: &TcpStream, limit: Duration) -> io::Result<()> {
     SockRef::from(stream).set_tcp_user_timeout(Some(limit))
 }
--- a/components/http/tests/client.rs
+++ b/components/http/tests/client.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use chicoryford_http::Broken;
 use chicoryford_http::Connection;
+use chicoryford_http::ExchangeError;
 use chicoryford_http::Pool;
 use chicoryford_http::Request;
 use chicoryford_http::message::Method;
@@ -73,10 +73,10 @@
     request
 }
 
-async fn exchange(script: Script) -> Result<(String, Option<Connection>), Broken> {
+async fn exchange(script: Script) -> Result<(String, Option<Connection>), ExchangeError> {
     let address = endpoint(script).await;
     let connection = Connection::open(address, LIMIT).await?;
-    let (reply, connection) = connection.start(&request()).await?.whole().await?;
+    let (reply, connection) = connection.start(&request()).await?.read_all().await?;
     Ok((String::from_utf8_lossy(&reply.body).into_owned(), connection))
 }
 
@@ -124,14 +124,17 @@
 #[actix_rt::test]
 async fn an_answer_that_breaks_off_is_not_whole() {
     let short = Script::Close(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok");
-    assert!(matches!(exchange(short).await, Err(Broken::Short)));
+    assert!(matches!(exchange(short).await, Err(ExchangeError::Truncated)));
     let chunked =
         Script::Close(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n");
-    assert!(matches!(exchange(chunked).await, Err(Broken::Short)));
+    assert!(matches!(exchange(chunked).await, Err(ExchangeError::Truncated)));
     let reset = Script::Reset(b"HTTP/1.1 200 OK\r\n\r\nok");
-    assert!(matches!(exchange(reset).await, Err(Broken::Lost(_))));
-    assert!(matches!(exchange(Script::Close(b"")).await, Err(Broken::Short)));
-    assert!(matches!(exchange(Script::Keep(b"no http\r\n\r\n")).await, Err(Broken::Unfit(_))));
+    assert!(matches!(exchange(reset).await, Err(ExchangeError::Lost(_))));
+    assert!(matches!(exchange(Script::Close(b"")).await, Err(ExchangeError::Truncated)));
+    assert!(matches!(
+        exchange(Script::Keep(b"no http\r\n\r\n")).await,
+        Err(ExchangeError::Invalid(_))
+    ));
 }
 
 #[actix_rt::test]
@@ -152,7 +155,7 @@
     let long = Request::new(Method::POST, "/a", vec![b'x'; 64 << 20]);
     let incoming = tokio::time::timeout(LIMIT, connection.start(&long)).await.unwrap().unwrap();
     assert_eq!(incoming.status.as_u16(), 503);
-    let (_, connection) = incoming.whole().await.unwrap();
+    let (_, connection) = incoming.read_all().await.unwrap();
     assert!(connection.is_none());
 }
 
@@ -169,7 +172,7 @@
 async fn a_pool_gives_a_connection_only_to_the_incarnation_that_it_led_to() {
     let address = endpoint(Script::Keep(WHOLE)).await;
     let connection = Connection::open(address, LIMIT).await.unwrap();
-    let (_, connection) = connection.start(&request()).await.unwrap().whole().await.unwrap();
+    let (_, connection) = connection.start(&request()).await.unwrap().read_all().await.unwrap();
     let mut pool = Pool::default();
     pool.keep(address, "i-1", connection.unwrap(), None);
     assert!(pool.take(address, "i-2").is_none());
@@ -217,7 +220,7 @@
         stream.write_all(WHOLE).await.unwrap();
     };
     let (incoming, ()) = tokio::join!(connection.start(&request), answering);
-    let (_, connection) = incoming.unwrap().whole().await.unwrap();
+    let (_, connection) = incoming.unwrap().read_all().await.unwrap();
     drop(connection);
     assert_eq!(stream.read(&mut [0; 16]).await.unwrap(), 0);
 }
--- a/components/http/tests/server.rs
+++ b/components/http/tests/server.rs
@@ -108,7 +108,7 @@
 #[actix_rt::test]
 async fn a_refusal_of_what_is_too_large_can_be_read() {
     let server = Rc::new(Server::default());
-    server.set_bounds(Bounds { head: 1_000, body: 1_000, ..Bounds::default() });
+    server.set_bounds(Bounds { max_head_bytes: 1_000, max_body_bytes: 1_000, ..Bounds::default() });
     let address = start(server, echo).await;
     let long = format!("GET / HTTP/1.1\r\nhost: a\r\nx-long: {}\r\n\r\n", "a".repeat(100_000));
     let text = read_all(&mut send(address, long.as_bytes()).await).await;
@@ -130,7 +130,7 @@
 #[actix_rt::test]
 async fn a_head_that_comes_too_slowly_is_refused_as_not_run() {
     let server = Rc::new(Server::default());
-    server.set_bounds(Bounds { read: Duration::from_millis(50), ..Bounds::default() });
+    server.set_bounds(Bounds { read_timeout: Duration::from_millis(50), ..Bounds::default() });
     let address = start(server, echo).await;
     let text = read_all(&mut send(address, b"GET / HTTP/1.1\r\nho").await).await;
     assert!(text.starts_with("HTTP/1.1 408"), "{text}");
@@ -145,7 +145,7 @@
             request.headers.set("host", host);
         }
         let connection = Connection::open(address, WAIT).await.unwrap();
-        let (reply, _) = connection.start(&request).await.unwrap().whole().await.unwrap();
+        let (reply, _) = connection.start(&request).await.unwrap().read_all().await.unwrap();
         assert_eq!(reply.status, StatusCode::OK);
         assert_eq!(&reply.body[..], b"body");
         assert_eq!(reply.headers.get("x-target"), Some("/a?b=c"));
--- a/components/node/src/crashes.rs
+++ b/components/node/src/crashes.rs
@@ -9,8 +9,8 @@
 
 use chicoryford_fleet::crashes::Crash;
 use chicoryford_fleet::crashes::LocalCrashes;
-use chicoryford_http::Broken;
 use chicoryford_http::Connection;
+use chicoryford_http::ExchangeError;
 use chicoryford_http::Request;
 use chicoryford_types::Fingerprint;
 
@@ -111,7 +111,7 @@
 pub async fn has_crashed(address: SocketAddr) -> bool {
     tokio::time::sleep(PROBE_DELAY).await;
     match Connection::open(address, CONNECT_TIMEOUT).await {
-        Err(Broken::NotSent(error)) => error.kind() == ErrorKind::ConnectionRefused,
+        Err(ExchangeError::NotSent(error)) => error.kind() == ErrorKind::ConnectionRefused,
         _ => false,
     }
 }
--- a/components/node/src/entry.rs
+++ b/components/node/src/entry.rs
@@ -410,9 +410,9 @@
     let Update::Config(config) = update else { return };
     let Some(limits) = config.limits else { return };
     server.set_bounds(Bounds {
-        head: limits.head as usize,
-        body: limits.body as usize,
-        read: Duration::from_millis(limits.read_ms),
-        idle: Duration::from_millis(limits.idle_ms),
+        max_head_bytes: limits.head as usize,
+        max_body_bytes: limits.body as usize,
+        read_timeout: Duration::from_millis(limits.read_ms),
+        idle_timeout: Duration::from_millis(limits.idle_ms),
     });
 }
--- a/components/node/src/forward/mod.rs
+++ b/components/node/src/forward/mod.rs
@@ -16,8 +16,8 @@
 use chicoryford_fleet::pick::AttemptOutcome;
 use chicoryford_fleet::pick::Picker;
 use chicoryford_fleet::pick::Target;
-use chicoryford_http::Broken;
 use chicoryford_http::Connection;
+use chicoryford_http::ExchangeError;
 use chicoryford_http::Pool;
 use chicoryford_http::Reply;
 use chicoryford_http::Request;
@@ -239,7 +239,7 @@
                 AttemptResult::NotRun
             }
             Ok((Meaning::Foreign, _)) => {
-                attempt.log(request, "foreign", &Broken::Unfit("another request's reply"));
+                attempt.log(request, "foreign", &ExchangeError::Invalid("another request's reply"));
                 attempt.end(AttemptOutcome::Failed);
                 AttemptResult::Lost
             }
@@ -248,7 +248,7 @@
                 attempt.end(AttemptOutcome::Failed);
                 match error {
                     error if error.is_unsent() => AttemptResult::Unsent,
-                    Broken::Unfit(_) => AttemptResult::Lost,
+                    ExchangeError::Invalid(_) => AttemptResult::Lost,
                     _ => AttemptResult::Broken(target.address),
                 }
             }
@@ -260,14 +260,14 @@
         connection: Connection,
         request: &Request,
         target: &Target,
-    ) -> Result<(Meaning, Reply), Broken> {
+    ) -> Result<(Meaning, Reply), ExchangeError> {
         let incoming = connection.start(request).await?;
         let (status, attempt) = (incoming.status, plain::attempt(request));
         let meaning = plain::meaning(status, &incoming.headers, attempt);
         if meaning == Meaning::Foreign {
             return Ok((meaning, Reply::new(status, "")));
         }
-        let (reply, connection) = incoming.whole().await?;
+        let (reply, connection) = incoming.read_all().await?;
         if let Some(connection) = connection {
             let keep_alive = reply.headers.get("keep-alive");
             self.pool.borrow_mut().keep(target.address, &target.id, connection, keep_alive);
--- a/components/node/src/leader/usage.rs
+++ b/components/node/src/leader/usage.rs
@@ -17,8 +17,8 @@
 use chicoryford_fleet::usage::Totals;
 use chicoryford_fleet::usage::UsageReport;
 use chicoryford_fleet::usage::Windows;
-use chicoryford_http::Broken;
 use chicoryford_http::Connection;
+use chicoryford_http::ExchangeError;
 use chicoryford_http::Request;
 use chicoryford_platform::duty;
 use chicoryford_platform::duty::Taken;
@@ -169,13 +169,17 @@
 /// transit is not executed after the time for which the duty is held. A VM that was frozen while
 /// connecting must not send the request afterwards: its timers have not noticed the freeze, but
 /// this clock has.
-async fn call(platform: SocketAddr, request: &Request, until: Millis) -> Result<Taken, Broken> {
+async fn call(
+    platform: SocketAddr,
+    request: &Request,
+    until: Millis,
+) -> Result<Taken, ExchangeError> {
     let connection = Connection::open(platform, CONNECT_TIMEOUT).await?;
     if clock::now() >= until {
-        return Err(Broken::NotSent(std::io::Error::from(std::io::ErrorKind::TimedOut)));
+        return Err(ExchangeError::NotSent(std::io::Error::from(std::io::ErrorKind::TimedOut)));
     }
     let incoming = connection.start(request).await?;
-    let (reply, _) = incoming.whole().await?;
+    let (reply, _) = incoming.read_all().await?;
     Ok(duty::taken(reply.status))
 }
 
--- a/components/node/src/orders.rs
+++ b/components/node/src/orders.rs
@@ -12,8 +12,8 @@
 use chicoryford_fleet::swap;
 use chicoryford_fleet::swap::ModelDemand;
 use chicoryford_fleet::swap::WeightLoad;
-use chicoryford_http::Broken;
 use chicoryford_http::Connection;
+use chicoryford_http::ExchangeError;
 use chicoryford_http::Reply;
 use chicoryford_http::Request;
 use chicoryford_platform::endpoint;
@@ -217,13 +217,14 @@
     leader: &Rc<Leader>,
     load: &WeightLoad,
     address: SocketAddr,
-) -> Result<Report, Broken> {
+) -> Result<Report, ExchangeError> {
     let request = endpoint::report_request(&load.endpoint);
     let reply = call(leader, load, address, &request).await?;
     if !reply.status.is_success() {
-        return Err(Broken::Unfit("no report"));
+        return Err(ExchangeError::Invalid("no report"));
     }
-    endpoint::report(&reply.body).map_err(|_| Broken::Unfit("a report that cannot be read"))
+    endpoint::report(&reply.body)
+        .map_err(|_| ExchangeError::Invalid("a report that cannot be read"))
 }
 
 fn has_version(leader: &Rc<Leader>, load: &WeightLoad, report: &Report) -> bool {
@@ -305,20 +306,20 @@
     load: &WeightLoad,
     address: SocketAddr,
     request: &Request,
-) -> Result<Reply, Broken> {
+) -> Result<Reply, ExchangeError> {
     let exchange = async {
         let pooled = leader.pool.borrow_mut().take(address, &load.endpoint);
         let connection = match pooled {
             Some(connection) => connection,
             None => Connection::open(address, CALL_TIMEOUT).await?,
         };
-        let (reply, connection) = connection.start(request).await?.whole().await?;
+        let (reply, connection) = connection.start(request).await?.read_all().await?;
         if let Some(connection) = connection {
             let keep_alive = reply.headers.get("keep-alive");
             leader.pool.borrow_mut().keep(address, &load.endpoint, connection, keep_alive);
         }
         Ok(reply)
     };
-    let timed_out = |_| Broken::Lost(std::io::Error::from(std::io::ErrorKind::TimedOut));
+    let timed_out = |_| ExchangeError::Lost(std::io::Error::from(std::io::ErrorKind::TimedOut));
     tokio::time::timeout(CALL_TIMEOUT, exchange).await.map_err(timed_out)?
 }
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -131,7 +131,7 @@
 
 async fn open(address: SocketAddr, data_centre: &str) -> Option<Connection> {
     let stream = socket::connect(address, CONNECT_TIMEOUT).await.ok()?;
-    socket::limit_silence(&stream, ACK_TIMEOUT).ok()?;
+    socket::set_unacknowledged_timeout(&stream, ACK_TIMEOUT).ok()?;
     let mut socket = Framed::new(stream, frames());
     let hello = Hello::Replica { data_centre: data_centre.to_owned() };
     socket.send(encode(&hello)).await.ok()?;
--- a/components/node/src/replica.rs
+++ b/components/node/src/replica.rs
@@ -33,7 +33,7 @@
 use chicoryford_control::disk;
 use chicoryford_control::disk::Job;
 use chicoryford_control::disk::Report;
-use chicoryford_control::error::ContentError;
+use chicoryford_control::error::DecodeError;
 use chicoryford_fleet::ApplyOutcome;
 use chicoryford_fleet::Command;
 use chicoryford_fleet::Stamped;
@@ -87,7 +87,7 @@
     Storage(#[from] StorageError),
     /// Its data folder has content that this release cannot read.
     #[error(transparent)]
-    Content(#[from] ContentError),
+    Content(#[from] DecodeError),
     /// The state in its snapshot cannot be decoded.
     #[error("the state in the snapshot cannot be read")]
     State(#[from] rmp_serde::decode::Error),
@@ -140,13 +140,13 @@
         peers: Peers,
     ) -> Result<(Rc<Self>, Receiver<Report>), ReplicaError> {
         let storage_settings = StorageSettings {
-            segment: SEGMENT_BYTES,
-            kept: LOG_TAIL_ENTRIES,
+            segment_bytes: SEGMENT_BYTES,
+            retained_entries: LOG_TAIL_ENTRIES,
             identity: new_identity(),
         };
         let (storage, recovered) = Storage::open(folder, storage_settings, Disk::default())?;
         let id = ReplicaId::new(Node::from(own.to_string().as_str()), recovered.identity);
-        let saved = convert::saved(recovered)?;
+        let saved = convert::saved_state(recovered)?;
         let mut state = State::default();
         let mut applied = EntryId::default();
         if let Some(snapshot) = &saved.snapshot {
@@ -328,8 +328,10 @@
     fn handle_report(&self, report: Report) {
         match report {
             Report::Synced { write, .. } => self.handle_event(Event::Synced { write }),
-            Report::Encoded(snapshot) => self.backlog.borrow_mut().push_back(Job::Keep(snapshot)),
-            Report::Kept(snapshot) => {
+            Report::SnapshotEncoded(snapshot) => {
+                self.backlog.borrow_mut().push_back(Job::SaveSnapshot(snapshot))
+            }
+            Report::SnapshotSaved(snapshot) => {
                 self.taking_snapshot.set(false);
                 self.snapshot_index.set(self.snapshot_index.get().max(snapshot.meta.last.index));
                 self.handle_event(Event::SnapshotTaken(snapshot));
@@ -466,7 +468,8 @@
         drop(std::thread::spawn(move || {
             let data = rmp_serde::to_vec(&state).expect("the state is plain data");
             tracing::info!(event = "snapshot_encoded", index = meta.last.index, bytes = data.len());
-            let _ = encoded_reports.send_blocking(Report::Encoded(convert::join(meta, data)));
+            let _ = encoded_reports
+                .send_blocking(Report::SnapshotEncoded(convert::build_snapshot(meta, data)));
         }));
     }
 }
--- a/components/node/src/runner/execute.rs
+++ b/components/node/src/runner/execute.rs
@@ -9,9 +9,9 @@
 use chicoryford_fleet::run::Job;
 use chicoryford_fleet::run::RunStatus;
 use chicoryford_fleet::sse::SseReader;
-use chicoryford_http::Broken;
 use chicoryford_http::Connection;
-use chicoryford_http::Incoming;
+use chicoryford_http::ExchangeError;
+use chicoryford_http::IncomingReply;
 use chicoryford_http::Request;
 use chicoryford_platform::plain;
 use chicoryford_platform::plain::Meaning;
@@ -55,7 +55,8 @@
         Err(error) => {
             let (sample, events) = (&job.sample.id, state.output.borrow().events.len());
             tracing::info!(event = "run_broken", sample, endpoint = job.endpoint, events, %error);
-            let connection_broke = matches!(error, Broken::Lost(_) | Broken::Short);
+            let connection_broke =
+                matches!(error, ExchangeError::Lost(_) | ExchangeError::Truncated);
             let made_no_progress = events <= job.output.events.len();
             if connection_broke && made_no_progress && has_crashed(job.address).await {
                 RunEnd::Crashed
@@ -73,7 +74,7 @@
     runner: &Rc<Runner>,
     job: &Job,
     state: &Rc<RunState>,
-) -> Result<Option<RunEnd>, Broken> {
+) -> Result<Option<RunEnd>, ExchangeError> {
     let request = request(job, state.budget.left_ms());
     let pooled = runner.pool.borrow_mut().take(job.address, &job.endpoint);
     let connection = match pooled {
@@ -96,11 +97,11 @@
         (Meaning::Answer, _) => RunEnd::Broken,
         (Meaning::NotRun, _) => RunEnd::Full,
         (Meaning::Moved, _) => RunEnd::Moved,
-        (Meaning::Foreign, _) => return Err(Broken::Unfit("another request's reply")),
+        (Meaning::Foreign, _) => return Err(ExchangeError::Invalid("another request's reply")),
     };
     let rest = async {
         while incoming.next().await?.is_some() {}
-        Ok::<(), Broken>(())
+        Ok::<(), ExchangeError>(())
     };
     if let Ok(Ok(())) = tokio::time::timeout(EVENT_TIMEOUT, rest).await {
         keep_connection(runner, job, incoming);
@@ -121,16 +122,16 @@
     sample::request(&job.sample, &run)
 }
 
-fn timed_out() -> Broken {
-    Broken::Lost(std::io::Error::from(std::io::ErrorKind::TimedOut))
+fn timed_out() -> ExchangeError {
+    ExchangeError::Lost(std::io::Error::from(std::io::ErrorKind::TimedOut))
 }
 
 async fn read_events(
     runner: &Rc<Runner>,
     job: &Job,
     state: &Rc<RunState>,
-    mut incoming: Incoming,
-) -> Result<Option<RunEnd>, Broken> {
+    mut incoming: IncomingReply,
+) -> Result<Option<RunEnd>, ExchangeError> {
     let mut version = sample::version(&incoming.headers).unwrap_or(job.version);
     let mut reader = SseReader::default();
     loop {
@@ -141,19 +142,21 @@
             version = event.version.unwrap_or(version);
             if !append_event(job, &mut state.output.borrow_mut(), event, version) {
                 *state.output.borrow_mut() = SampleOutput::default();
-                return Err(Broken::Unfit("an event out of order or of the wrong version"));
+                return Err(ExchangeError::Invalid(
+                    "an event out of order or of the wrong version",
+                ));
             }
             state.last_event.set(clock::now());
         }
     }
     if !reader.is_at_boundary() {
-        return Err(Broken::Short);
+        return Err(ExchangeError::Truncated);
     }
     keep_connection(runner, job, incoming);
     Ok(None)
 }
 
-fn keep_connection(runner: &Rc<Runner>, job: &Job, incoming: Incoming) {
+fn keep_connection(runner: &Rc<Runner>, job: &Job, incoming: IncomingReply) {
     let keep_alive = incoming.headers.get("keep-alive").map(str::to_owned);
     if let Some(connection) = incoming.into_connection() {
         let mut pool = runner.pool.borrow_mut();
--- a/components/node/src/start.rs
+++ b/components/node/src/start.rs
@@ -375,7 +375,7 @@
         let began = clock::now();
         self.stopping.set(true);
         self.server.close();
-        tracing::info!(event = "draining", in_progress = self.server.busy());
+        tracing::info!(event = "draining", in_progress = self.server.active_requests());
         if let Some(replica) = &self.replica {
             replica.hand_over();
             while replica.leads() && clock::now().since(began) < HAND_OVER_TIMEOUT_MS {
@@ -386,14 +386,14 @@
             let limit = self.settings.grace_ms.saturating_sub(KILL_MARGIN_MS);
             loop {
                 let ms = clock::now().since(began);
-                let idle = self.server.busy() == 0 && ms >= MIN_DRAIN_MS;
+                let idle = self.server.active_requests() == 0 && ms >= MIN_DRAIN_MS;
                 if idle || ms >= limit {
                     break;
                 }
                 tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
             }
         }
-        let (ms, in_progress) = (clock::now().since(began), self.server.busy());
+        let (ms, in_progress) = (clock::now().since(began), self.server.active_requests());
         tracing::info!(event = "stopped", ms, in_progress);
     }
 }
--- a/components/storage/src/atomic.rs
+++ b/components/storage/src/atomic.rs
@@ -22,7 +22,7 @@
 /// Bytes before the body: magic, format, length, checksum.
 pub const HEADER: usize = 8 + 4 + 8 + 4;
 /// The ending of a file that is not yet renamed into place.
-pub const UNFINISHED: &str = "tmp";
+pub const TEMP_EXTENSION: &str = "tmp";
 
 /// Replaces the file `path` by one that holds `value`.
 ///
@@ -43,7 +43,7 @@
     whole.extend_from_slice(&(body.len() as u64).to_be_bytes());
     whole.extend_from_slice(&checksum(magic, &body).to_be_bytes());
     whole.extend_from_slice(&body);
-    let unfinished = path.with_extension(UNFINISHED);
+    let unfinished = path.with_extension(TEMP_EXTENSION);
     let mut file = File::create(&unfinished).map_err(write_error("create", &unfinished))?;
     if let Err(error) = (disk.write)(&mut file, &whole) {
         // It would hold on to room that is wanted.
--- a/components/storage/src/record.rs
+++ b/components/storage/src/record.rs
@@ -15,7 +15,7 @@
 pub const HEADER: usize = 4 + 4 + 1 + 8 + 8 + 8;
 
 const ENTRY: u8 = 1;
-const SEAL: u8 = 2;
+const SYNC_MARK: u8 = 2;
 
 /// One record as it was read.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -34,8 +34,8 @@
 }
 
 /// Appends a record that only tells what is synced.
-pub fn encode_seal(out: &mut Vec<u8>, synced: u64) {
-    put(out, SEAL, synced, &Entry::default());
+pub fn encode_sync_mark(out: &mut Vec<u8>, synced: u64) {
+    put(out, SYNC_MARK, synced, &Entry::default());
 }
 
 fn put(out: &mut Vec<u8>, kind: u8, synced: u64, entry: &Entry) {
@@ -57,7 +57,7 @@
     let number = |at: usize| u64::from_be_bytes(header[at..at + 8].try_into().expect("8 bytes"));
     let length = u32::from_be_bytes(header[4..8].try_into().expect("4 bytes")) as usize;
     let kind = header[8];
-    if kind != ENTRY && kind != SEAL {
+    if kind != ENTRY && kind != SYNC_MARK {
         return None;
     }
     let length = HEADER.checked_add(length)?;
--- a/components/storage/src/salvage.rs
+++ b/components/storage/src/salvage.rs
@@ -30,7 +30,7 @@
 pub fn salvage(folder: &Path) -> Result<Salvaged, StorageError> {
     let snapshot = snapshot::read(folder)?;
     let log = folder.join(LOG);
-    let files = if log.is_dir() { list(&log, segment::ENDING)? } else { Vec::new() };
+    let files = if log.is_dir() { list(&log, segment::EXTENSION)? } else { Vec::new() };
     let mut entries: Vec<Entry> = Vec::new();
     for (place, (first, path)) in files.iter().enumerate() {
         let missing = |what| StorageError::Corrupt { path: path.clone(), offset: 0, what };
--- a/components/storage/src/segment.rs
+++ b/components/storage/src/segment.rs
@@ -23,7 +23,7 @@
 /// Bytes before the first record: magic, format, first index, checksum.
 pub const HEADER: usize = 8 + 4 + 8 + 4;
 /// The ending of a segment's name.
-pub const ENDING: &str = "log";
+pub const EXTENSION: &str = "log";
 const MAGIC: &[u8; 8] = b"cflogseg";
 
 /// An open segment.
@@ -33,7 +33,7 @@
     /// The index of the first entry that it holds or will hold.
     pub first: u64,
     /// The epoch and the offset of each entry.
-    pub places: Vec<(Epoch, u64)>,
+    pub offsets: Vec<(Epoch, u64)>,
     /// Bytes written.
     pub length: u64,
     /// Bytes known to be synced.
@@ -48,12 +48,12 @@
     /// Its entries.
     pub entries: Vec<Entry>,
     /// Bytes of a torn write that were cut off its end.
-    pub cut: u64,
+    pub truncated_bytes: u64,
 }
 
 /// Gives the name of the segment that starts with entry `first`; names sort as their entries.
 pub fn path(folder: &Path, first: u64) -> PathBuf {
-    folder.join(format!("{first:020}.{ENDING}"))
+    folder.join(format!("{first:020}.{EXTENSION}"))
 }
 
 impl Segment {
@@ -76,7 +76,7 @@
         (disk.sync)(&file).map_err(io_error("sync", &path))?;
         (disk.sync_folder)(folder).map_err(io_error("sync", folder))?;
         let length = HEADER as u64;
-        Ok(Self { path, first, places: Vec::new(), length, synced: length, file })
+        Ok(Self { path, first, offsets: Vec::new(), length, synced: length, file })
     }
 
     /// Opens a segment. Only the last one of a log may have a torn end; it is cut off.
@@ -94,27 +94,27 @@
     ) -> Result<Option<Loaded>, StorageError> {
         let Some(read) = read(path, first, last)? else { return Ok(None) };
         let file = OpenOptions::new().append(true).open(path).map_err(io_error("open", path))?;
-        if read.cut > 0 {
+        if read.truncated_bytes > 0 {
             file.set_len(read.good).map_err(io_error("cut", path))?;
         }
         // What was read may still be only in the page cache of a kernel that lives on after the
         // process was killed; it counts as synced only from here.
         (disk.sync)(&file).map_err(io_error("sync", path))?;
-        let Read { entries, places, good, cut } = read;
+        let Read { entries, offsets, good, truncated_bytes } = read;
         let path = path.to_owned();
-        let segment = Self { path, first, places, length: good, synced: good, file };
-        Ok(Some(Loaded { segment, entries, cut }))
+        let segment = Self { path, first, offsets, length: good, synced: good, file };
+        Ok(Some(Loaded { segment, entries, truncated_bytes }))
     }
 
     /// Gives the index of the last entry, or one less than the first if there is none.
-    pub fn last(&self) -> u64 {
-        self.first + self.places.len() as u64 - 1
+    pub fn last_index(&self) -> u64 {
+        self.first + self.offsets.len() as u64 - 1
     }
 
     /// Gives the epoch of an entry that it holds.
     pub fn epoch(&self, index: u64) -> Option<Epoch> {
         let place = index.checked_sub(self.first)?;
-        self.places.get(place as usize).map(|(epoch, _)| *epoch)
+        self.offsets.get(place as usize).map(|(epoch, _)| *epoch)
     }
 
     /// Reads an entry back from the file.
@@ -125,10 +125,10 @@
     /// written.
     pub fn read(&self, index: u64) -> Result<Option<Entry>, StorageError> {
         let place = index.checked_sub(self.first).map(|place| place as usize);
-        let Some((_, offset)) = place.and_then(|place| self.places.get(place)) else {
+        let Some((_, offset)) = place.and_then(|place| self.offsets.get(place)) else {
             return Ok(None);
         };
-        let next = place.and_then(|place| self.places.get(place + 1));
+        let next = place.and_then(|place| self.offsets.get(place + 1));
         let end = next.map_or(self.length, |(_, offset)| *offset);
         let mut bytes = vec![0; (end - offset) as usize];
         let mut file = File::open(&self.path).map_err(io_error("open", &self.path))?;
@@ -147,15 +147,15 @@
     /// [`StorageError::Io`]; part of them may then have been written. [`StorageError::Full`]; none
     /// of them is then there.
     pub fn append(&mut self, disk: &Disk, entries: &[Entry]) -> Result<(), StorageError> {
-        let before = self.places.len();
+        let before = self.offsets.len();
         let mut out = Vec::new();
         for entry in entries {
-            self.places.push((entry.epoch, self.length + out.len() as u64));
+            self.offsets.push((entry.epoch, self.length + out.len() as u64));
             record::encode(&mut out, self.synced, entry);
         }
         let written = self.write(disk, &out);
         if written.is_err() {
-            self.places.truncate(before);
+            self.offsets.truncate(before);
         }
         written
     }
@@ -171,7 +171,7 @@
         }
         (disk.sync)(&self.file).map_err(io_error("sync", &self.path))?;
         let mut seal = Vec::new();
-        record::encode_seal(&mut seal, self.length);
+        record::encode_sync_mark(&mut seal, self.length);
         match self.write(disk, &seal) {
             // What was synced stays so; the note only tells damage from a torn write.
             Err(error) if error.is_full() => {}
@@ -201,10 +201,10 @@
     /// [`StorageError::Io`].
     pub fn truncate(&mut self, disk: &Disk, index: u64) -> Result<(), StorageError> {
         let keep = (index - self.first) as usize;
-        let Some((_, offset)) = self.places.get(keep).copied() else { return Ok(()) };
+        let Some((_, offset)) = self.offsets.get(keep).copied() else { return Ok(()) };
         self.file.set_len(offset).map_err(io_error("cut", &self.path))?;
         (disk.sync)(&self.file).map_err(io_error("sync", &self.path))?;
-        self.places.truncate(keep);
+        self.offsets.truncate(keep);
         self.length = offset;
         self.synced = offset;
         Ok(())
@@ -229,11 +229,11 @@
     /// Its entries.
     pub entries: Vec<Entry>,
     /// The epoch and the offset of each entry.
-    pub places: Vec<(Epoch, u64)>,
+    pub offsets: Vec<(Epoch, u64)>,
     /// Bytes that are whole.
     pub good: u64,
     /// Bytes of a torn write after them.
-    pub cut: u64,
+    pub truncated_bytes: u64,
 }
 
 /// Reads a segment without changing it; gives none if its creation was torn.
@@ -255,13 +255,13 @@
     if whole[..HEADER] != header(first)[..] {
         return Err(corrupt(0, Damage::Checksum));
     }
-    let (entries, places, good) = scan(&whole, first).map_err(|at| corrupt(at, Damage::Order))?;
+    let (entries, offsets, good) = scan(&whole, first).map_err(|at| corrupt(at, Damage::Order))?;
     let torn = good < whole.len();
     if torn && (!last || record::proves_synced(&whole, good)) {
         return Err(corrupt(good as u64, Damage::Checksum));
     }
-    let cut = (whole.len() - good) as u64;
-    Ok(Some(Read { entries, places, good: good as u64, cut }))
+    let truncated_bytes = (whole.len() - good) as u64;
+    Ok(Some(Read { entries, offsets, good: good as u64, truncated_bytes }))
 }
 
 fn header(first: u64) -> [u8; HEADER] {
@@ -280,17 +280,17 @@
 /// offset of an entry that is whole but does not follow its predecessor.
 fn scan(whole: &[u8], first: u64) -> Result<Scanned, u64> {
     let mut entries: Vec<Entry> = Vec::new();
-    let mut places = Vec::new();
+    let mut offsets = Vec::new();
     let mut at = HEADER;
     while let Some(record) = record::decode(&whole[at..]) {
         if let Some(entry) = record.entry {
             if entry.index != first + entries.len() as u64 {
                 return Err(at as u64);
             }
-            places.push((entry.epoch, at as u64));
+            offsets.push((entry.epoch, at as u64));
             entries.push(entry);
         }
         at += record.length;
     }
-    Ok((entries, places, at))
+    Ok((entries, offsets, at))
 }
--- a/components/storage/src/snapshot.rs
+++ b/components/storage/src/snapshot.rs
@@ -11,11 +11,11 @@
 use crate::error::StorageError;
 
 /// The ending of a snapshot's name.
-pub const ENDING: &str = "snapshot";
+pub const EXTENSION: &str = "snapshot";
 const MAGIC: &[u8; 8] = b"cfsnapsh";
 
 fn path(folder: &Path, index: u64) -> PathBuf {
-    folder.join(format!("{index:020}.{ENDING}"))
+    folder.join(format!("{index:020}.{EXTENSION}"))
 }
 
 /// Writes a snapshot and, once it is on the disk, removes the older ones.
@@ -26,7 +26,7 @@
 pub fn write(disk: &Disk, folder: &Path, snapshot: &Snapshot) -> Result<(), StorageError> {
     let new = path(folder, snapshot.index);
     atomic::write(disk, &new, MAGIC, snapshot)?;
-    for (index, old) in list(folder, ENDING)? {
+    for (index, old) in list(folder, EXTENSION)? {
         if index < snapshot.index {
             fs::remove_file(&old).map_err(io_error("remove", &old))?;
         }
@@ -41,7 +41,7 @@
 ///
 /// [`StorageError::Corrupt`] if it is damaged.
 pub fn read(folder: &Path) -> Result<Option<Snapshot>, StorageError> {
-    let Some((_, newest)) = list(folder, ENDING)?.pop() else { return Ok(None) };
+    let Some((_, newest)) = list(folder, EXTENSION)?.pop() else { return Ok(None) };
     atomic::read(&newest, MAGIC)
 }
 
--- a/components/storage/src/storage.rs
+++ b/components/storage/src/storage.rs
@@ -40,17 +40,17 @@
 #[derive(Clone, Debug)]
 pub struct StorageSettings {
     /// Bytes after which a new segment is begun; whole segments are what compaction removes.
-    pub segment: u64,
+    pub segment_bytes: u64,
     /// Entries kept before a snapshot, so that a follower that lags a little need not be sent
     /// the whole snapshot.
-    pub kept: u64,
+    pub retained_entries: u64,
     /// The identity that a new data folder gets: the moment of its creation.
     pub identity: Incarnation,
 }
 
 impl Default for StorageSettings {
     fn default() -> Self {
-        Self { segment: 8 << 20, kept: 4_096, identity: Incarnation(0) }
+        Self { segment_bytes: 8 << 20, retained_entries: 4_096, identity: Incarnation(0) }
     }
 }
 
@@ -61,7 +61,7 @@
     /// not vote as if it remembered what the lost one promised.
     pub identity: Incarnation,
     /// Whether the folder was empty and has just been given its identity.
-    pub new: bool,
+    pub is_new: bool,
     /// The highest epoch seen, and the vote in it.
     pub hard: HardState,
     /// The newest snapshot.
@@ -69,7 +69,7 @@
     /// The entries of the log in order.
     pub entries: Vec<Entry>,
     /// Bytes of a torn write that were cut off the end of the log.
-    pub cut: u64,
+    pub truncated_bytes: u64,
 }
 
 /// The log, snapshots and hard state in one data folder.
@@ -101,9 +101,9 @@
         create_private(&log).map_err(io_error("create", &log))?;
         let lock = lock(folder)?;
         remove_unfinished(folder)?;
-        let (identity, hard, new) = identify(&disk, folder, settings.identity)?;
+        let (identity, hard, is_new) = identify(&disk, folder, settings.identity)?;
         let snapshot = snapshot::read(folder)?;
-        let (segments, entries, cut) = load_log(&disk, &log)?;
+        let (segments, entries, truncated_bytes) = load_log(&disk, &log)?;
         let covered = snapshot.as_ref().map_or(0, |s| s.index);
         let failure = None;
         let folder = folder.to_owned();
@@ -112,12 +112,12 @@
         tracing::info!(
             event = "storage_opened",
             identity = identity.0,
-            new,
+            new = is_new,
             snapshot = covered,
             entries = entries.len(),
-            cut
+            cut = truncated_bytes
         );
-        Ok((storage, Recovered { identity, new, hard, snapshot, entries, cut }))
+        Ok((storage, Recovered { identity, is_new, hard, snapshot, entries, truncated_bytes }))
     }
 
     /// Gives the failure after which nothing is written any more.
@@ -126,8 +126,8 @@
     }
 
     /// Gives the index of the last entry, synced or not.
-    pub fn last(&self) -> u64 {
-        self.segments.last().map_or(self.covered, Segment::last)
+    pub fn last_index(&self) -> u64 {
+        self.segments.last().map_or(self.covered, Segment::last_index)
     }
 
     /// Counts the bytes of the log.
@@ -159,7 +159,7 @@
     pub fn append(&mut self, entries: &[Entry]) -> Result<(), StorageError> {
         self.check()?;
         let Some(first) = entries.first() else { return Ok(()) };
-        let last = self.last();
+        let last = self.last_index();
         let jump = entries.windows(2).find(|pair| pair[1].index != pair[0].index + 1);
         if let Some(pair) = jump {
             return Err(StorageError::Gap { last: pair[0].index, found: pair[1].index });
@@ -182,7 +182,7 @@
     /// [`StorageError`].
     pub fn truncate(&mut self, from: u64) -> Result<(), StorageError> {
         self.check()?;
-        if from > self.last() {
+        if from > self.last_index() {
             return Ok(());
         }
         self.guard(|s| s.cut_from(from))
@@ -207,7 +207,7 @@
     /// # Errors
     ///
     /// [`StorageError`]; the vote must then not be given.
-    pub fn save_hard(&mut self, hard: &HardState) -> Result<(), StorageError> {
+    pub fn save_hard_state(&mut self, hard: &HardState) -> Result<(), StorageError> {
         self.check()?;
         self.guard(|s| atomic::write(&s.disk, &s.folder.join(HARD), HARD_MAGIC, hard))
     }
@@ -247,7 +247,9 @@
             return Err(StorageError::Corrupt { path, offset, what });
         }
         let Some(snapshot) = snapshot else { return Ok(entries) };
-        if self.last() < self.covered || (first.first <= self.covered && !self.agrees(snapshot)) {
+        if self.last_index() < self.covered
+            || (first.first <= self.covered && !self.agrees(snapshot))
+        {
             self.clear()?;
             return Ok(Vec::new());
         }
@@ -255,7 +257,7 @@
     }
 
     fn append_all(&mut self, entries: &[Entry]) -> Result<(), StorageError> {
-        let full = self.segments.last().is_none_or(|s| s.length >= self.settings.segment);
+        let full = self.segments.last().is_none_or(|s| s.length >= self.settings.segment_bytes);
         if full {
             if let Some(segment) = self.segments.last_mut() {
                 // Only the last segment may have a torn end, so this one must be whole first.
@@ -280,8 +282,8 @@
     }
 
     fn compact(&mut self) -> Result<(), StorageError> {
-        let needless = self.covered.saturating_sub(self.settings.kept);
-        while self.segments.len() > 1 && self.segments[0].last() <= needless {
+        let needless = self.covered.saturating_sub(self.settings.retained_entries);
+        while self.segments.len() > 1 && self.segments[0].last_index() <= needless {
             let segment = self.segments.remove(0);
             self.remove(&segment.path)?;
         }
@@ -336,7 +338,7 @@
 fn remove_unfinished(folder: &Path) -> Result<(), StorageError> {
     for file in fs::read_dir(folder).map_err(io_error("list", folder))? {
         let path = file.map_err(io_error("list", folder))?.path();
-        if path.extension().is_some_and(|e| e == atomic::UNFINISHED) {
+        if path.extension().is_some_and(|e| e == atomic::TEMP_EXTENSION) {
             fs::remove_file(&path).map_err(io_error("remove", &path))?;
         }
     }
@@ -359,8 +361,8 @@
         let held = held.ok_or_else(|| missing(hard))?;
         return Ok((known, held, false));
     }
-    let used = !list(folder, snapshot::ENDING)?.is_empty()
-        || !list(&folder.join(LOG), segment::ENDING)?.is_empty()
+    let used = !list(folder, snapshot::EXTENSION)?.is_empty()
+        || !list(&folder.join(LOG), segment::EXTENSION)?.is_empty()
         || held.is_some_and(|held| held != HardState::default());
     if used {
         return Err(missing(identity));
@@ -373,13 +375,13 @@
 type Log = (Vec<Segment>, Vec<Entry>, u64);
 
 fn load_log(disk: &Disk, folder: &Path) -> Result<Log, StorageError> {
-    let files = list(folder, segment::ENDING)?;
+    let files = list(folder, segment::EXTENSION)?;
     let mut segments: Vec<Segment> = Vec::new();
     let mut entries = Vec::new();
-    let mut cut = 0;
+    let mut truncated_bytes = 0;
     for (place, (first, path)) in files.iter().enumerate() {
         let last = place + 1 == files.len();
-        if segments.last().is_some_and(|s| s.last() + 1 != *first) {
+        if segments.last().is_some_and(|s| s.last_index() + 1 != *first) {
             let (path, what) = (path.clone(), Damage::Order);
             return Err(StorageError::Corrupt { path, offset: 0, what });
         }
@@ -389,9 +391,9 @@
         };
         segments.push(loaded.segment);
         entries.extend(loaded.entries);
-        cut += loaded.cut;
+        truncated_bytes += loaded.truncated_bytes;
     }
-    Ok((segments, entries, cut))
+    Ok((segments, entries, truncated_bytes))
 }
 
 /// Makes a folder that its owner alone can enter: what is stored may show keys of callers. One that
--- a/components/storage/tests/storage.rs
+++ b/components/storage/tests/storage.rs
@@ -34,7 +34,7 @@
 const SEED: u64 = 4;
 
 fn settings() -> StorageSettings {
-    StorageSettings { segment: 400, kept: 2, identity: Incarnation(7) }
+    StorageSettings { segment_bytes: 400, retained_entries: 2, identity: Incarnation(7) }
 }
 
 fn open(folder: &Path) -> Result<(Storage, Recovered), StorageError> {
@@ -63,18 +63,18 @@
     let hard = HardState { epoch: Epoch(3), vote: Some(vote) };
     {
         let (mut storage, recovered) = open(folder.path()).unwrap();
-        assert!(recovered.new);
-        storage.save_hard(&hard).unwrap();
+        assert!(recovered.is_new);
+        storage.save_hard_state(&hard).unwrap();
         storage.append(&entries(1, 3, 1)).unwrap();
         storage.append(&entries(4, 30, 3)).unwrap();
         storage.sync().unwrap();
     }
     let (storage, recovered) = open(folder.path()).unwrap();
-    assert!(!recovered.new);
+    assert!(!recovered.is_new);
     assert_eq!(recovered.identity, Incarnation(7));
     assert_eq!(recovered.hard, hard);
     assert_eq!(recovered.entries, [entries(1, 3, 1), entries(4, 30, 3)].concat());
-    assert_eq!(storage.last(), 30);
+    assert_eq!(storage.last_index(), 30);
 }
 
 #[test]
@@ -239,7 +239,7 @@
         let folder = tempfile::tempdir().unwrap();
         {
             let (mut storage, _) = open(folder.path()).unwrap();
-            storage.save_hard(&HardState { epoch: Epoch(2), vote: None }).unwrap();
+            storage.save_hard_state(&HardState { epoch: Epoch(2), vote: None }).unwrap();
         }
         fs::remove_file(folder.path().join(lost)).unwrap();
         let result = open(folder.path());
@@ -283,7 +283,7 @@
     assert!(matches!(storage.sync(), Err(StorageError::Poisoned(_))));
     assert!(matches!(storage.append(&entries(5, 5, 1)), Err(StorageError::Poisoned(_))));
     let vote = HardState { epoch: Epoch(9), vote: None };
-    assert!(matches!(storage.save_hard(&vote), Err(StorageError::Poisoned(_))));
+    assert!(matches!(storage.save_hard_state(&vote), Err(StorageError::Poisoned(_))));
     assert!(storage.failure().is_some());
     drop(storage);
     let (_, recovered) = open(folder.path()).unwrap();
@@ -333,12 +333,12 @@
             let (next, error) = refused.expect("the room is used up");
             assert!(error.is_full(), "{error}");
             assert!(storage.failure().is_none());
-            assert_eq!(storage.last(), next - 1);
+            assert_eq!(storage.last_index(), next - 1);
             left.store(PLENTY, Ordering::SeqCst);
             if restarts {
                 drop(storage);
                 storage = open(folder.path()).unwrap().0;
-                assert_eq!(storage.last(), next - 1);
+                assert_eq!(storage.last_index(), next - 1);
             }
             storage.append(&entries(next, next + 20, 1)).unwrap();
             storage.sync().unwrap();
@@ -358,7 +358,7 @@
     storage.sync().unwrap();
     left.store(10, Ordering::SeqCst);
     let vote = HardState { epoch: Epoch(5), vote: None };
-    assert!(storage.save_hard(&vote).unwrap_err().is_full());
+    assert!(storage.save_hard_state(&vote).unwrap_err().is_full());
     let snapshot = Snapshot { index: 4, epoch: Epoch(1), body: b"state".to_vec().into() };
     assert!(storage.save_snapshot(&snapshot).unwrap_err().is_full());
     left.store(PLENTY, Ordering::SeqCst);
@@ -380,7 +380,7 @@
         ..Disk::default()
     };
     let (mut storage, _) = Storage::open(folder.path(), settings(), disk).unwrap();
-    assert!(storage.save_hard(&HardState { epoch: Epoch(5), vote: None }).is_err());
+    assert!(storage.save_hard_state(&HardState { epoch: Epoch(5), vote: None }).is_err());
     drop(storage);
     assert_eq!(open(folder.path()).unwrap().1.hard, HardState::default());
 }
@@ -400,7 +400,7 @@
     {
         let (mut storage, recovered) = open(folder.path()).unwrap();
         assert_eq!(recovered.entries, entries(1, 4, 1));
-        assert!(recovered.cut > 0);
+        assert!(recovered.truncated_bytes > 0);
         storage.append(&entries(5, 6, 2)).unwrap();
         storage.sync().unwrap();
     }
