--- a/components/control/examples/commits.rs
+++ b/components/control/examples/commits.rs
@@ -1,5 +1,5 @@
-//! Measures the control role: commits with and without group commit, and recovery after missed
-//! entries. docs/CONTROL.md gives the figures and the command.
+//! Benchmarks the control role: commits with and without group commit, and recovery after missed
+//! entries. docs/CONTROL.md has the results and the command.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -27,11 +27,11 @@
 mod support;
 
 const THREADS: usize = 4;
-/// Proposals that were refused or not answered; most by a loss of leadership.
+/// Proposals that were refused or got no reply, mostly because of a change of leaders.
 static FAILED: AtomicU64 = AtomicU64::new(0);
-const RUN: Duration = Duration::from_secs(5);
+const RUN_TIME: Duration = Duration::from_secs(5);
 
-/// A claim of a call that may not be repeated: what the log carries most often.
+/// A claim of a call that must not be repeated, the most frequent command in the log.
 fn claim(n: u64) -> Command {
     Command::Claim {
         workspace: Workspace::from("w"),
@@ -47,10 +47,10 @@
     println!("replicas group waiting commits/s p50_us p99_us failed");
     for count in [1, 3, 5] {
         for group in [1, 1_024] {
-            for waiting in [1, 64, 1_024] {
-                let case = format!("{count},{group},{waiting}");
+            for concurrency in [1, 64, 1_024] {
+                let case = format!("{count},{group},{concurrency}");
                 if only.as_ref().is_none_or(|only| *only == case) {
-                    commits(count, group, waiting);
+                    commits(count, group, concurrency);
                 }
             }
         }
@@ -67,7 +67,7 @@
     }
 }
 
-fn commits(count: usize, group: usize, waiting: usize) {
+fn commits(count: usize, group: usize, concurrency: usize) {
     let tuning = Tuning { max_batch: group, ..Tuning::default() };
     let cluster = Cluster::start_as(count, tuning, ControlSettings::default());
     let leader = block_on(cluster.leader());
@@ -76,27 +76,27 @@
         &kernel.registry.find::<Handle>(SERVICE).expect("the control role is started"),
     );
     let next = Arc::new(AtomicU64::new(0));
-    let threads: Vec<_> = (0..THREADS.min(waiting))
+    let threads: Vec<_> = (0..THREADS.min(concurrency))
         .map(|_| {
             let (handle, next) = (handle.clone(), next.clone());
-            let each = waiting / THREADS.min(waiting);
+            let each = concurrency / THREADS.min(concurrency);
             std::thread::spawn(move || block_on(propose(&handle, &next, each)))
         })
         .collect();
     let mut times: Vec<u64> =
         threads.into_iter().flat_map(|t| t.join().expect("proposers do not panic")).collect();
     times.sort_unstable();
-    let rate = times.len() as u64 / RUN.as_secs();
+    let rate = times.len() as u64 / RUN_TIME.as_secs();
     let at = |percent: usize| times[times.len() * percent / 100];
     let failed = FAILED.swap(0, Ordering::Relaxed);
-    println!("{count} {group} {waiting} {rate} {} {} {failed}", at(50), at(99));
+    println!("{count} {group} {concurrency} {rate} {} {} {failed}", at(50), at(99));
 }
 
 async fn propose(handle: &Handle, next: &AtomicU64, each: usize) -> Vec<u64> {
     let started = Instant::now();
-    let lanes = (0..each).map(|_| async {
+    let proposers = (0..each).map(|_| async {
         let mut times = Vec::new();
-        while started.elapsed() < RUN {
+        while started.elapsed() < RUN_TIME {
             let sent = Instant::now();
             let command = claim(next.fetch_add(1, Ordering::Relaxed));
             match handle.propose(command).await {
@@ -111,7 +111,7 @@
         }
         times
     });
-    futures_util::future::join_all(lanes).await.concat()
+    futures_util::future::join_all(proposers).await.concat()
 }
 
 fn recovery(missed: u64, tail: u64) {
@@ -121,16 +121,16 @@
     let mut cluster = Cluster::start_as(3, tuning, ControlSettings::default());
     block_on(async {
         let leader = cluster.leader().await;
-        let away = (leader + 1) % 3;
-        cluster.until(away, |s| s.leader.is_some()).await;
-        cluster.kill(away);
+        let absent = (leader + 1) % 3;
+        cluster.until(absent, |s| s.leader.is_some()).await;
+        cluster.kill(absent);
         for n in 0..missed {
             cluster.propose(leader, &claim(n)).await;
         }
         let wanted = cluster.status(leader).await.expect("the leader answers").applied;
         let started = Instant::now();
-        cluster.restart(away);
-        let status = cluster.until(away, |s| s.applied >= wanted).await;
+        cluster.restart(absent);
+        let status = cluster.until(absent, |s| s.applied >= wanted).await;
         let ms = started.elapsed().as_millis();
         let by = if tail == 0 { "snapshot" } else { "entries" };
         println!("{missed} {by} {ms} {}", status.received);
--- a/components/control/examples/snapshot_pause.rs
+++ b/components/control/examples/snapshot_pause.rs
@@ -1,5 +1,5 @@
-//! Measures how long a snapshot holds up the replica's duty, which clones the state, and how long
-//! the encoding takes on the snapshots' own duty.
+//! Benchmarks how long a snapshot blocks the replica's task, which clones the state, and how long
+//! the encoding takes in the snapshot task.
 //!
 //! `cargo run --release -p chicoryford-control --example snapshot_pause`
 
@@ -19,14 +19,14 @@
 
 const STAMP: Unix = Unix(1_800_000_000_000);
 const ROUNDS: usize = 5;
-/// A workspace holds no more than the last.
+/// The numbers of claims. The last one is the maximum for a workspace.
 const CLAIMS: [u64; 3] = [10_000, 50_000, 100_000];
 
 fn main() {
     println!("claims  bytes  clone_ms_median  clone_ms_max  encode_ms");
     for claims in CLAIMS {
-        let state = filled(claims);
-        let mut clones: Vec<f64> = (0..ROUNDS).map(|_| pause(&state)).collect();
+        let state = state_with_claims(claims);
+        let mut clones: Vec<f64> = (0..ROUNDS).map(|_| clone_millis(&state)).collect();
         clones.sort_by(f64::total_cmp);
         let mut bytes = 0;
         let encode = millis(|| bytes = rmp_serde::to_vec_named(&state).map_or(0, |d| d.len()));
@@ -35,7 +35,7 @@
     }
 }
 
-fn filled(claims: u64) -> State {
+fn state_with_claims(claims: u64) -> State {
     let mut state = State::default();
     for n in 0..claims {
         let command = Command::Claim {
@@ -51,8 +51,8 @@
     state
 }
 
-/// Times the clone alone; it is dropped by the duty that encodes it.
-fn pause(state: &State) -> f64 {
+/// Measures the clone alone. The snapshot task drops the copy.
+fn clone_millis(state: &State) -> f64 {
     let mut copy = None;
     millis(|| copy = Some(state.clone()))
 }
--- a/components/control/src/apply.rs
+++ b/components/control/src/apply.rs
@@ -1,4 +1,5 @@
-//! Applies committed entries to the state and feeds its changes to this process.
+//! Applies committed entries to the state and pushes the configuration changes to this process's
+//! feed.
 
 use chicoryford_agreement::Entry;
 use chicoryford_agreement::EntryId;
@@ -12,28 +13,28 @@
 use crate::body::Body;
 use crate::error::DecodeError;
 
-/// The state and how far it has come.
+/// The state and the last entry that was applied to it.
 pub struct Applied {
     /// The state.
     pub state: State,
-    /// The last entry in it.
+    /// The last applied entry.
     pub mark: EntryId,
-    /// Bytes of commands applied since the last snapshot was begun.
+    /// Bytes of commands applied since the last snapshot was started.
     pub bytes: usize,
     feed: Option<Feed>,
 }
 
 impl Applied {
-    /// Starts from nothing; `feed` takes the changes of configuration, if there is one.
+    /// Creates an empty state. Changes of configuration are pushed to `feed`, if there is one.
     pub fn new(feed: Option<Feed>) -> Self {
         Self { state: State::default(), mark: EntryId::default(), bytes: 0, feed }
     }
 
-    /// Replaces the state by that of a snapshot.
+    /// Replaces the state with that of a snapshot.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if another release wrote it.
+    /// Returns [`DecodeError`] if another release wrote it in a format that is not supported.
     pub fn reset(&mut self, snapshot: &Snapshot) -> Result<(), DecodeError> {
         let mark = snapshot.meta.last;
         let state = rmp_serde::from_slice(&snapshot.data);
@@ -46,12 +47,12 @@
         Ok(())
     }
 
-    /// Applies an entry; gives the reply if it carries a command.
+    /// Applies an entry and returns the reply if it contains a command.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if another release wrote a command that this one does not know. To go on
-    /// without it would make this replica's state differ from the others'.
+    /// Returns [`DecodeError`] if another release wrote a command that this release does not
+    /// support. Skipping it would make this replica's state differ from the others'.
     pub fn apply(&mut self, entry: Entry) -> Result<Option<Reply>, DecodeError> {
         let index = entry.id.index;
         let follows = index == self.mark.index + 1;
@@ -62,7 +63,7 @@
             Payload::Data(data) => {
                 self.bytes += data.len();
                 let body = Body::decode(&data).map_err(|source| DecodeError { index, source })?;
-                Some(self.command(entry.id, body))
+                Some(self.apply_command(entry.id, body))
             }
             Payload::Empty | Payload::Members(_) => None,
         };
@@ -70,7 +71,7 @@
         Ok(reply)
     }
 
-    fn command(&mut self, mark: EntryId, body: Body) -> Reply {
+    fn apply_command(&mut self, mark: EntryId, body: Body) -> Reply {
         let before = self.state.config.at;
         let at = Position { epoch: mark.epoch, revision: before.revision.next() };
         let reply = self.state.apply(at, body.stamp, body.command);
--- a/components/control/src/body.rs
+++ b/components/control/src/body.rs
@@ -1,4 +1,4 @@
-//! What an entry of the log carries.
+//! The content of a log entry.
 
 use bytes::Bytes;
 use chicoryford_state::Command;
@@ -6,11 +6,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A command as it stands in the log.
+/// A command as it is stored in the log.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Body {
-    /// The wall clock of the leader that appended it. Each replica applies the command with this
-    /// time instead of its own, so that all of them come to the same state.
+    /// The wall-clock time of the leader that appended it. Each replica applies the command with
+    /// this time instead of its own, so that all of them compute the same state.
     pub stamp: Unix,
     /// The command.
     pub command: Command,
@@ -22,11 +22,12 @@
         rmp_serde::to_vec_named(self).expect("commands are plain data").into()
     }
 
-    /// Decodes what [`Body::encode`] made.
+    /// Decodes the output of [`Body::encode`].
     ///
     /// # Errors
     ///
-    /// The decoder's error, if a later release wrote a command that this one does not know.
+    /// Returns the decoder's error, for instance if a later release wrote a command that this
+    /// release does not support.
     pub fn decode(body: &[u8]) -> Result<Self, rmp_serde::decode::Error> {
         rmp_serde::from_slice(body)
     }
--- a/components/control/src/control_peers.rs
+++ b/components/control/src/control_peers.rs
@@ -1,9 +1,10 @@
-//! The other control processes that gossip knows.
+//! The other control processes, as found by gossip.
 //!
-//! A founder whose disk is lost starts with the settings of the first day. If replicas took the
-//! other founders' places one by one, those it asks are as empty as itself, and it would found a
-//! second deployment beside the running one: two leaders that do not know each other. The
-//! replicas that now run are known by gossip, so the agreement is told of them and asks them too.
+//! A founder whose disk is lost starts again with its original settings, which name only founders.
+//! If all the other founders have been replaced one by one, the processes that it asks are as empty
+//! as itself, and it would found a second deployment next to the running one, with two leaders
+//! unaware of each other. The current replicas are found by gossip, so their nodes are passed to
+//! the agreement, which asks them as well.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,35 +13,35 @@
 use chicoryford_types::Members;
 use chicoryford_types::Node;
 
-/// Looks for changes among the control processes that gossip knows.
+/// Detects changes in the set of control processes found by gossip.
 #[derive(Clone)]
 pub struct ControlPeers {
     members: Arc<Handle>,
     own: Node,
-    known: BTreeMap<Node, String>,
+    last_seen: BTreeMap<Node, String>,
 }
 
 impl ControlPeers {
-    /// Watches all control processes but `own`.
+    /// Watches all control processes except `own`.
     pub fn new(members: Arc<Handle>, own: Node) -> Self {
-        Self { members, own, known: BTreeMap::new() }
+        Self { members, own, last_seen: BTreeMap::new() }
     }
 
-    /// Gives the addresses of all control_peers if they have changed since the last look.
+    /// Returns the addresses of all peers if they have changed since the last call.
     pub fn changed(&mut self) -> Option<&BTreeMap<Node, String>> {
         let found = control_nodes(&self.members.view(), &self.own);
-        if found == self.known {
+        if found == self.last_seen {
             return None;
         }
-        self.known = found;
-        Some(&self.known)
+        self.last_seen = found;
+        Some(&self.last_seen)
     }
 }
 
-/// Gives the nodes that have the control role, with the addresses at which they answer.
+/// Returns the nodes with the control role, except `own`, with their addresses.
 ///
-/// Those that are dead or have left count as well: a neighbour that is only cut off still has
-/// its disk.
+/// Nodes that are dead or have left are included: a peer that is only partitioned still has its
+/// disk.
 pub fn control_nodes(members: &Members, own: &Node) -> BTreeMap<Node, String> {
     let all = members.known.values().map(|known| &known.member);
     let others = all.filter(|member| member.roles.control && member.node != *own);
--- a/components/control/src/disk.rs
+++ b/components/control/src/disk.rs
@@ -1,8 +1,8 @@
-//! The duty that writes and syncs, so that the replica never waits for the disk.
+//! The task that writes and syncs, so that the replica never waits for the disk.
 //!
-//! A disk without room is like one that stalls: nothing is acknowledged until there is room again,
-//! other replicas commit without this one, and it gives no vote. Ending the process would only
-//! bring it back before the same full disk.
+//! A full disk is treated like a stalled one: nothing is acknowledged until there is free space
+//! again, the other replicas commit without this one, and this one casts no vote. Ending the
+//! process would not help, since it would restart with the same full disk.
 
 use std::time::Duration;
 
@@ -15,40 +15,40 @@
 
 use crate::convert;
 
-/// Pause before what the disk had no room for is tried again.
-const FULL_PAUSE: Duration = Duration::from_millis(100);
+/// Pause before a write is retried for which the disk had no space.
+const DISK_FULL_PAUSE: Duration = Duration::from_millis(100);
 
-/// One thing to write.
+/// A write for the disk.
 #[derive(Clone, Debug)]
 pub enum Job {
-    /// What the replica wants kept.
+    /// A write that the replica requested.
     Write(Write),
     /// A snapshot that this process took itself.
     SaveSnapshot(Snapshot),
 }
 
-/// What this duty and that of the snapshots tell the replica.
+/// A report of the disk task or the snapshot task to the replica.
 #[derive(Clone, Debug)]
 pub enum Report {
-    /// All writes up to this one are on the disk.
+    /// All writes up to this one are synced.
     Synced {
-        /// The last write.
+        /// The number of the last write.
         write: u64,
         /// The log's size in bytes.
         bytes: u64,
     },
-    /// A state is encoded and waits to be kept.
+    /// A snapshot is encoded but not yet written.
     SnapshotEncoded(Snapshot),
-    /// The snapshot is on the disk.
+    /// The snapshot is synced.
     SnapshotSaved(Snapshot),
-    /// A write or sync failed; nothing is written any more.
+    /// A write or sync failed. Nothing is written after it.
     Failed(StorageError),
 }
 
-/// Takes jobs until their ring closes; once one has failed, it drops the others.
+/// Processes jobs until their queue is closed. After a failure, it drops all further jobs.
 ///
-/// All jobs that wait are written before one sync serves them together (group commit), at most
-/// `max_batch` of them, so that a measurement can compare with a sync for each.
+/// All queued jobs, at most `max_batch`, are written and then synced together (group commit). The
+/// limit lets a benchmark compare this with one sync for each job.
 pub fn run(
     mut storage: Storage,
     mut jobs: Receiver<Job>,
@@ -81,7 +81,7 @@
 fn write_batch(
     storage: &mut Storage,
     batch: Vec<Job>,
-    ending: impl Fn() -> bool,
+    is_closed: impl Fn() -> bool,
 ) -> Result<Vec<Report>, StorageError> {
     let mut last = None;
     let mut done = Vec::new();
@@ -89,11 +89,11 @@
         match job {
             Job::Write(write) => {
                 last = Some(write.number);
-                when_there_is_room(&ending, || write_one(storage, &write))?;
+                retry_while_full(&is_closed, || apply_write(storage, &write))?;
             }
             Job::SaveSnapshot(snapshot) => {
                 let kept = convert::snapshot(&snapshot);
-                when_there_is_room(&ending, || storage.save_snapshot(&kept))?;
+                retry_while_full(&is_closed, || storage.save_snapshot(&kept))?;
                 done.push(Report::SnapshotSaved(snapshot));
             }
         }
@@ -105,21 +105,21 @@
     Ok(done)
 }
 
-/// Tries a write until the disk has room for it, or nobody waits for it any more. Each write may be
-/// tried again from its beginning.
-fn when_there_is_room(
-    ending: &impl Fn() -> bool,
+/// Retries a write until the disk has space for it or the job queue is closed. `write` must be safe
+/// to repeat from its beginning.
+fn retry_while_full(
+    is_closed: &impl Fn() -> bool,
     mut write: impl FnMut() -> Result<(), StorageError>,
 ) -> Result<(), StorageError> {
     let mut full = false;
     loop {
         match write() {
-            Err(error) if error.is_full() && !ending() => {
+            Err(error) if error.is_full() && !is_closed() => {
                 if !full {
                     tracing::error!(event = "disk_full", %error);
                 }
                 full = true;
-                std::thread::sleep(FULL_PAUSE);
+                std::thread::sleep(DISK_FULL_PAUSE);
             }
             done => {
                 if full {
@@ -131,7 +131,7 @@
     }
 }
 
-fn write_one(storage: &mut Storage, write: &Write) -> Result<(), StorageError> {
+fn apply_write(storage: &mut Storage, write: &Write) -> Result<(), StorageError> {
     if let Some(hard) = &write.hard {
         storage.save_hard_state(&convert::hard_state(hard.clone()))?;
     }
--- a/components/control/src/error.rs
+++ b/components/control/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the control role cannot start or go on.
+//! Errors for which the control role cannot start or continue.
 
 use std::path::PathBuf;
 
@@ -16,16 +16,16 @@
     /// The data folder cannot be used.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// What the data folder holds cannot be read by this release.
+    /// The content of the data folder cannot be decoded by this release.
     #[error(transparent)]
     Content(#[from] DecodeError),
-    /// A folder could not be made from that of a lost deployment.
+    /// The data folder could not be created from that of a lost deployment.
     #[error("cannot make the data folder for a restore")]
     Restore(#[source] std::io::Error),
-    /// The folder that was named for a restore holds nothing.
-    #[error("{} holds neither a snapshot nor a log", .0.display())]
+    /// The folder configured for a restore contains neither a snapshot nor a log.
+    #[error("{} contains neither a snapshot nor a log", .0.display())]
     NothingToRestore(PathBuf),
-    /// A service that must start before is missing.
+    /// A service that must be started before the control role is missing.
     #[error(transparent)]
     Missing(#[from] MissingService),
     /// A thread could not be started.
@@ -33,12 +33,12 @@
     Duty(#[from] DutyError),
 }
 
-/// Something that was stored or sent cannot be read by this release.
+/// A stored or received entry or snapshot cannot be decoded by this release.
 #[derive(Debug, Error)]
 #[error("entry {index} or the snapshot up to it cannot be read by this release")]
 pub struct DecodeError {
-    /// The entry.
+    /// The index of the entry, or of the last entry that the snapshot covers.
     pub index: u64,
-    /// What the decoder said.
+    /// The decoder's error.
     pub source: rmp_serde::decode::Error,
 }
--- a/components/control/src/handle.rs
+++ b/components/control/src/handle.rs
@@ -1,4 +1,4 @@
-//! How the HTTP threads reach the replica's duty.
+//! The handle by which the HTTP threads send requests to the replica's task.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -22,77 +22,77 @@
 
 use crate::status::Status;
 
-/// The name under which [`Handle`] is offered.
+/// The name under which [`Handle`] is registered.
 pub const SERVICE: &str = "control";
 
-/// How long an answer of the replica may take, in milliseconds. Beyond it, the leader has surely
-/// lost its majority and will say so by itself.
+/// Timeout for a reply of the replica, in milliseconds. A leader that takes longer has lost its
+/// majority and will report that itself.
 pub const REPLY_TIMEOUT_MS: u64 = 5_000;
-/// When to come back if there is no leader, in milliseconds: about one election.
+/// Time after which a caller should retry if there is no leader, in milliseconds. About one election.
 pub const RETRY_AFTER_MS: u64 = 500;
 
-/// Why this replica did not do it.
+/// The error for which this replica did not carry out a request.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum RequestError {
-    /// Another replica leads, at this address if it is known.
+    /// This replica does not lead. Contains the leader's address if it is known.
     #[error("this replica does not lead")]
     NotLeader(Option<String>),
-    /// It failed.
+    /// The request failed.
     #[error(transparent)]
     Failed(#[from] Failure),
 }
 
-/// A change of the replicas, as the leader is asked for it.
+/// A change of the replicas that the leader is asked for.
 #[derive(Clone, Debug)]
 pub enum MembershipRequest {
-    /// Adds a replica, which is let to vote once it has caught up.
+    /// Adds a replica, which becomes a voter once it has caught up.
     Add {
         /// The replica.
         id: ReplicaId,
-        /// Where it answers HTTP.
+        /// Its HTTP address.
         address: String,
-        /// The node whose place it takes.
+        /// The node that it replaces.
         replaces: Option<chicoryford_types::Node>,
     },
-    /// Lets a replica vote.
+    /// Makes a replica a voter.
     Promote(chicoryford_types::Node),
     /// Removes a replica.
     Remove(chicoryford_types::Node),
-    /// Hands leadership over.
+    /// Hands leadership over, to the given node if there is one.
     HandOver(Option<chicoryford_types::Node>),
 }
 
-/// An answer on its way.
+/// The channel for the answer to a request.
 pub type Answer<T> = oneshot::Sender<Result<T, RequestError>>;
 
-/// What the replica's duty is asked for.
+/// A request to the replica's task.
 #[derive(Debug)]
 pub enum Request {
-    /// Commit and apply a command.
+    /// Commits and applies a command.
     Propose(Box<Command>, Answer<Reply>),
-    /// SnapshotJob messages of other replicas.
+    /// Delivers messages of other replicas.
     Deliver(Envelope),
-    /// SessionRenewal an entry's session.
+    /// Renews the session of an entry process.
     Renew(SessionRenewal, Answer<SessionRenewalReply>),
-    /// Change the replicas.
+    /// Changes the replicas.
     ChangeMembers(MembershipRequest, Answer<()>),
-    /// Give the configuration as of a linearizable read.
+    /// Returns the configuration as of a linearizable read.
     Read(Answer<Config>),
-    /// Tell how it stands.
+    /// Returns the status.
     Status(oneshot::Sender<Status>),
 }
 
-/// Messages as they travel between control processes.
+/// The messages of one call between control processes.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Envelope {
-    /// Where the sender answers HTTP. A replica that joins knows no other replicas before the
-    /// log reaches it, and must answer to somebody.
+    /// The HTTP address of the sender. A replica that joins has no addresses of other replicas
+    /// before it receives the log, so it uses this one to reply.
     pub address: String,
     /// The messages.
     pub messages: Vec<Message>,
 }
 
-/// Reaches the replica of this process.
+/// Sends requests to the replica of this process.
 #[derive(Clone)]
 pub struct Handle {
     requests: Sender<Request>,
@@ -100,7 +100,7 @@
 }
 
 impl Handle {
-    /// Sends requests to the replica's duty.
+    /// Creates a handle that sends requests to the replica's task.
     pub fn new(requests: Sender<Request>) -> Self {
         Self { requests, received: Arc::default() }
     }
@@ -109,84 +109,88 @@
     ///
     /// # Errors
     ///
-    /// [`RequestError`]; the command may have been committed only if its outcome is unknown.
+    /// Returns [`RequestError`]. The command may have been committed only if the error says that its
+    /// outcome is unknown.
     pub async fn propose(&self, command: Command) -> Result<Reply, RequestError> {
-        self.ask(|answer| Request::Propose(Box::new(command), answer)).await
+        self.request(|answer| Request::Propose(Box::new(command), answer)).await
     }
 
     /// Renews a session.
     ///
     /// # Errors
     ///
-    /// [`RequestError`].
+    /// Returns [`RequestError`].
     pub async fn renew(&self, renew: SessionRenewal) -> Result<SessionRenewalReply, RequestError> {
-        self.ask(|answer| Request::Renew(renew, answer)).await
+        self.request(|answer| Request::Renew(renew, answer)).await
     }
 
     /// Changes the replicas.
     ///
     /// # Errors
     ///
-    /// [`RequestError`].
-    pub async fn change_members(&self, reform: MembershipRequest) -> Result<(), RequestError> {
-        self.ask(|answer| Request::ChangeMembers(reform, answer)).await
+    /// Returns [`RequestError`].
+    pub async fn change_members(&self, change: MembershipRequest) -> Result<(), RequestError> {
+        self.request(|answer| Request::ChangeMembers(change, answer)).await
     }
 
-    /// Reads accepted configuration so that every change accepted before the call is in it.
+    /// Reads the accepted configuration. It includes every change accepted before the call.
     ///
     /// # Errors
     ///
-    /// [`RequestError`], also where this replica led until now and no majority confirms it.
+    /// Returns [`RequestError`], also if this replica leads but no majority confirms it.
     pub async fn read(&self) -> Result<Config, RequestError> {
-        self.ask(Request::Read).await
+        self.request(Request::Read).await
     }
 
-    /// Takes messages of another replica. They are dropped when the replica does not keep up:
-    /// its sender repeats what matters.
+    /// Delivers messages of another replica. They are dropped if the replica's queue is full; the
+    /// sender resends them if necessary.
     ///
-    /// `bytes` is what they took on the wire, for the status.
+    /// `bytes` is their size on the wire, for the status.
     pub fn deliver(&self, envelope: Envelope, bytes: usize) {
         self.received.fetch_add(bytes as u64, Ordering::Relaxed);
         let _ = self.requests.offer(Request::Deliver(envelope));
     }
 
-    /// Tells how the replica stands.
+    /// Returns the status of the replica.
     ///
     /// # Errors
     ///
-    /// A failure if its duty does not answer.
+    /// Returns a failure if the replica's task does not reply.
     pub async fn status(&self) -> Result<Status, Failure> {
         let (sender, receiver) = oneshot::channel();
         self.requests.offer(Request::Status(sender)).map_err(|_| overloaded())?;
-        match wait(receiver).await {
+        match wait_for_reply(receiver).await {
             Some(status) => {
                 Ok(Status { received: self.received.load(Ordering::Relaxed), ..status })
             }
-            None => Err(silent(Failure::not_run)),
+            None => Err(no_reply(Failure::not_run)),
         }
     }
 
-    async fn ask<T>(&self, request: impl FnOnce(Answer<T>) -> Request) -> Result<T, RequestError> {
+    async fn request<T>(
+        &self,
+        build: impl FnOnce(Answer<T>) -> Request,
+    ) -> Result<T, RequestError> {
         let (sender, receiver) = oneshot::channel();
-        self.requests.offer(request(sender)).map_err(|_| overloaded())?;
-        match wait(receiver).await {
+        self.requests.offer(build(sender)).map_err(|_| overloaded())?;
+        match wait_for_reply(receiver).await {
             Some(answer) => answer,
-            None => Err(silent(Failure::unknown).into()),
+            None => Err(no_reply(Failure::unknown).into()),
         }
     }
 }
 
-async fn wait<T>(receiver: oneshot::Receiver<T>) -> Option<T> {
-    let patience = Duration::from_millis(REPLY_TIMEOUT_MS);
-    actix_rt::time::timeout(patience, receiver).await.ok()?.ok()
+async fn wait_for_reply<T>(receiver: oneshot::Receiver<T>) -> Option<T> {
+    let timeout = Duration::from_millis(REPLY_TIMEOUT_MS);
+    actix_rt::time::timeout(timeout, receiver).await.ok()?.ok()
 }
 
 fn overloaded() -> Failure {
-    let detail = "the replica has too much to do";
+    let detail = "the replica is overloaded";
     Failure::not_run(Code::Overloaded, detail).retry_after(RETRY_AFTER_MS)
 }
 
-fn silent(failure: fn(Code, &'static str) -> Failure) -> Failure {
+fn no_reply(failure: fn(Code, &'static str) -> Failure) -> Failure {
     failure(Code::NoQuorum, "no majority of the control processes answered")
         .retry_after(RETRY_AFTER_MS)
 }
--- a/components/control/src/lib.rs
+++ b/components/control/src/lib.rs
@@ -1,6 +1,6 @@
-//! The control role: drives agreement, storage and state with threads and sockets.
+//! The control role: runs agreement, storage and state on threads and sockets.
 //!
-//! docs/CONTROL.md shows its duties, what operators see of it and what they do when it fails.
+//! docs/CONTROL.md describes its tasks, what operators see of it, and what they do when it fails.
 
 pub mod apply;
 pub mod body;
--- a/components/control/src/orders/dispatch.rs
+++ b/components/control/src/orders/dispatch.rs
@@ -1,4 +1,4 @@
-//! The duty that sends the leader's orders straight to the agents.
+//! The task that sends the leader's orders directly to the agents.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -29,47 +29,48 @@
 use super::samplers::Samplers;
 use super::samplers::samplers;
 
-/// The name under which the progress of weights is offered.
+/// The name under which the progress of weights is registered.
 pub const SERVICE: &str = "orders";
 
-/// Time between two looks at what is due, if nothing happens.
-const LOOK: Duration = Duration::from_millis(50);
-/// How long an agent may take to answer: it begins the order and says so at once.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Interval at which the planner runs if no event occurs.
+const PLAN_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout for an agent's reply. It is short because an agent replies as soon as it has started the
+/// order.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the orders depend on, as the replica's duty sees it.
+/// The replica's state that the orders depend on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Leadership {
-    /// The epoch in which this process leads; none if it does not, or if its lease has run out.
+    /// The epoch in which this process leads; none if it does not, or if its lease has expired.
     pub epoch: Option<Epoch>,
     /// The newest accepted version of each model.
     pub weights: BTreeMap<Model, Published>,
 }
 
-/// What the duty holds.
+/// Sends orders to the agents while this process leads.
 pub struct Dispatcher {
-    /// The ways to the rest of the process.
+    /// The kernel of this process.
     pub kernel: Kernel,
-    /// Calls agents.
+    /// The client for calls to agents.
     pub client: Client,
-    /// Who is there.
+    /// The membership view.
     pub members: Arc<Membership>,
-    /// Whether this process leads, and what is accepted.
-    pub lead: watch::Receiver<Leadership>,
-    /// Where the progress goes.
-    pub shown: watch::Sender<Vec<Progress>>,
-    /// The bounds within which weights are spread.
+    /// Whether this process leads, and the accepted versions.
+    pub leadership: watch::Receiver<Leadership>,
+    /// Publishes the progress.
+    pub progress: watch::Sender<Vec<Progress>>,
+    /// The limits within which weights are distributed.
     pub settings: PlannerSettings,
 }
 
-/// Answers of agents that the planner has not seen yet.
+/// Replies of agents that were not passed to the planner yet.
 #[derive(Default)]
-struct Inbox {
+struct ReplyQueue {
     events: RefCell<Vec<Event>>,
-    filled: Notify,
+    received: Notify,
 }
 
-/// What the planner was inputs last.
+/// The inputs last passed to the planner.
 #[derive(Default)]
 struct PlannerInputs {
     epoch: Option<Epoch>,
@@ -79,7 +80,7 @@
 }
 
 impl Dispatcher {
-    /// Gives orders while this process leads, until it stops.
+    /// Sends orders while this process leads, until it stops.
     pub async fn run(self) {
         let phases = self.kernel.phases.clone();
         tokio::select! {
@@ -90,46 +91,46 @@
 
     async fn drive(mut self) {
         let mut planner = Planner::new(self.settings.clone());
-        let inbox = Rc::new(Inbox::default());
+        let replies = Rc::new(ReplyQueue::default());
         let mut inputs = PlannerInputs::default();
         loop {
-            let lead = self.lead.borrow_and_update().clone();
-            // Answers wait while this process does not lead: taking one could bring about another
-            // order, and another process may lead by now.
+            let lead = self.leadership.borrow_and_update().clone();
+            // Replies are queued while this process does not lead: processing one could produce
+            // another order, and another process may lead by now.
             if let Some(epoch) = lead.epoch {
                 let mut events = self.changes(&mut inputs, epoch, &lead);
-                events.append(&mut inbox.events.borrow_mut());
+                events.append(&mut replies.events.borrow_mut());
                 for order in self.plan(&mut planner, events) {
-                    self.give(&inputs, &inbox, order);
+                    self.start_order(&inputs, &replies, order);
                 }
-                self.shown.send_replace(planner.progress());
+                self.progress.send_replace(planner.progress());
             }
             tokio::select! {
-                changed = self.lead.changed() => if changed.is_err() { return },
-                () = inbox.filled.notified() => {}
-                () = actix_rt::time::sleep(LOOK) => {}
+                changed = self.leadership.changed() => if changed.is_err() { return },
+                () = replies.received.notified() => {}
+                () = actix_rt::time::sleep(PLAN_INTERVAL) => {}
             }
         }
     }
 
-    /// Lists what the planner must be inputs of the epoch, the members and the weights.
+    /// Returns the changes of epoch, members and weights since the last call, as planner events.
     fn changes(&self, inputs: &mut PlannerInputs, epoch: Epoch, lead: &Leadership) -> Vec<Event> {
         let mut events = Vec::new();
-        let led = inputs.epoch == Some(epoch);
-        if !led {
+        let same_epoch = inputs.epoch == Some(epoch);
+        if !same_epoch {
             inputs.epoch = Some(epoch);
             events.push(Event::NewEpoch(epoch));
         }
         let view = self.members.view();
-        if !led || !Arc::ptr_eq(&view, &inputs.view) {
+        if !same_epoch || !Arc::ptr_eq(&view, &inputs.view) {
             let found = samplers(&view);
             inputs.view = view;
-            if !led || found != inputs.samplers {
+            if !same_epoch || found != inputs.samplers {
                 inputs.samplers = found;
                 events.push(Event::Members(inputs.samplers.offers()));
             }
         }
-        if !led || lead.weights != inputs.weights {
+        if !same_epoch || lead.weights != inputs.weights {
             inputs.weights.clone_from(&lead.weights);
             events.extend(lead.weights.iter().map(|(model, published)| Event::Published {
                 model: model.clone(),
@@ -163,32 +164,33 @@
         orders
     }
 
-    fn give(
+    fn start_order(
         &self,
         inputs: &PlannerInputs,
-        inbox: &Rc<Inbox>,
+        replies: &Rc<ReplyQueue>,
         (endpoint, order): (Endpoint, Order),
     ) {
-        // An endpoint that is gone cannot be asked; the planner ends its order in time.
+        // An endpoint that no longer exists cannot be called. No reply is reported for it, and the
+        // planner ends its order.
         let address = inputs.samplers.address(&endpoint).map(str::to_owned);
-        let (client, inbox) = (self.client.clone(), inbox.clone());
+        let (client, replies) = (self.client.clone(), replies.clone());
         actix_rt::spawn(async move {
             let reply = match address {
                 Some(address) => send(&client, &address, &order).await,
                 None => None,
             };
             let number = order.number;
-            inbox.events.borrow_mut().push(match reply {
+            replies.events.borrow_mut().push(match reply {
                 Some(reply) => Event::Reply { endpoint, number, reply },
                 None => Event::NoReply { endpoint, number },
             });
-            inbox.filled.notify_one();
+            replies.received.notify_one();
         });
     }
 }
 
 async fn send(client: &Client, address: &str, order: &Order) -> Option<OrderReply> {
-    let called = client.call::<_, OrderReply>(address, paths::ORDER, order, PATIENCE).await;
+    let called = client.call::<_, OrderReply>(address, paths::ORDER, order, ORDER_TIMEOUT).await;
     if let Err(error) = &called {
         tracing::debug!(event = "order_unanswered", address, number = order.number, %error);
     }
--- a/components/control/src/orders/mod.rs
+++ b/components/control/src/orders/mod.rs
@@ -1,4 +1,5 @@
-//! The leader's driver of weights: every accepted version reaches every sampler (docs/WEIGHTS.md).
+//! The leader's distribution of weights: orders every sampler to load every accepted version
+//! (docs/WEIGHTS.md).
 
 pub mod dispatch;
 pub mod samplers;
--- a/components/control/src/orders/samplers.rs
+++ b/components/control/src/orders/samplers.rs
@@ -1,4 +1,4 @@
-//! The samplers, as the members show them.
+//! The samplers, as listed in the membership view.
 
 use std::collections::BTreeMap;
 
@@ -13,22 +13,23 @@
 pub struct Samplers(pub BTreeMap<Endpoint, (SamplerStatus, String)>);
 
 impl Samplers {
-    /// Lists what they offer.
+    /// Returns what each sampler announces, for the planner.
     pub fn offers(&self) -> Vec<SamplerStatus> {
         self.0.values().map(|(offer, _)| offer.clone()).collect()
     }
 
-    /// Tells where an endpoint's agent answers HTTP.
+    /// Returns the HTTP address of an endpoint's agent.
     pub fn address(&self, endpoint: &Endpoint) -> Option<&str> {
         self.0.get(endpoint).map(|(_, address)| address.as_str())
     }
 }
 
-/// Lists the model engines that are there, also those that do not work just now: they count as
-/// out of service.
+/// Returns the model engines that are present. Those that are unhealthy or draining are included
+/// as not ready.
 ///
-/// Two processes may announce the same endpoint for a while, when an agent was replaced by one of
-/// another name. The one that started last is believed, or orders would go to one that is gone.
+/// Two processes may announce the same endpoint for a while after an agent was replaced by one with
+/// another node name. The one that started last is used; otherwise orders could be sent to an agent
+/// that no longer exists.
 pub fn samplers(members: &Members) -> Samplers {
     let mut found = Samplers::default();
     for member in members.present() {
--- a/components/control/src/peers.rs
+++ b/components/control/src/peers.rs
@@ -1,4 +1,4 @@
-//! The duty that sends the agreement's messages to other replicas.
+//! The task that sends the agreement's messages to other replicas.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,118 +17,124 @@
 
 use crate::handle::Envelope;
 
-/// Messages that wait for one replica; the oldest are dropped beyond it, as a network would.
-const QUEUE: usize = 512;
-/// Messages in one call.
-const BATCH: usize = 64;
-/// Bytes of entries and snapshots in one call, unless a single message has more. The receiver
-/// refuses bodies beyond its bound whole.
-const BATCH_BYTES: usize = 2 << 20;
-/// Calls to one replica under way at once. With a single one, a connection that has gone silent
-/// would hold back heartbeats until its timeout, and the leader would be voted out.
-const CALLS: usize = 3;
+/// Maximum number of queued messages for one replica. Beyond it the oldest are dropped, as a network
+/// may drop them.
+const MAX_QUEUED_MESSAGES: usize = 512;
+/// Maximum number of messages in one call.
+const MAX_BATCH_MESSAGES: usize = 64;
+/// Maximum size in bytes of the entries and snapshots in one call, unless a single message is
+/// larger. The receiver refuses the whole body if it exceeds its limit.
+const MAX_BATCH_BYTES: usize = 2 << 20;
+/// Maximum number of concurrent calls to one replica. With a single call, a stalled connection would
+/// block heartbeats until the call's timeout, and another leader would be elected.
+const MAX_CONCURRENT_CALLS: usize = 3;
 
-/// A message and where it goes.
+/// A message and its destination.
 #[derive(Clone, Debug)]
 pub struct Outgoing {
-    /// Where the receiver answers HTTP.
+    /// The HTTP address of the receiver.
     pub address: String,
     /// The message.
     pub message: Message,
 }
 
-/// What the lanes share.
+/// Sends messages, with a queue for each replica.
 pub struct MessageSender {
     caller: Caller,
     own: String,
     timeout: Duration,
-    reach: Arc<dyn Fn(&str) -> bool + Send + Sync>,
-    lanes: RefCell<BTreeMap<String, PeerQueue>>,
+    can_reach: Arc<dyn Fn(&str) -> bool + Send + Sync>,
+    queues: RefCell<BTreeMap<String, PeerQueue>>,
 }
 
 impl MessageSender {
-    /// Sends as `own`, with `timeout` for each call, what `reach` lets through.
+    /// Creates a sender with the own address `own` and `timeout` for each call. Messages to an
+    /// address for which `can_reach` returns false are dropped.
     pub fn new(
         caller: Caller,
         own: String,
         timeout: Duration,
-        reach: Arc<dyn Fn(&str) -> bool + Send + Sync>,
+        can_reach: Arc<dyn Fn(&str) -> bool + Send + Sync>,
     ) -> Self {
-        Self { caller, own, timeout, reach, lanes: RefCell::default() }
+        Self { caller, own, timeout, can_reach, queues: RefCell::default() }
     }
 }
 
 struct PeerQueue {
-    queue: VecDeque<Message>,
-    calls: usize,
+    messages: VecDeque<Message>,
+    calls_in_flight: usize,
     client: Client,
 }
 
-/// Sends messages until their ring closes.
-pub async fn run(post: MessageSender, mut outgoing: Receiver<Outgoing>) {
-    let post = Rc::new(post);
+/// Sends messages until their queue is closed.
+pub async fn run(sender: MessageSender, mut outgoing: Receiver<Outgoing>) {
+    let sender = Rc::new(sender);
     while let Some(first) = outgoing.next().await {
         let mut touched = BTreeSet::new();
         let mut next = Some(first);
         while let Some(Outgoing { address, message }) = next {
-            enqueue(&post, &address, message);
+            enqueue(&sender, &address, message);
             touched.insert(address);
             next = outgoing.take();
         }
         for address in touched {
-            start_call(&post, &address);
+            start_call(&sender, &address);
         }
     }
 }
 
-fn enqueue(post: &MessageSender, address: &str, message: Message) {
-    if !(post.reach)(address) {
+fn enqueue(sender: &MessageSender, address: &str, message: Message) {
+    if !(sender.can_reach)(address) {
         return;
     }
-    let mut lanes = post.lanes.borrow_mut();
-    if !lanes.contains_key(address) {
-        let lane = PeerQueue { queue: VecDeque::new(), calls: 0, client: post.caller.client() };
-        lanes.insert(address.to_owned(), lane);
+    let mut queues = sender.queues.borrow_mut();
+    if !queues.contains_key(address) {
+        let peer_queue = PeerQueue {
+            messages: VecDeque::new(),
+            calls_in_flight: 0,
+            client: sender.caller.client(),
+        };
+        queues.insert(address.to_owned(), peer_queue);
     }
-    let Some(lane) = lanes.get_mut(address) else { return };
-    if lane.queue.len() >= QUEUE {
-        lane.queue.pop_front();
+    let Some(peer_queue) = queues.get_mut(address) else { return };
+    if peer_queue.messages.len() >= MAX_QUEUED_MESSAGES {
+        peer_queue.messages.pop_front();
     }
-    lane.queue.push_back(message);
+    peer_queue.messages.push_back(message);
 }
 
-fn start_call(post: &Rc<MessageSender>, address: &str) {
-    let Some((messages, client)) = take_batch(post, address) else { return };
-    let (post, address) = (post.clone(), address.to_owned());
+fn start_call(sender: &Rc<MessageSender>, address: &str) {
+    let Some((messages, client)) = take_batch(sender, address) else { return };
+    let (sender, address) = (sender.clone(), address.to_owned());
     actix_rt::spawn(async move {
-        let envelope = Envelope { address: post.own.clone(), messages };
-        let call = client.call(&address, paths::AGREEMENT, &envelope, post.timeout);
+        let envelope = Envelope { address: sender.own.clone(), messages };
+        let call = client.call(&address, paths::AGREEMENT, &envelope, sender.timeout);
         let result: Result<(), _> = call.await;
         if let Err(error) = &result {
             tracing::debug!(event = "peer_call_failed", address, %error);
         }
-        end_call(&post, &address, result.is_err());
-        start_call(&post, &address);
+        end_call(&sender, &address, result.is_err());
+        start_call(&sender, &address);
     });
 }
 
-fn take_batch(post: &MessageSender, address: &str) -> Option<(Vec<Message>, Client)> {
-    let mut lanes = post.lanes.borrow_mut();
-    let lane = lanes.get_mut(address)?;
-    if lane.calls >= CALLS || lane.queue.is_empty() {
+fn take_batch(sender: &MessageSender, address: &str) -> Option<(Vec<Message>, Client)> {
+    let mut queues = sender.queues.borrow_mut();
+    let peer_queue = queues.get_mut(address)?;
+    if peer_queue.calls_in_flight >= MAX_CONCURRENT_CALLS || peer_queue.messages.is_empty() {
         return None;
     }
-    lane.calls += 1;
+    peer_queue.calls_in_flight += 1;
     let (mut batch, mut bytes) = (Vec::new(), 0);
-    while batch.len() < BATCH && bytes < BATCH_BYTES {
-        let Some(message) = lane.queue.pop_front() else { break };
-        bytes += size(&message);
+    while batch.len() < MAX_BATCH_MESSAGES && bytes < MAX_BATCH_BYTES {
+        let Some(message) = peer_queue.messages.pop_front() else { break };
+        bytes += payload_bytes(&message);
         batch.push(message);
     }
-    Some((batch, lane.client.clone()))
+    Some((batch, peer_queue.client.clone()))
 }
 
-fn size(message: &Message) -> usize {
+fn payload_bytes(message: &Message) -> usize {
     match &message.body {
         Body::Append { entries, .. } => entries.iter().map(|e| e.payload.size()).sum(),
         Body::SnapshotChunk { data, .. } => data.len(),
@@ -136,12 +142,12 @@
     }
 }
 
-fn end_call(post: &MessageSender, address: &str, failed: bool) {
-    let mut lanes = post.lanes.borrow_mut();
-    let Some(lane) = lanes.get_mut(address) else { return };
-    lane.calls -= 1;
+fn end_call(sender: &MessageSender, address: &str, failed: bool) {
+    let mut queues = sender.queues.borrow_mut();
+    let Some(peer_queue) = queues.get_mut(address) else { return };
+    peer_queue.calls_in_flight -= 1;
     if failed {
-        // A kept connection may have gone silent for good; a new client opens a new one.
-        lane.client = post.caller.client();
+        // The client's connection may be stalled permanently; a new client opens a new one.
+        peer_queue.client = sender.caller.client();
     }
 }
--- a/components/control/src/pending.rs
+++ b/components/control/src/pending.rs
@@ -1,4 +1,4 @@
-//! Who waits for what the replica was asked to commit.
+//! The callers that wait for entries or reads of the replica.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +9,16 @@
 use crate::handle::Answer;
 use crate::handle::RequestError;
 
-/// Whoever waits for an entry.
+/// A caller that waits for an entry or a read.
 pub enum Waiter {
-    /// A proposed command.
+    /// The caller that proposed a command.
     Reply(Answer<Reply>),
-    /// A change of the replicas.
+    /// The caller that requested a change of the replicas.
     ChangeMembers(Answer<()>),
-    /// A linearizable read.
+    /// The caller of a linearizable read.
     Read(Answer<Config>),
-    /// Nobody: the leader itself proposed it.
-    Nobody,
+    /// No caller: the leader itself proposed the command.
+    Internal,
 }
 
 /// The waiters by token.
@@ -29,7 +29,7 @@
 }
 
 impl Pending {
-    /// Draws a token for a waiter.
+    /// Adds a waiter and returns its token.
     pub fn add(&mut self, waiter: Waiter) -> Token {
         self.last += 1;
         let token = Token(self.last);
@@ -37,17 +37,17 @@
         token
     }
 
-    /// Tells a waiter that its entry was applied.
+    /// Answers a waiter whose entry was applied.
     pub fn applied(&mut self, token: Token, reply: Option<Reply>) {
         match self.waiters.remove(&token) {
-            // A waiter that has given up meanwhile is no fault.
+            // A failed send means that the caller stopped waiting, which is not an error.
             Some(Waiter::Reply(answer)) => {
                 let _ = answer.send(Ok(reply.unwrap_or(Reply::Done)));
             }
             Some(Waiter::ChangeMembers(answer)) => {
                 let _ = answer.send(Ok(()));
             }
-            Some(Waiter::Read(_) | Waiter::Nobody) | None => {}
+            Some(Waiter::Read(_) | Waiter::Internal) | None => {}
         }
     }
 
@@ -58,28 +58,28 @@
         }
     }
 
-    /// Tells a waiter that its entry or read was refused.
-    pub fn refuse(&mut self, token: Token, why: RequestError) {
+    /// Answers a waiter whose entry or read was refused.
+    pub fn refuse(&mut self, token: Token, error: RequestError) {
         match self.waiters.remove(&token) {
             Some(Waiter::Reply(answer)) => {
-                let _ = answer.send(Err(why));
+                let _ = answer.send(Err(error));
             }
             Some(Waiter::ChangeMembers(answer)) => {
-                let _ = answer.send(Err(why));
+                let _ = answer.send(Err(error));
             }
             Some(Waiter::Read(answer)) => {
-                let _ = answer.send(Err(why));
+                let _ = answer.send(Err(error));
             }
-            Some(Waiter::Nobody) | None => {}
+            Some(Waiter::Internal) | None => {}
         }
     }
 
-    /// Counts the waiters.
+    /// Returns the number of waiters.
     pub fn len(&self) -> usize {
         self.waiters.len()
     }
 
-    /// Tells whether nobody waits.
+    /// Returns whether there are no waiters.
     pub fn is_empty(&self) -> bool {
         self.waiters.is_empty()
     }
--- a/components/control/src/replica.rs
+++ b/components/control/src/replica.rs
@@ -1,5 +1,5 @@
-//! The duty around [`chicoryford_agreement::Replica`]: tells it what happens, and does what it
-//! wants done.
+//! The task that runs [`chicoryford_agreement::Replica`]: passes events to it and performs the
+//! actions that it returns.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -35,39 +35,39 @@
 use crate::snapshots::SnapshotJob;
 use crate::status::StorageStatus;
 
-/// The replica is told about the time this often.
-const TICK: Duration = Duration::from_millis(20);
-/// Requests taken at once.
+/// Interval of the replica's ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of requests in one batch.
 pub const MAX_BATCH: usize = 256;
-/// Milliseconds for which the process's end may wait for another leader.
+/// Maximum time in milliseconds for which a stopping leader waits until another replica leads.
 pub const HAND_OVER_TIMEOUT_MS: u64 = 1_000;
-/// Milliseconds between two looks for lapsed sessions.
-const SESSIONS_MS: u64 = 200;
-/// Milliseconds between two looks at the control processes that gossip knows.
+/// Interval in milliseconds between two checks for expired sessions.
+const SESSION_CHECK_INTERVAL_MS: u64 = 200;
+/// Interval in milliseconds between two checks for control processes found by gossip.
 const PEER_CHECK_INTERVAL_MS: u64 = 500;
 
-/// The rings that end or begin at the replica's duty.
+/// The queues that the replica's task reads or fills.
 pub struct Rings {
-    /// What the HTTP threads ask.
+    /// Requests of the HTTP threads.
     pub requests: Receiver<Request>,
-    /// What the disk has done.
+    /// Reports of the disk and snapshot tasks.
     pub reports: Receiver<Report>,
-    /// What the disk is to do.
+    /// Jobs for the disk.
     pub jobs: Sender<Job>,
-    /// What other replicas are to be told.
+    /// Messages to other replicas.
     pub outgoing: Sender<Outgoing>,
     /// States to be encoded as snapshots.
-    pub takes: Sender<SnapshotJob>,
-    /// What the orders' duty depends on.
-    pub lead: watch::Sender<Leadership>,
+    pub snapshot_jobs: Sender<SnapshotJob>,
+    /// The state that the orders' task depends on.
+    pub leadership: watch::Sender<Leadership>,
 }
 
-/// When a snapshot is taken.
+/// The thresholds at which a snapshot is taken.
 #[derive(Clone, Debug)]
 pub struct SnapshotThresholds {
-    /// After this many entries.
+    /// Entries applied since the last snapshot.
     pub entries: u64,
-    /// Or after commands of this many bytes.
+    /// Bytes of commands applied since the last snapshot.
     pub bytes: usize,
 }
 
@@ -77,37 +77,38 @@
     }
 }
 
-/// The replica and all that surrounds it.
+/// The replica with its state, queues and waiting callers.
 pub struct Driver {
     pub(crate) kernel: Kernel,
     pub(crate) replica: Replica,
     pub(crate) applied: Applied,
     pub(crate) rings: Rings,
     pub(crate) snapshot_thresholds: SnapshotThresholds,
-    /// Requests taken at once; the proposals among them become one event and one write.
+    /// Maximum number of requests in one batch; the proposals among them become one event and one
+    /// write.
     pub(crate) max_batch: usize,
-    /// How long the process's end may wait for another leader, in milliseconds.
+    /// Maximum time in milliseconds for which a stopping leader waits until another replica leads.
     pub(crate) hand_over_timeout_ms: u64,
-    /// Jobs for which the disk's ring had no room.
+    /// Jobs for which the disk's queue had no capacity.
     pub(crate) backlog: VecDeque<Job>,
     pub(crate) pending: Pending,
     pub(crate) sessions: Sessions,
-    pub(crate) sessions_at: u64,
-    /// The control processes that gossip knows; none in a process without gossip.
+    pub(crate) sessions_checked_at: u64,
+    /// The control processes found by gossip; none in a process without gossip.
     pub(crate) control_peers: Option<ControlPeers>,
     pub(crate) peers_checked_at: u64,
-    /// Addresses of replicas that the log does not name yet.
-    pub(crate) learned: BTreeMap<Node, String>,
+    /// Addresses of replicas that are not in the log yet.
+    pub(crate) extra_addresses: BTreeMap<Node, String>,
     pub(crate) storage: StorageStatus,
-    /// The last entry of the snapshot that is on its way to the disk.
-    pub(crate) taking: Option<u64>,
-    /// What this process cannot read; it takes no part any more.
+    /// The last entry of the snapshot that is being encoded or written.
+    pub(crate) pending_snapshot: Option<u64>,
+    /// Whether an entry or snapshot could not be decoded. The replica then handles no more events.
     pub(crate) unreadable: bool,
 }
 
 impl Driver {
-    /// Joins a replica, its state and its rings. `founders` tells where replicas answer that the
-    /// log does not name yet.
+    /// Creates the task's state. `founders` has the addresses of replicas that are not in the log
+    /// yet.
     pub fn new(
         kernel: Kernel,
         replica: Replica,
@@ -127,101 +128,103 @@
             backlog: VecDeque::new(),
             pending: Pending::default(),
             sessions: Sessions::default(),
-            sessions_at: 0,
+            sessions_checked_at: 0,
             control_peers: None,
             peers_checked_at: 0,
-            learned: founders,
+            extra_addresses: founders,
             storage,
-            taking: None,
+            pending_snapshot: None,
             unreadable: false,
         }
     }
 
-    /// Runs until the process stops, and until another leads if this replica did.
+    /// Runs until the process stops and, if this replica leads others, until another replica leads
+    /// or the hand-over timeout expires.
     pub async fn run(mut self) {
         let phases = self.kernel.phases.clone();
-        let mut ticks = actix_rt::time::interval(TICK);
+        let mut ticks = actix_rt::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let (mut draining, mut stopping) = (false, None);
         loop {
             if phases.now() >= Phase::Stopping {
-                let since = *stopping.get_or_insert(self.kernel.now());
-                let over = self.kernel.now().since(since) >= self.hand_over_timeout_ms;
-                if over || !self.is_wanted() {
+                let stopping_since = *stopping.get_or_insert(self.kernel.now());
+                let timed_out =
+                    self.kernel.now().since(stopping_since) >= self.hand_over_timeout_ms;
+                if timed_out || !self.leads_others() {
                     return;
                 }
             }
             tokio::select! {
                 report = self.rings.reports.next() => {
                     let Some(report) = report else { return };
-                    self.report(report);
+                    self.handle_report(report);
                 }
                 request = self.rings.requests.next() => {
                     let Some(request) = request else { return };
-                    self.requests(request);
+                    self.handle_requests(request);
                 }
                 _ = ticks.tick() => self.tick(),
                 () = phases.reached(Phase::Draining), if !draining => {
                     draining = true;
-                    // A leader that just stops leaves the others without one for a whole
-                    // election timeout; handing over first takes a few messages.
-                    self.tell(Event::HandOver { to: None });
+                    // If a leader stops without a hand-over, the others have no leader for a
+                    // whole election timeout. A hand-over takes a few messages.
+                    self.handle_event(Event::HandOver { to: None });
                 }
             }
             self.push_backlog();
             self.take_snapshot();
-            self.show_lead();
+            self.publish_leadership();
         }
     }
 
-    /// Tells whether this replica leads others, who would be without a leader if it stopped now.
-    fn is_wanted(&self) -> bool {
+    /// Returns whether this replica leads other voters, which would have no leader if it stopped.
+    fn leads_others(&self) -> bool {
         self.replica.role() == Role::Leader && self.replica.members().voters().count() > 1
     }
 
     fn tick(&mut self) {
-        self.look_around();
-        self.tell(Event::Tick);
+        self.update_peers();
+        self.handle_event(Event::Tick);
         let now = self.kernel.now();
-        if self.leads() && now.0 >= self.sessions_at + SESSIONS_MS {
-            self.sessions_at = now.0;
-            self.sessions.adopt(self.applied.state.sessions().map(|(number, _)| number), now);
-            for session in self.sessions.lapsed(now) {
+        if self.has_lease() && now.0 >= self.sessions_checked_at + SESSION_CHECK_INTERVAL_MS {
+            self.sessions_checked_at = now.0;
+            self.sessions.set_open(self.applied.state.sessions().map(|(number, _)| number), now);
+            for session in self.sessions.expired(now) {
                 tracing::info!(event = "session_lapsed", session);
-                self.propose(vec![(Command::CloseSession { session }, Waiter::Nobody)]);
+                self.propose(vec![(Command::CloseSession { session }, Waiter::Internal)]);
             }
         }
     }
 
-    /// Tells the replica of the control processes that gossip knows, when they change.
-    fn look_around(&mut self) {
+    /// Reports the control processes found by gossip to the replica when they change.
+    fn update_peers(&mut self) {
         let now = self.kernel.now().0;
         if now < self.peers_checked_at + PEER_CHECK_INTERVAL_MS {
             return;
         }
         self.peers_checked_at = now;
-        let Some(known) = self.control_peers.as_mut().and_then(ControlPeers::changed).cloned()
+        let Some(peers) = self.control_peers.as_mut().and_then(ControlPeers::changed).cloned()
         else {
             return;
         };
-        let nodes = known.keys().cloned().collect();
-        // The settings' addresses of founders hold; gossip only adds those they do not name.
-        for (node, address) in known {
-            self.learned.entry(node).or_insert(address);
+        let nodes = peers.keys().cloned().collect();
+        // The founders' addresses in the settings take precedence; gossip only adds other nodes.
+        for (node, address) in peers {
+            self.extra_addresses.entry(node).or_insert(address);
         }
-        self.tell(Event::KnownNodes(nodes));
+        self.handle_event(Event::KnownNodes(nodes));
     }
 
-    /// Tells whether this replica leads and surely no other does yet.
-    pub(crate) fn leads(&self) -> bool {
+    /// Returns whether this replica leads with a valid lease, so that no other replica can lead yet.
+    pub(crate) fn has_lease(&self) -> bool {
         self.replica.role() == Role::Leader && self.replica.status().lease_ms > 0
     }
 
-    fn report(&mut self, report: Report) {
+    fn handle_report(&mut self, report: Report) {
         match report {
             Report::Synced { write, bytes } => {
                 self.storage.bytes = bytes;
-                self.tell(Event::Synced { write });
+                self.handle_event(Event::Synced { write });
             }
             Report::SnapshotEncoded(snapshot) => {
                 self.backlog.push_back(Job::SaveSnapshot(snapshot))
@@ -229,31 +232,31 @@
             Report::SnapshotSaved(snapshot) => {
                 let index = snapshot.meta.last.index;
                 self.storage.snapshot = self.storage.snapshot.max(index);
-                self.taking = None;
-                self.tell(Event::SnapshotTaken(snapshot));
+                self.pending_snapshot = None;
+                self.handle_event(Event::SnapshotTaken(snapshot));
             }
             Report::Failed(error) => {
                 tracing::error!(event = "disk_failed", %error);
                 self.storage.failure = Some(error.to_string());
-                self.tell(Event::StorageFailed);
+                self.handle_event(Event::StorageFailed);
             }
         }
     }
 
-    pub(crate) fn tell(&mut self, event: Event) {
+    pub(crate) fn handle_event(&mut self, event: Event) {
         if self.unreadable {
             return;
         }
         let actions = self.replica.handle(self.kernel.now(), event);
         for action in actions {
-            if let Err(error) = self.act(action) {
-                self.give_up(&error);
+            if let Err(error) = self.perform(action) {
+                self.stop_unreadable(&error);
                 return;
             }
         }
     }
 
-    fn act(&mut self, action: Action) -> Result<(), DecodeError> {
+    fn perform(&mut self, action: Action) -> Result<(), DecodeError> {
         match action {
             Action::Persist(write) => self.backlog.push_back(Job::Write(write)),
             Action::Send(message) => self.send(message),
@@ -263,16 +266,16 @@
                 self.applied.reset(&snapshot)?;
             }
             Action::Refuse { token, reason } => {
-                let error = self.refused(reason);
+                let error = self.request_error(reason);
                 self.pending.refuse(token, error);
             }
-            // What it must hold is applied already: commits are handed over before.
+            // The required entries are already applied: commits precede this action.
             Action::ReadReady { token, index } => self.read_ready(token, index),
             Action::BecameLeader { epoch } => {
                 tracing::info!(event = "became_leader", epoch = epoch.0);
                 self.sessions.clear();
                 let open = self.applied.state.sessions().map(|(number, _)| number);
-                self.sessions.adopt(open, self.kernel.now());
+                self.sessions.set_open(open, self.kernel.now());
             }
             Action::BecameFollower { epoch, leader } => {
                 let leader = leader.map(|id| id.to_string()).unwrap_or_default();
@@ -302,9 +305,9 @@
         Ok(())
     }
 
-    /// Stops taking part: a command or snapshot of a later release cannot be skipped, because
-    /// this replica's state would then differ from the others'.
-    fn give_up(&mut self, error: &DecodeError) {
+    /// Stops the replica and the process: a command or snapshot of a later release cannot be
+    /// skipped, because this replica's state would then differ from the others'.
+    fn stop_unreadable(&mut self, error: &DecodeError) {
         tracing::error!(event = "content_unreadable", index = error.index, %error);
         self.unreadable = true;
         self.storage.failure = Some(error.to_string());
@@ -313,9 +316,9 @@
 
     fn send(&mut self, message: Message) {
         let seat = self.replica.members().replicas.get(&message.to);
-        let address = seat.map(|seat| &seat.address).or(self.learned.get(&message.to.node));
+        let address = seat.map(|seat| &seat.address).or(self.extra_addresses.get(&message.to.node));
         let Some(address) = address.cloned() else { return };
-        // A full ring drops the message as a network would; the replica repeats what matters.
+        // A full queue drops the message, as a network may; the replica resends if necessary.
         let _ = self.rings.outgoing.offer(Outgoing { address, message });
     }
 
@@ -332,31 +335,32 @@
         }
     }
 
-    /// Tells the orders' duty whether it may give orders, and of which versions.
-    fn show_lead(&self) {
-        let epoch = self.leads().then(|| self.replica.epoch());
+    /// Publishes to the orders' task whether it may send orders, and for which versions.
+    fn publish_leadership(&self) {
+        let epoch = self.has_lease().then(|| self.replica.epoch());
         let weights = &self.applied.state.config.weights;
-        self.rings.lead.send_if_modified(|lead| {
-            let differs = lead.epoch != epoch || lead.weights != *weights;
-            if differs {
+        self.rings.leadership.send_if_modified(|lead| {
+            let has_changed = lead.epoch != epoch || lead.weights != *weights;
+            if has_changed {
                 *lead = Leadership { epoch, weights: weights.clone() };
             }
-            differs
+            has_changed
         });
     }
 
     fn take_snapshot(&mut self) {
         let index = self.applied.mark.index;
-        let many = index.saturating_sub(self.storage.snapshot) >= self.snapshot_thresholds.entries;
-        let due = many || self.applied.bytes >= self.snapshot_thresholds.bytes;
-        if !due || self.taking.is_some() || self.storage.failure.is_some() {
+        let enough_entries =
+            index.saturating_sub(self.storage.snapshot) >= self.snapshot_thresholds.entries;
+        let due = enough_entries || self.applied.bytes >= self.snapshot_thresholds.bytes;
+        if !due || self.pending_snapshot.is_some() || self.storage.failure.is_some() {
             return;
         }
         let meta =
             SnapshotMeta { last: self.applied.mark, members: self.replica.members_at(index) };
         let state = Box::new(self.applied.state.clone());
-        if self.rings.takes.offer(SnapshotJob { meta, state }).is_ok() {
-            self.taking = Some(index);
+        if self.rings.snapshot_jobs.offer(SnapshotJob { meta, state }).is_ok() {
+            self.pending_snapshot = Some(index);
             self.applied.bytes = 0;
         }
     }
--- a/components/control/src/report.rs
+++ b/components/control/src/report.rs
@@ -1,4 +1,4 @@
-//! How a control process stands, for operators.
+//! Builds the status of a control process for operators.
 
 use crate::replica::Driver;
 use crate::status::ReplicaStatus;
--- a/components/control/src/restore.rs
+++ b/components/control/src/restore.rs
@@ -1,4 +1,5 @@
-//! Starts a new deployment, alone, from the data folder of one whose majority is lost.
+//! Creates a new deployment with a single replica from the data folder of a deployment that lost
+//! its majority.
 
 use std::fs;
 use std::path::Path;
@@ -22,25 +23,26 @@
 use crate::error::StartError;
 use crate::start::FOLDER;
 
-/// By how much the epoch is raised. The lost replicas may have seen epochs that the one whose
-/// folder is read has not; an agent that obeyed one of those would refuse the new leader.
-const RAISE: u64 = 1_000;
+/// The amount by which the epoch is raised. The lost replicas may have seen higher epochs than the
+/// one whose folder is read; an agent that accepted orders of such an epoch would refuse the new
+/// leader.
+const EPOCH_INCREMENT: u64 = 1_000;
 
-/// Makes the data folder `to` from the one below `from`, with this process as its only voter.
-/// Does nothing if `to` is there already, so that the setting may stay after the restore.
+/// Creates the data folder `to` from the one below `from`, with this process as its only voter.
+/// Does nothing if `to` already exists, so that the setting may remain after the restore.
 ///
-/// The folder is made under another name and renamed, so that a crash in between does not leave
-/// an empty one, with which this process would found an empty deployment.
+/// The folder is created under another name and then renamed, so that a crash in between does not
+/// leave an empty folder, with which this process would found an empty deployment.
 ///
 /// # Errors
 ///
-/// [`StartError`] if `from` is damaged or `to` cannot be written; `to` is then not there.
+/// Returns [`StartError`] if `from` is damaged or `to` cannot be written; `to` does not exist then.
 pub fn restore(
     from: &Path,
     to: &Path,
     node: &Node,
     address: &str,
-    kept: StorageSettings,
+    storage_settings: StorageSettings,
 ) -> Result<(), StartError> {
     if to.exists() {
         return Ok(());
@@ -50,7 +52,7 @@
     if unfinished.exists() {
         fs::remove_dir_all(&unfinished).map_err(StartError::Restore)?;
     }
-    write(&unfinished, &applied, node, address, kept)?;
+    write(&unfinished, &applied, node, address, storage_settings)?;
     fs::rename(&unfinished, to).map_err(StartError::Restore)?;
     let folder = to.parent().unwrap_or(Path::new("."));
     fs::File::open(folder).and_then(|f| f.sync_all()).map_err(StartError::Restore)?;
@@ -58,15 +60,16 @@
     Ok(())
 }
 
-/// Applies all that a folder holds, committed or not: of what it lacks, nothing can be known.
+/// Applies all entries of a folder, committed or not. Without the lost majority it cannot be
+/// determined which entries were committed, or which ones the folder lacks.
 fn replay(from: &Path) -> Result<Applied, StartError> {
     let salvaged = salvage(from)?;
-    let found = Recovered {
+    let recovered = Recovered {
         snapshot: salvaged.snapshot,
         entries: salvaged.entries,
         ..Recovered::default()
     };
-    let saved = convert::saved_state(found)?;
+    let saved = convert::saved_state(recovered)?;
     let mut applied = Applied::new(None);
     if let Some(snapshot) = &saved.snapshot {
         applied.reset(snapshot)?;
@@ -87,15 +90,15 @@
     applied: &Applied,
     node: &Node,
     address: &str,
-    kept: StorageSettings,
+    storage_settings: StorageSettings,
 ) -> Result<(), StartError> {
-    let (mut storage, recovered) = Storage::open(to, kept, Disk::default())?;
+    let (mut storage, recovered) = Storage::open(to, storage_settings, Disk::default())?;
     let seat = ReplicaInfo { address: address.to_owned(), voter: true, replaces: None };
     let mut members = Membership::default();
     members.replicas.insert(ReplicaId::new(node.clone(), recovered.identity), seat);
     let meta = SnapshotMeta { last: applied.mark, members };
     let data = rmp_serde::to_vec_named(&applied.state).expect("the state is plain data");
-    let epoch = Epoch(applied.mark.epoch.0 + RAISE);
+    let epoch = Epoch(applied.mark.epoch.0 + EPOCH_INCREMENT);
     storage.save_hard_state(&HardState { epoch, vote: None })?;
     storage.save_snapshot(&convert::snapshot(&convert::build_snapshot(meta, data)))?;
     Ok(())
--- a/components/control/src/routes.rs
+++ b/components/control/src/routes.rs
@@ -1,4 +1,4 @@
-//! What a control process answers.
+//! The HTTP routes of a control process.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -44,24 +44,24 @@
 use crate::status::ActionResult;
 use crate::status::Status;
 
-/// Marks a call that another control process passed on; it is not passed on again, so that two
-/// that each take the other for the leader do not play it back and forth.
+/// Query that marks a call forwarded by another control process. Such a call is not forwarded again;
+/// otherwise two processes that each regard the other as the leader would forward it endlessly.
 const FORWARDED: &str = "forwarded";
 const PEERS: &[Kind] = &[Kind::Process];
 const OPERATORS: &[Kind] = &[Kind::Operator, Kind::Process];
 
-/// What one HTTP thread needs to answer.
-struct Desk {
+/// The handlers of one HTTP thread.
+struct Handlers {
     handle: Handle,
     orders: watch::Receiver<Vec<Progress>>,
     client: Client,
 }
 
-/// Adds the paths of the control role. [`crate::start`] must run before.
+/// Adds the paths of the control role. [`crate::start`] must be called before.
 ///
 /// # Errors
 ///
-/// [`MissingService`] if it did not.
+/// Returns [`MissingService`] if it was not.
 pub fn routes(
     routes: &mut Routes,
     kernel: &Kernel,
@@ -74,47 +74,47 @@
     let client = kernel.registry.find::<Caller>(CALLER)?.client();
     let orders = kernel.registry.find::<watch::Receiver<Vec<Progress>>>(orders::SERVICE)?;
     let orders = watch::Receiver::clone(&orders);
-    let desk = Rc::new(Desk { handle, orders, client });
-    let at = desk.clone();
+    let handlers = Rc::new(Handlers { handle, orders, client });
+    let shared = handlers.clone();
     routes.add(paths::PROPOSE, PEERS, move |call| {
-        let desk = at.clone();
-        async move { peer(desk.propose(&call).await) }
+        let handlers = shared.clone();
+        async move { peer_reply(handlers.propose(&call).await) }
     });
-    let at = desk.clone();
+    let shared = handlers.clone();
     routes.add(paths::RENEW, PEERS, move |call| {
-        let desk = at.clone();
-        async move { peer(desk.renew(&call).await) }
+        let handlers = shared.clone();
+        async move { peer_reply(handlers.renew(&call).await) }
     });
-    let at = desk.clone();
+    let shared = handlers.clone();
     routes.add(paths::AGREEMENT, PEERS, move |call| {
-        let desk = at.clone();
-        async move { peer(desk.deliver(&call)) }
+        let handlers = shared.clone();
+        async move { peer_reply(handlers.deliver(&call)) }
     });
-    let at = desk.clone();
+    let shared = handlers.clone();
     routes.add(paths::EPOCH, PEERS, move |_| {
-        let desk = at.clone();
-        async move { peer(desk.epoch().await) }
+        let handlers = shared.clone();
+        async move { peer_reply(handlers.epoch().await) }
     });
-    let at = desk.clone();
+    let shared = handlers.clone();
     routes.add(paths::CURRENT, OPERATORS, move |call| {
-        let desk = at.clone();
-        async move { desk.current(&call).await.unwrap_or_else(|f| reply::failure(&f)) }
+        let handlers = shared.clone();
+        async move { handlers.current(&call).await.unwrap_or_else(|f| reply::failure(&f)) }
     });
     routes.add(paths::CONTROL_STATUS, OPERATORS, move |call| {
-        let desk = desk.clone();
-        async move { desk.control(&call).await.unwrap_or_else(|f| reply::failure(&f)) }
+        let handlers = handlers.clone();
+        async move { handlers.control_status(&call).await.unwrap_or_else(|f| reply::failure(&f)) }
     });
     Ok(())
 }
 
-fn peer<T: Serialize>(result: Result<T, Failure>) -> Reply {
+fn peer_reply<T: Serialize>(result: Result<T, Failure>) -> Reply {
     match result {
         Ok(answer) => reply::msgpack(&answer),
         Err(failure) => reply::peer_failure(&failure),
     }
 }
 
-impl Desk {
+impl Handlers {
     async fn propose(&self, call: &Call) -> Result<StateReply, Failure> {
         let command: Command = call.msgpack()?;
         let refused = match self.handle.propose(command.clone()).await {
@@ -138,8 +138,8 @@
         Ok(())
     }
 
-    /// Tells the highest epoch. Only a voter's answer counts: an agent that restarts asks a
-    /// majority, and one of any majority of voters has voted in the newest epoch.
+    /// Returns the highest epoch. Only voters answer: an agent that restarts asks a majority of
+    /// voters, and every majority contains one that voted in the newest epoch.
     async fn epoch(&self) -> Result<EpochAnswer, Failure> {
         let status = self.handle.status().await?;
         if status.voter && status.role != Role::Failed {
@@ -147,16 +147,16 @@
             let voters = voters.map(|replica| replica.node).collect();
             return Ok(EpochAnswer { epoch: status.epoch, voters });
         }
-        Err(Failure::not_run(Code::NoQuorum, "this control process does not vote"))
+        Err(Failure::not_run(Code::NoQuorum, "this control process is not a voter"))
     }
 
-    async fn control(&self, call: &Call) -> Result<Reply, Failure> {
+    async fn control_status(&self, call: &Call) -> Result<Reply, Failure> {
         if call.body.is_empty() {
             return Ok(reply::json(200, &self.status().await?));
         }
         let action: Action = call.json()?;
-        let reform = self.reform(action.clone()).await?;
-        match self.handle.change_members(reform).await {
+        let request = self.membership_request(action.clone()).await?;
+        match self.handle.change_members(request).await {
             Ok(()) => {
                 tracing::info!(event = "control_action", ?action);
                 let done = format!("{action:?}");
@@ -172,9 +172,9 @@
             Ok(config) => return Ok(reply::json(200, &config)),
             Err(refused) => refused,
         };
-        let address = next_leader(call, refused)?;
+        let address = leader_to_forward(call, refused)?;
         let path = format!("{}?{FORWARDED}", paths::CURRENT);
-        let config: Config = self.ask_json(&self.client.url(&address, &path), None).await?;
+        let config: Config = self.fetch_json(&self.client.url(&address, &path), None).await?;
         Ok(reply::json(200, &config))
     }
 
@@ -183,14 +183,14 @@
         Ok(Status { weights, ..self.handle.status().await? })
     }
 
-    async fn reform(&self, action: Action) -> Result<MembershipRequest, Failure> {
+    async fn membership_request(&self, action: Action) -> Result<MembershipRequest, Failure> {
         Ok(match action {
             Action::Add { node, address } => {
-                let id = self.identify(&address, node).await?;
+                let id = self.fetch_identity(&address, node).await?;
                 MembershipRequest::Add { id, address, replaces: None }
             }
             Action::Replace { node, by, address } => {
-                let id = self.identify(&address, by).await?;
+                let id = self.fetch_identity(&address, by).await?;
                 MembershipRequest::Add { id, address, replaces: Some(node) }
             }
             Action::Promote(node) => MembershipRequest::Promote(node),
@@ -199,14 +199,14 @@
         })
     }
 
-    /// Asks a new replica for the identity of its data folder.
-    async fn identify(
+    /// Queries a new replica for the identity of its data folder.
+    async fn fetch_identity(
         &self,
         address: &str,
         node: chicoryford_types::Node,
     ) -> Result<ReplicaId, Failure> {
         let url = self.client.url(address, paths::CONTROL_STATUS);
-        let status: Status = self.ask_json(&url, None).await?;
+        let status: Status = self.fetch_json(&url, None).await?;
         if status.node != node {
             let detail = format!("{address} is the node {}, not {node}", status.node);
             return Err(Failure::not_run(Code::BadRequest, detail));
@@ -220,49 +220,50 @@
         action: &Action,
         refused: RequestError,
     ) -> Result<Reply, Failure> {
-        let address = next_leader(call, refused)?;
+        let address = leader_to_forward(call, refused)?;
         let path = format!("{}?{FORWARDED}", paths::CONTROL_STATUS);
         let url = self.client.url(&address, &path);
         let body = serde_json::to_vec(action).expect("actions are plain data");
-        let done: ActionResult = self.ask_json(&url, Some(body)).await?;
+        let done: ActionResult = self.fetch_json(&url, Some(body)).await?;
         Ok(reply::json(200, &done))
     }
 
-    async fn ask_json<T: DeserializeOwned>(
+    async fn fetch_json<T: DeserializeOwned>(
         &self,
         url: &str,
         body: Option<Vec<u8>>,
     ) -> Result<T, Failure> {
-        let patience = Duration::from_millis(REPLY_TIMEOUT_MS);
-        let lost = |detail: String| CallError::Lost { url: url.to_owned(), detail }.into_failure();
+        let timeout = Duration::from_millis(REPLY_TIMEOUT_MS);
+        let lost_error =
+            |detail: String| CallError::Lost { url: url.to_owned(), detail }.into_failure();
         let sent = match body {
-            None => self.client.get(url).timeout(patience).send(),
+            None => self.client.get(url).timeout(timeout).send(),
             Some(body) => {
                 let post = self.client.post(url).content_type(reply::JSON);
-                post.timeout(patience).send_body(body)
+                post.timeout(timeout).send_body(body)
             }
         };
-        let mut answer = sent.await.map_err(|error| lost(error.to_string()))?;
+        let mut answer = sent.await.map_err(|error| lost_error(error.to_string()))?;
         let status = answer.status().as_u16();
-        let body = answer.body().await.map_err(|error| lost(error.to_string()))?;
+        let body = answer.body().await.map_err(|error| lost_error(error.to_string()))?;
         if status >= 400 {
             return Err(read_failure(url, status, &body).into_failure());
         }
-        serde_json::from_slice(&body).map_err(|error| lost(error.to_string()))
+        serde_json::from_slice(&body).map_err(|error| lost_error(error.to_string()))
     }
 
-    /// Passes a call on to the leader, unless it was passed on already.
+    /// Forwards a call to the leader, unless it was already forwarded.
     async fn forward<Q: Serialize, A: DeserializeOwned>(
         &self,
         call: &Call,
         path: &str,
-        question: &Q,
+        request: &Q,
         refused: RequestError,
     ) -> Result<A, Failure> {
-        let address = next_leader(call, refused)?;
+        let address = leader_to_forward(call, refused)?;
         let path = format!("{path}?{FORWARDED}");
-        let patience = Duration::from_millis(REPLY_TIMEOUT_MS);
-        let answer = self.client.call(&address, &path, question, patience).await;
+        let timeout = Duration::from_millis(REPLY_TIMEOUT_MS);
+        let answer = self.client.call(&address, &path, request, timeout).await;
         answer.map_err(|error| match error {
             CallError::Failure(failure) => failure,
             CallError::NotSent { .. } => no_quorum(Failure::not_run, &error),
@@ -271,12 +272,12 @@
     }
 }
 
-fn next_leader(call: &Call, refused: RequestError) -> Result<String, Failure> {
+fn leader_to_forward(call: &Call, refused: RequestError) -> Result<String, Failure> {
     match refused {
         RequestError::Failed(failure) => Err(failure),
         RequestError::NotLeader(Some(address)) if call.query != FORWARDED => Ok(address),
         RequestError::NotLeader(_) => {
-            let detail = "the control processes have no leader just now";
+            let detail = "the control processes currently have no leader";
             Err(Failure::not_run(Code::NoQuorum, detail).retry_after(RETRY_AFTER_MS))
         }
     }
--- a/components/control/src/serve.rs
+++ b/components/control/src/serve.rs
@@ -1,4 +1,4 @@
-//! What the replica's duty does for the HTTP threads.
+//! Handles the requests of the HTTP threads in the replica's task.
 
 use chicoryford_agreement::Event;
 use chicoryford_agreement::MembershipChange;
@@ -26,11 +26,12 @@
 use crate::pending::Waiter;
 use crate::replica::Driver;
 
-/// Bytes of one command at most: with its frame it must fit a call between replicas.
-const COMMAND: usize = 4 << 20;
+/// Maximum size of one command in bytes. With its framing it must fit into one call between
+/// replicas.
+const MAX_COMMAND_BYTES: usize = 4 << 20;
 
 impl Driver {
-    pub(crate) fn requests(&mut self, first: Request) {
+    pub(crate) fn handle_requests(&mut self, first: Request) {
         let mut proposals = Vec::new();
         let mut next = Some(first);
         let mut count = 0;
@@ -49,9 +50,9 @@
                 }
                 Request::Read(answer) => {
                     let token = self.pending.add(Waiter::Read(answer));
-                    self.tell(Event::Read { token });
+                    self.handle_event(Event::Read { token });
                 }
-                Request::ChangeMembers(reform, answer) => self.reform(reform, answer),
+                Request::ChangeMembers(request, answer) => self.change_members(request, answer),
                 Request::Status(answer) => {
                     let _ = answer.send(self.status());
                 }
@@ -64,10 +65,10 @@
 
     fn receive(&mut self, address: &str, message: Message) {
         let node = &message.from.node;
-        if self.learned.get(node).is_none_or(|known| known != address) {
-            self.learned.insert(node.clone(), address.to_owned());
+        if self.extra_addresses.get(node).is_none_or(|known| known != address) {
+            self.extra_addresses.insert(node.clone(), address.to_owned());
         }
-        self.tell(Event::Message(message));
+        self.handle_event(Event::Message(message));
     }
 
     pub(crate) fn propose(&mut self, commands: Vec<(Command, Waiter)>) {
@@ -76,8 +77,9 @@
             let data = Body { stamp: unix(), command }.encode();
             let size = data.len();
             let token = self.pending.add(waiter);
-            if size > COMMAND {
-                let detail = format!("the command takes {size} of {COMMAND} bytes");
+            if size > MAX_COMMAND_BYTES {
+                let detail =
+                    format!("the command has {size} bytes, the maximum is {MAX_COMMAND_BYTES}");
                 let failure = Failure::not_run(Code::TooLarge, detail);
                 self.pending.refuse(token, failure.into());
                 continue;
@@ -85,20 +87,20 @@
             proposals.push(Proposal { token, data });
         }
         if !proposals.is_empty() {
-            self.tell(Event::Propose(proposals));
+            self.handle_event(Event::Propose(proposals));
         }
     }
 
     fn renew(&mut self, renew: &SessionRenewal) -> Result<SessionRenewalReply, RequestError> {
-        // Only the lease tells that no other leader closes sessions at this moment.
-        if !self.leads() {
-            return Err(self.not_leader());
+        // Without a valid lease, another leader may be closing sessions.
+        if !self.has_lease() {
+            return Err(self.not_leader_error());
         }
         let open = self.applied.state.session(renew.session);
-        let own = open.is_some_and(|session| session.node == renew.node);
+        let is_owner = open.is_some_and(|session| session.node == renew.node);
         let now = self.kernel.now();
-        self.sessions.adopt(self.applied.state.sessions().map(|(number, _)| number), now);
-        let held = own && self.sessions.renew(renew.session, now);
+        self.sessions.set_open(self.applied.state.sessions().map(|(number, _)| number), now);
+        let held = is_owner && self.sessions.renew(renew.session, now);
         let orphans = self.orphans();
         let audit = renew.audit.as_ref().filter(|_| held);
         let audited = audit.map(|audit| self.applied.state.ledger.audit(audit));
@@ -106,7 +108,7 @@
     }
 
     fn orphans(&mut self) -> Vec<chicoryford_ledger::StepKey> {
-        // This question changes nothing, so it need not go through the log.
+        // This query changes nothing, so it need not go through the log.
         let reply = self.applied.state.ledger.apply(LedgerCommand::Orphans, |_| Default::default());
         match reply {
             LedgerReply::Orphans(orphans) => orphans,
@@ -114,28 +116,28 @@
         }
     }
 
-    fn reform(&mut self, reform: MembershipRequest, answer: Answer<()>) {
+    fn change_members(&mut self, request: MembershipRequest, answer: Answer<()>) {
         if self.replica.role() != Role::Leader {
-            let _ = answer.send(Err(self.not_leader()));
+            let _ = answer.send(Err(self.not_leader_error()));
             return;
         }
-        if let MembershipRequest::HandOver(to) = &reform {
+        if let MembershipRequest::HandOver(to) = &request {
             let to = to.as_ref().and_then(|node| self.find(node));
-            self.tell(Event::HandOver { to });
+            self.handle_event(Event::HandOver { to });
             let _ = answer.send(Ok(()));
             return;
         }
-        let Some(change) = self.change(reform) else {
-            let failure = Failure::not_run(Code::NotFound, "no replica has that name");
+        let Some(change) = self.membership_change(request) else {
+            let failure = Failure::not_run(Code::NotFound, "there is no replica with this name");
             let _ = answer.send(Err(failure.into()));
             return;
         };
         let token = self.pending.add(Waiter::ChangeMembers(answer));
-        self.tell(Event::ChangeMembers { token, change });
+        self.handle_event(Event::ChangeMembers { token, change });
     }
 
-    fn change(&self, reform: MembershipRequest) -> Option<MembershipChange> {
-        match reform {
+    fn membership_change(&self, request: MembershipRequest) -> Option<MembershipChange> {
+        match request {
             MembershipRequest::Add { id, address, replaces } => {
                 let replaces = match replaces {
                     Some(node) => Some(self.find(&node)?),
@@ -149,8 +151,8 @@
         }
     }
 
-    /// Finds the replica of a node; the oldest of its identities if it has several, since that
-    /// is the one whose disk is lost.
+    /// Finds the replica of a node. If the node has several identities, returns the oldest, which is
+    /// the one whose disk was lost.
     fn find(&self, node: &Node) -> Option<ReplicaId> {
         self.replica.members().replicas.keys().find(|id| id.node == *node).cloned()
     }
@@ -163,32 +165,32 @@
         self.replica.members().replicas.get(leader).map(|seat| seat.address.clone())
     }
 
-    fn not_leader(&self) -> RequestError {
+    fn not_leader_error(&self) -> RequestError {
         match &self.storage.failure {
-            Some(failure) => self.storage_failed(failure),
+            Some(failure) => self.storage_error(failure),
             None => RequestError::NotLeader(self.leader_address()),
         }
     }
 
-    fn storage_failed(&self, failure: &str) -> RequestError {
+    fn storage_error(&self, failure: &str) -> RequestError {
         Failure::not_run(Code::StorageFailed, failure).into()
     }
 
-    pub(crate) fn refused(&self, why: Refusal) -> RequestError {
+    pub(crate) fn request_error(&self, why: Refusal) -> RequestError {
         let detail = why.to_string();
-        let later = |code| Failure::not_run(code, detail.clone()).retry_after(RETRY_AFTER_MS);
+        let retryable = |code| Failure::not_run(code, detail.clone()).retry_after(RETRY_AFTER_MS);
         match why {
-            Refusal::NotLeader { .. } => self.not_leader(),
+            Refusal::NotLeader { .. } => self.not_leader_error(),
             Refusal::Unknown { .. } => {
                 Failure::unknown(Code::NoQuorum, detail).retry_after(RETRY_AFTER_MS).into()
             }
-            Refusal::Full => later(Code::Overloaded).into(),
-            Refusal::HandingOver => later(Code::NoQuorum).into(),
+            Refusal::Full => retryable(Code::Overloaded).into(),
+            Refusal::HandingOver => retryable(Code::NoQuorum).into(),
             Refusal::StorageFailed => {
-                self.storage_failed(self.storage.failure.as_deref().unwrap_or_default())
+                self.storage_error(self.storage.failure.as_deref().unwrap_or_default())
             }
             Refusal::ChangePending | Refusal::NotCaughtUp | Refusal::WouldLoseQuorum => {
-                later(Code::Conflict).into()
+                retryable(Code::Conflict).into()
             }
             Refusal::InvalidChange => Failure::not_run(Code::BadRequest, detail).into(),
         }
--- a/components/control/src/sessions.rs
+++ b/components/control/src/sessions.rs
@@ -1,19 +1,19 @@
-//! The leader's side of the sessions of entries: which were renewed, and which have lapsed.
+//! The leader's record of the sessions of entry processes: which were renewed and which expired.
 //!
-//! A session is opened and closed through the log, but renewed only in the leader's memory, on
-//! its monotonic clock. So a new leader knows of no renewals; it gives every session a whole
-//! period before it closes any.
+//! A session is opened and closed through the log, but renewals are recorded only in the leader's
+//! memory, by its monotonic clock. A new leader therefore has no renewals and grants every session
+//! a whole period before it closes any.
 
 use std::collections::BTreeMap;
 
 use chicoryford_types::Millis;
 
-/// The leader waits this much longer, in percent, than the period that it grants. The clocks of
-/// two VMs do not run equally fast; without a margin, a session could be closed and its steps be
-/// taken by another entry while the first still believes that it owns them.
-const MARGIN: u64 = 10;
+/// Percentage of the granted period that the leader waits in addition before it closes a session.
+/// The clocks of two VMs do not run equally fast. Without the margin, a session could be closed and
+/// its steps be taken over by another entry process while the first still counts it as valid.
+const EXPIRY_MARGIN_PERCENT: u64 = 10;
 
-/// The renewals that a leader has seen.
+/// The renewals that a leader has received.
 #[derive(Clone, Debug, Default)]
 pub struct Sessions {
     period: u64,
@@ -22,24 +22,26 @@
 }
 
 impl Sessions {
-    /// Grants `period` milliseconds with each renewal.
+    /// Creates an empty record that grants `period` milliseconds with each renewal.
     pub fn new(period: u64) -> Self {
         Self { period, ..Self::default() }
     }
 
-    /// Gives the period that a renewal grants, counted from when the entry sent it.
+    /// Returns the period that a renewal grants, in milliseconds, counted from when the entry
+    /// process sent the renewal.
     pub fn period(&self) -> u64 {
         self.period
     }
 
-    /// Forgets all renewals, as a replica that does not lead must.
+    /// Removes all renewals. A replica that starts or stops leading must call this.
     pub fn clear(&mut self) {
         self.renewed.clear();
         self.closing.clear();
     }
 
-    /// Takes the sessions that are open by the log: new ones start their period now.
-    pub fn adopt(&mut self, open: impl Iterator<Item = u64>, now: Millis) {
+    /// Updates the set of sessions to those that the log has open. The period of a new session
+    /// starts now.
+    pub fn set_open(&mut self, open: impl Iterator<Item = u64>, now: Millis) {
         let before = std::mem::take(&mut self.renewed);
         for session in open {
             let renewed = before.get(&session).copied().unwrap_or(now);
@@ -49,8 +51,8 @@
         self.closing.retain(|session, _| renewed.contains_key(session));
     }
 
-    /// Renews a session; tells whether it holds. One whose end is on its way does not: the entry
-    /// must not run steps that another may take in the next moment.
+    /// Renews a session and returns whether it is valid. A session whose closing was proposed is
+    /// not: its entry process must not run steps that another may take over at any moment.
     pub fn renew(&mut self, session: u64, now: Millis) -> bool {
         if self.closing.contains_key(&session) {
             return false;
@@ -60,31 +62,31 @@
         true
     }
 
-    /// Gives the sessions to close now. One whose end was proposed is given again only after
-    /// another period, in case the proposal got lost.
-    pub fn lapsed(&mut self, now: Millis) -> Vec<u64> {
-        let patience = self.period + self.period * MARGIN / 100;
-        let late = |since: &Millis| now.since(*since) > patience;
-        let lapsed: Vec<u64> = self
+    /// Returns the sessions to close now. A session whose closing was proposed is returned again
+    /// only after another period, in case the proposal was lost.
+    pub fn expired(&mut self, now: Millis) -> Vec<u64> {
+        let timeout = self.period + self.period * EXPIRY_MARGIN_PERCENT / 100;
+        let is_overdue = |since: &Millis| now.since(*since) > timeout;
+        let expired: Vec<u64> = self
             .renewed
             .iter()
             .filter(|(session, renewed)| {
-                late(renewed) && self.closing.get(*session).is_none_or(late)
+                is_overdue(renewed) && self.closing.get(*session).is_none_or(is_overdue)
             })
             .map(|(session, _)| *session)
             .collect();
-        for session in &lapsed {
+        for session in &expired {
             self.closing.insert(*session, now);
         }
-        lapsed
+        expired
     }
 
-    /// Counts the open sessions.
+    /// Returns the number of open sessions.
     pub fn len(&self) -> usize {
         self.renewed.len()
     }
 
-    /// Tells whether no session is open.
+    /// Returns whether no session is open.
     pub fn is_empty(&self) -> bool {
         self.renewed.is_empty()
     }
--- a/components/control/src/snapshots.rs
+++ b/components/control/src/snapshots.rs
@@ -1,4 +1,4 @@
-//! The duty that encodes snapshots, so that neither the replica nor the disk waits for it.
+//! The task that encodes snapshots, so that neither the replica nor the disk waits for it.
 
 use chicoryford_agreement::SnapshotMeta;
 use chicoryford_kernel::Receiver;
@@ -8,21 +8,22 @@
 use crate::convert;
 use crate::disk::Report;
 
-/// A state to be encoded.
+/// A state to be encoded as a snapshot.
 pub struct SnapshotJob {
-    /// What the snapshot stands for.
+    /// The metadata of the snapshot.
     pub meta: SnapshotMeta,
-    /// The state after its last entry.
+    /// The state after the last entry that the snapshot covers.
     pub state: Box<State>,
 }
 
-/// Encodes states until their ring closes.
+/// Encodes states until their queue is closed.
 ///
-/// A snapshot goes back to the replica, which puts it behind the entries that it covers. If it
-/// went to the disk from here, it could overtake entries that wait for room in the disk's ring;
-/// the log would then start anew after it, and those entries would no longer fit.
-pub fn run(mut takes: Receiver<SnapshotJob>, reports: &Sender<Report>) {
-    while let Some(SnapshotJob { meta, state }) = takes.next_blocking() {
+/// A snapshot is sent to the replica, which queues it after the entries that it covers. If it were
+/// sent directly to the disk, it could overtake entries that wait for capacity in the disk's queue;
+/// the log would then be cleared to start after the snapshot, and those entries would no longer
+/// follow its last entry.
+pub fn run(mut jobs: Receiver<SnapshotJob>, reports: &Sender<Report>) {
+    while let Some(SnapshotJob { meta, state }) = jobs.next_blocking() {
         let data = rmp_serde::to_vec_named(&*state).expect("the state is plain data");
         tracing::info!(event = "snapshot_encoded", index = meta.last.index, bytes = data.len());
         if reports
--- a/components/control/src/start.rs
+++ b/components/control/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts the duties of the control role.
+//! Starts the tasks of the control role.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -54,22 +54,23 @@
 const OUTGOING_QUEUE_LENGTH: usize = 4_096;
 const SNAPSHOT_QUEUE_LENGTH: usize = 1;
 
-/// What tests and measurements change, and no settings file does.
+/// Parameters that only tests and benchmarks change. They are not part of the settings file.
 #[derive(Clone)]
 pub struct Tuning {
-    /// Proposals and writes that one sync may serve.
+    /// Maximum number of proposals in one batch and of writes for one sync.
     pub max_batch: usize,
-    /// Writes that may wait for the disk in its ring.
+    /// Capacity of the disk's queue, in writes.
     pub disk_queue_length: usize,
     /// When snapshots are taken.
     pub snapshot_thresholds: SnapshotThresholds,
-    /// Entries kept behind a snapshot.
+    /// Entries of the log that are retained before a snapshot.
     pub retained_entries: u64,
     /// The file operations.
     pub disk: Disk,
-    /// How long the process's end may wait for another leader, in milliseconds.
+    /// Maximum time for which a stopping leader waits until another replica leads, in milliseconds.
     pub hand_over_timeout_ms: u64,
-    /// Whether messages to an address of another replica get through.
+    /// Whether messages to the given address of another replica are sent. Tests simulate partitions
+    /// with it.
     pub can_reach: Arc<dyn Fn(&str) -> bool + Send + Sync>,
 }
 
@@ -87,34 +88,34 @@
     }
 }
 
-/// Starts the control role and offers its [`Handle`]. The caller and, if there is to be one, the
-/// configuration's feed must be offered before.
+/// Starts the control role and registers its [`Handle`]. The [`Caller`] and, if there is one, the
+/// configuration's [`Feed`] must be registered before.
 ///
 /// # Errors
 ///
-/// [`StartError`], above all if the data folder is damaged.
+/// Returns [`StartError`], for instance if the data folder is damaged.
 pub fn start(kernel: &Kernel, settings: &Settings) -> Result<(), StartError> {
     start_with(kernel, settings, Tuning::default())
 }
 
-/// Starts the control role as a test or measurement wants it.
+/// Starts the control role with the parameters of a test or benchmark.
 ///
 /// # Errors
 ///
-/// [`StartError`].
+/// Returns [`StartError`], as [`start`] does.
 pub fn start_with(kernel: &Kernel, settings: &Settings, tuning: Tuning) -> Result<(), StartError> {
     let Some(control) = &settings.control else { return Ok(()) };
     let folder = settings.data.as_ref().ok_or(StartError::NoFolder)?.join(FOLDER);
-    let kept = StorageSettings {
+    let storage_settings = StorageSettings {
         identity: Incarnation(unix().0),
         retained_entries: tuning.retained_entries,
         ..StorageSettings::default()
     };
     let own = own_address(settings, control);
     if let Some(from) = &control.restore_from {
-        restore(from, &folder, &settings.node, &own, kept.clone())?;
+        restore(from, &folder, &settings.node, &own, storage_settings.clone())?;
     }
-    let (storage, recovered) = Storage::open(&folder, kept, tuning.disk)?;
+    let (storage, recovered) = Storage::open(&folder, storage_settings, tuning.disk)?;
     let id = ReplicaId::new(settings.node.clone(), recovered.identity);
     let saved = convert::saved_state(recovered)?;
     let feed = kernel.registry.find::<Feed>(FEED).ok().map(|feed| Feed::clone(&feed));
@@ -124,34 +125,46 @@
     }
     let founders = founders(settings, control, &own);
     let seed = id.incarnation.0 ^ unix().0;
-    let replica =
-        Replica::new(behaviour(control, id, &founders, tuning.retained_entries), saved, seed);
+    let replica = Replica::new(
+        agreement_settings(control, id, &founders, tuning.retained_entries),
+        saved,
+        seed,
+    );
 
     let (requests, requests_end) = ring(REQUEST_QUEUE_LENGTH);
     let (reports, reports_end) = ring(REPORT_QUEUE_LENGTH);
     let (jobs, jobs_end) = ring(tuning.disk_queue_length);
     let (outgoing, outgoing_end) = ring(OUTGOING_QUEUE_LENGTH);
-    let (takes, takes_end) = ring(SNAPSHOT_QUEUE_LENGTH);
+    let (snapshot_jobs, snapshot_jobs_end) = ring(SNAPSHOT_QUEUE_LENGTH);
     let handle = Handle::new(requests);
     kernel.registry.offer(SERVICE, handle.clone());
-    offer_dump(kernel, handle);
-    let (lead, followed) = watch::channel(Leadership::default());
-    start_orders(kernel, control, followed)?;
+    register_dump(kernel, handle);
+    let (leadership, leadership_updates) = watch::channel(Leadership::default());
+    start_orders(kernel, control, leadership_updates)?;
 
     let group = tuning.max_batch;
-    let encoded = reports.clone();
+    let snapshot_reports = reports.clone();
     kernel.blocking_duty("disk", move |_| disk::run(storage, jobs_end, &reports, group))?;
-    kernel.blocking_duty("snapshots", move |_| snapshots::run(takes_end, &encoded))?;
+    kernel.blocking_duty("snapshots", move |_| {
+        snapshots::run(snapshot_jobs_end, &snapshot_reports)
+    })?;
     let caller = kernel.registry.find::<Caller>(CALLER)?;
     let timeout = Duration::from_millis(control.election_ms.max(500));
     let reach = tuning.can_reach;
     kernel.duty("peers", move |_| async move {
-        let post = MessageSender::new(Caller::clone(&caller), own, timeout, reach);
-        peers::run(post, outgoing_end).await;
+        let sender = MessageSender::new(Caller::clone(&caller), own, timeout, reach);
+        peers::run(sender, outgoing_end).await;
     })?;
-    let rings = Rings { requests: requests_end, reports: reports_end, jobs, outgoing, takes, lead };
+    let rings = Rings {
+        requests: requests_end,
+        reports: reports_end,
+        jobs,
+        outgoing,
+        snapshot_jobs,
+        leadership,
+    };
     let sessions = Sessions::new(control.session_ms);
-    let known: BTreeMap<_, _> =
+    let addresses: BTreeMap<_, _> =
         founders.into_iter().map(|founder| (founder.node, founder.address)).collect();
     let members = kernel.registry.find::<Membership>(chicoryford_membership::SERVICE).ok();
     let control_peers = members.map(|members| ControlPeers::new(members, settings.node.clone()));
@@ -162,25 +175,25 @@
             hand_over_timeout_ms: tuning.hand_over_timeout_ms,
             sessions,
             control_peers,
-            ..Driver::new(kernel, replica, applied, rings, known)
+            ..Driver::new(kernel, replica, applied, rings, addresses)
         };
         driver.run().await;
     })?;
     Ok(())
 }
 
-/// Starts the orders' duty, if this process knows of members at all.
+/// Starts the task that sends orders, if this process has the membership service.
 fn start_orders(
     kernel: &Kernel,
     control: &ControlSettings,
-    lead: watch::Receiver<Leadership>,
+    leadership: watch::Receiver<Leadership>,
 ) -> Result<(), StartError> {
-    let shown = watch::Sender::new(Vec::new());
-    let status = shown.subscribe();
+    let progress = watch::Sender::new(Vec::new());
+    let status = progress.subscribe();
     kernel.registry.offer(orders::SERVICE, status.clone());
     kernel.dumps.add("orders", move || {
-        let shown = serde_json::to_value(&*status.borrow()).unwrap_or_default();
-        async move { shown }
+        let progress = serde_json::to_value(&*status.borrow()).unwrap_or_default();
+        async move { progress }
     });
     let Ok(members) = kernel.registry.find::<Membership>(chicoryford_membership::SERVICE) else {
         return Ok(());
@@ -190,12 +203,14 @@
         PlannerSettings { swap_percent: control.swap_percent, ..PlannerSettings::default() };
     kernel.duty("orders", move |kernel| async move {
         let client = caller.client();
-        orders::dispatch::Dispatcher { kernel, client, members, lead, shown, settings }.run().await;
+        orders::dispatch::Dispatcher { kernel, client, members, leadership, progress, settings }
+            .run()
+            .await;
     })?;
     Ok(())
 }
 
-/// Gives the address under which the other replicas reach this one.
+/// Returns the address at which the other replicas reach this one.
 fn own_address(settings: &Settings, control: &ControlSettings) -> String {
     let named = control.replicas.iter().find(|replica| replica.node == settings.node);
     named.map_or_else(|| settings.listen.to_string(), |replica| replica.address.clone())
@@ -212,7 +227,7 @@
     named.map(|r| Founder { node: r.node.clone(), address: r.address.clone() }).collect()
 }
 
-fn behaviour(
+fn agreement_settings(
     control: &ControlSettings,
     id: ReplicaId,
     founders: &[Founder],
@@ -228,7 +243,7 @@
     }
 }
 
-fn offer_dump(kernel: &Kernel, handle: Handle) {
+fn register_dump(kernel: &Kernel, handle: Handle) {
     kernel.dumps.add("control", move || {
         let handle = handle.clone();
         async move {
--- a/components/control/src/status.rs
+++ b/components/control/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of the control processes, and what they can order them.
+//! The status of control processes and the actions that operators can request.
 
 use chicoryford_agreement::Role;
 use chicoryford_types::Epoch;
@@ -9,109 +9,110 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a control process knows of itself and the others.
+/// The status of a control process and its view of the other replicas.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Status {
     /// This process.
     pub node: Node,
     /// The identity of its data folder.
     pub identity: Incarnation,
-    /// Whether this process leads, follows or seeks votes.
+    /// Whether this process is the leader, a follower or a candidate.
     pub role: Role,
     /// Whether its vote counts.
     pub voter: bool,
-    /// The highest epoch that it knows.
+    /// The highest epoch that this process has seen.
     pub epoch: Epoch,
-    /// Who leads, as far as it knows.
+    /// The current leader, if this process has one.
     pub leader: Option<Node>,
-    /// The last entry known to be on a majority.
+    /// The last entry that this process has recorded as committed.
     pub committed: u64,
     /// The last entry applied to the state.
     pub applied: u64,
-    /// The accepted configuration that it has applied.
+    /// The position of the accepted configuration that this process has applied.
     pub position: Position,
     /// The replicas.
     pub replicas: Vec<ReplicaStatus>,
     /// The open sessions of entries.
     pub sessions: Vec<(u64, Node)>,
-    /// Milliseconds for which the leader's lease still holds, if this process leads.
+    /// Milliseconds until the leader's lease expires, if this process leads.
     pub lease_ms: u64,
-    /// Bytes of the agreement's messages taken since the start.
+    /// Bytes of the agreement's messages received since the start.
     pub received: u64,
-    /// Whoever waits for a command to be committed.
+    /// Number of callers that wait for an entry or a read.
     pub waiting: usize,
-    /// How far the newest weights have come; known to the leader only.
+    /// Progress of the distribution of the newest weights. Only the leader has it.
     #[serde(default)]
     pub weights: Vec<Progress>,
-    /// Promises found broken by this process; zero unless there is a fault.
+    /// Number of invariant violations that this process detected. Zero unless there is a fault.
     pub broken: u64,
     /// The data folder.
     pub storage: StorageStatus,
 }
 
-/// A replica as another sees it.
+/// The status of a replica in the view of another.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct ReplicaStatus {
     /// The replica.
     pub node: Node,
     /// The identity of its data folder.
     pub identity: Incarnation,
-    /// Where it answers HTTP.
+    /// Its HTTP address.
     pub address: String,
     /// Whether its vote counts.
     pub voter: bool,
-    /// By how many entries it trails the leader; known to the leader only.
+    /// Number of entries by which it lags behind the leader. Only the leader has it.
     pub lag: Option<u64>,
-    /// Milliseconds since the leader last heard of it; known to the leader only.
+    /// Milliseconds since the leader last received a message from it. Only the leader has it.
     pub silent_ms: Option<u64>,
 }
 
 /// The data folder of a control process.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct StorageStatus {
-    /// Why nothing is written any more, if so.
+    /// The failure after which nothing is written, if there was one.
     pub failure: Option<String>,
-    /// Bytes of the log.
+    /// Size of the log in bytes.
     pub bytes: u64,
     /// The last entry that the newest snapshot covers.
     pub snapshot: u64,
 }
 
-/// What an operator orders the control processes, by POST under
+/// An action that an operator requests of the control processes, by POST to
 /// `chicoryford_wire::paths::CONTROL_STATUS`.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Adds a replica that does not vote yet and catches up first.
+    /// Adds a replica, which becomes a voter only after it has caught up.
     Add {
         /// The replica.
         node: Node,
-        /// Where it answers HTTP.
+        /// Its HTTP address.
         address: String,
     },
-    /// Lets a replica vote that has caught up; the leader also does so by itself.
+    /// Makes a replica that has caught up a voter. The leader also does this automatically.
     Promote(Node),
     /// Removes a replica.
     Remove(Node),
-    /// Replaces a lost replica: adds the new one, lets it catch up, removes the lost one, lets
-    /// the new one vote. The leader, whichever it is, sees it through by itself.
+    /// Replaces a lost replica: adds the new one, waits until it has caught up, removes the lost
+    /// one, and makes the new one a voter. The leader completes this automatically, also after a
+    /// change of leaders.
     Replace {
         /// The replica that is lost.
         node: Node,
         /// The new one.
         by: Node,
-        /// Where the new one answers HTTP.
+        /// The HTTP address of the new one.
         address: String,
     },
-    /// Hands leadership to another voter; to the one that is furthest if none is named.
+    /// Hands leadership over to another voter, to the most up-to-date one if none is named.
     HandOver(Option<Node>),
 }
 
-/// What an [`Action`] came to.
+/// The result of an [`Action`].
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct ActionResult {
-    /// What was done, for people.
+    /// The action, as text for operators.
     pub done: String,
-    /// How the leader stands after it.
+    /// The leader's status after the action.
     pub status: Status,
 }
--- a/components/control/tests/control_peers.rs
+++ b/components/control/tests/control_peers.rs
@@ -1,4 +1,4 @@
-//! Which processes a replica without a disk asks before it founds a deployment.
+//! The processes that a replica with an empty disk asks before it founds a deployment.
 
 use std::sync::Arc;
 
@@ -31,11 +31,10 @@
 }
 
 #[test]
-fn a_founder_without_a_disk_asks_those_who_took_the_founders_places() {
-    // Symptom: two leaders that do not know each other, each accepting changes.
-    // Sequence: c and d take the places of founders that failed; later the disk of founder a is
-    // lost too, and a starts with the settings of the first day, which name only founders.
-    // Cause: a asks the founders alone, and all of them are empty.
+fn a_founder_with_an_empty_disk_asks_the_replacements_of_the_other_founders() {
+    // Guards against two leaders, unaware of each other, that both accept changes. c and d replace
+    // founders that failed. Later the disk of founder a is lost too, and a starts with its original
+    // settings, which name only founders. If a asks only these, all of them are empty.
     let found = control_nodes(&members(), &Node::from("a"));
     let expected = [("c", "c:1"), ("d", "d:1")];
     let expected = expected.map(|(node, address)| (Node::from(node), address.to_owned()));
@@ -43,7 +42,7 @@
 }
 
 #[test]
-fn can_tell_each_change_once() {
+fn reports_each_change_once() {
     let (view, watched) = watch::channel(Arc::new(Members::default()));
     let own = Arc::new(watch::Sender::new(Member::default()));
     let mut control_peers = ControlPeers::new(Arc::new(Handle::new(watched, own)), Node::from("a"));
--- a/components/control/tests/orders.rs
+++ b/components/control/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Which samplers the leader orders, as the members show them.
+//! The samplers to which the leader sends orders, as listed in the membership view.
 
 use std::collections::BTreeMap;
 
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn lists_engines_also_those_that_do_not_work_just_now() {
+fn lists_engines_also_unhealthy_and_draining_ones() {
     let broken = EndpointInfo { healthy: false, ..info("b") };
     let leaving = EndpointInfo { draining: true, ..info("c") };
     let service = EndpointInfo { kind: EndpointKind::Service, ..info("d") };
@@ -60,12 +60,11 @@
     assert_eq!(offers[0].source.as_deref(), Some("http://a"));
 }
 
-/// Symptom: a sampler stays on old weights; the leader's orders to it are not answered.
-/// Sequence: an agent's VM is replaced under another name; both announce the endpoint until the
-/// old one is found dead.
-/// Cause: the orders go to the one whose name sorts last.
+/// Guards against a sampler that keeps old weights because the leader's orders to it get no reply.
+/// An agent's VM is replaced under another name, and both announce the endpoint until the old one is
+/// found dead. If the name that sorts last is used, orders are sent to the old one.
 #[test]
-fn believes_the_agent_that_started_last() {
+fn uses_the_agent_that_started_last() {
     let all = vec![agent("new", 2, info("a")), agent("old", 1, info("a"))];
     let found = samplers(&view(all));
     assert_eq!(found.address(&Endpoint::from("a")), Some("at-new"));
--- a/components/control/tests/replicas.rs
+++ b/components/control/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! Several replicas over loopback.
+//! Several replicas that communicate over loopback.
 
 mod support;
 
@@ -22,7 +22,7 @@
 use chicoryford_wire::CallError;
 use chicoryford_wire::paths;
 use support::Cluster;
-use support::PATIENCE;
+use support::MAX_WAIT;
 use support::block_on;
 use support::name;
 use support::publish;
@@ -69,10 +69,10 @@
 }
 
 #[test]
-fn answers_a_resend_as_the_first_time_across_leaders() {
-    // Symptom: an operator's change is applied twice. Sequence: the leader commits it and dies
-    // before it answers; the operator sends it again through another replica. Cause: the new
-    // leader does not know the change id.
+fn answers_a_resent_change_identically_after_a_change_of_leaders() {
+    // Guards against a change that is applied twice. The leader commits it and crashes before it
+    // replies; the operator resends it through another replica. The new leader must have the change
+    // id on record.
     block_on(async {
         let mut cluster = Cluster::start(3, Tuning::default());
         let leader = cluster.leader().await;
@@ -98,15 +98,15 @@
 }
 
 #[test]
-fn refuses_a_read_at_a_leader_that_was_cut_off() {
-    // Symptom: an operator sees a template that was replaced before he asked. Sequence: the leader
-    // is cut off; the others elect another, which accepts a change; the operator asks the old
-    // leader at once. Cause: it answers from its own state without asking a majority.
+fn refuses_a_read_at_a_partitioned_leader() {
+    // Guards against a stale read. The leader is partitioned; the others elect another leader, which
+    // accepts a change; then the old leader is read at once. It must not answer from its own state
+    // without confirmation by a majority.
     block_on(async {
         let cluster = Cluster::start(3, Tuning::default());
         let old = cluster.leader().await;
         cluster.propose(old, &publish(1)).await;
-        cluster.cut_off(old);
+        cluster.partition(old);
         let asked = cluster.current(old).await;
         let other = (old + 1) % 3;
         let at = position(cluster.propose(other, &publish(2)).await);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn refuses_without_a_majority_and_says_when_to_come_back() {
+fn refuses_without_a_majority_and_says_when_to_retry() {
     block_on(async {
         let mut cluster = Cluster::start(3, Tuning::default());
         let leader = cluster.leader().await;
@@ -173,23 +173,23 @@
         let mut cluster = Cluster::start(3, tuning);
         let leader = cluster.leader().await;
         cluster.propose(leader, &publish(1)).await;
-        let away = (leader + 1) % 3;
-        cluster.kill(away);
+        let absent = (leader + 1) % 3;
+        cluster.kill(absent);
         let mut last = Position::default();
         for n in 2..=300 {
             last = position(cluster.propose(leader, &publish(n)).await);
         }
-        cluster.restart(away);
-        let status = cluster.until(away, |s| s.position == last).await;
+        cluster.restart(absent);
+        let status = cluster.until(absent, |s| s.position == last).await;
         assert!(status.storage.snapshot > 100, "{status:?}");
     });
 }
 
 #[test]
 fn replaces_a_lost_replica_by_one_action() {
-    // Symptom: after a repair, the loss of one more VM stops all changes. Sequence: a VM with its
-    // disk is lost; a new one takes its place; another VM is lost at once. Cause: the new one
-    // votes before it holds the log, or the lost one is still counted.
+    // Guards against a replacement after which the loss of one more VM stops all changes. A VM and
+    // its disk are lost, a new VM replaces it, and another VM is lost at once. This fails if the new
+    // replica votes before it has the log, or if the lost one still counts as a voter.
     block_on(async {
         let mut cluster = Cluster::start(3, Tuning::default());
         let leader = cluster.leader().await;
@@ -203,7 +203,7 @@
             "node": name(lost), "by": name(new), "address": cluster.address(new),
         }});
         let via = (leader + 2) % 3;
-        cluster.act(via, &action.to_string()).await.unwrap();
+        cluster.request_action(via, &action.to_string()).await.unwrap();
         cluster
             .until(leader, |s| {
                 let voters: Vec<_> = s.replicas.iter().filter(|r| r.voter).collect();
@@ -218,8 +218,8 @@
 
 #[test]
 fn refuses_to_vote_with_an_emptied_disk() {
-    // Symptom: two leaders of one epoch, or a lost change. Sequence: a VM loses its disk and
-    // starts with the settings of the first day. Cause: it votes as if it remembered.
+    // Guards against two leaders in one epoch, or a lost change. A VM loses its disk and starts with
+    // its original settings. It must not vote, since its earlier votes and entries are lost.
     block_on(async {
         let mut cluster = Cluster::start(3, Tuning::default());
         let leader = cluster.leader().await;
@@ -233,19 +233,19 @@
         assert!(!status.voter, "{status:?}");
         let client = &cluster.client;
         let epoch: Result<EpochAnswer, _> =
-            client.call(&cluster.address(emptied), paths::EPOCH, &(), PATIENCE).await;
+            client.call(&cluster.address(emptied), paths::EPOCH, &(), MAX_WAIT).await;
         assert!(epoch.is_err());
         let answer: EpochAnswer =
-            client.call(&cluster.address(leader), paths::EPOCH, &(), PATIENCE).await.unwrap();
+            client.call(&cluster.address(leader), paths::EPOCH, &(), MAX_WAIT).await.unwrap();
         assert!(answer.epoch.0 > 0);
         assert_eq!(answer.voters.len(), 3);
     });
 }
 
 #[test]
-fn stops_voting_and_says_why_when_the_disk_fails() {
-    // Symptom: a change that was accepted is gone. Sequence: the leader's disk fails to sync; the
-    // leader goes on. Cause: it acknowledges what only its page cache holds.
+fn stops_voting_and_reports_the_reason_when_the_disk_fails() {
+    // Guards against the loss of an accepted change. The leader's disk fails to sync, and the leader
+    // continues and acknowledges entries that are only in its page cache.
     block_on(async {
         let failing = Arc::new(AtomicBool::new(false));
         let flag = failing.clone();
@@ -275,9 +275,9 @@
 }
 
 #[test]
-fn takes_no_change_while_its_disk_has_no_room_and_goes_on_when_it_has() {
-    // Symptom: a control process ends itself again and again. Sequence: its disk fills, a write is
-    // refused, the process restarts and is refused again. Cause: want of room passed for a fault.
+fn accepts_no_change_while_its_disk_is_full_and_continues_when_it_has_space() {
+    // Guards against a control process that stops itself repeatedly. Its disk fills, a write fails,
+    // the process restarts, and the write fails again: a full disk was handled like a defective one.
     block_on(async {
         let full = Arc::new(AtomicBool::new(false));
         let refusing = full.clone();
@@ -292,7 +292,7 @@
         let accepted = position(cluster.propose(0, &publish(1)).await);
         full.store(true, Ordering::SeqCst);
         let refused = cluster.try_propose(0, &publish(2)).await;
-        assert!(refused.is_err(), "nothing is acknowledged that no disk holds: {refused:?}");
+        assert!(refused.is_err(), "a change that is not on disk was acknowledged: {refused:?}");
         let status = cluster.until(0, |s| s.position >= accepted).await;
         assert_eq!(status.position, accepted);
         assert!(status.storage.failure.is_none(), "{:?}", status.storage.failure);
@@ -310,17 +310,17 @@
         cluster.propose(leader, &publish(1)).await;
         let to = (leader + 1) % 3;
         let action = serde_json::json!({"hand_over": name(to)});
-        cluster.act((leader + 2) % 3, &action.to_string()).await.unwrap();
+        cluster.request_action((leader + 2) % 3, &action.to_string()).await.unwrap();
         cluster.until(to, |s| s.lease_ms > 0).await;
     });
 }
 
 #[test]
 fn keeps_sessions_that_are_renewed_and_closes_the_others() {
-    // Long against whatever a busy machine adds to a renewal.
-    let patient = ControlSettings { session_ms: 4_000, ..ControlSettings::default() };
+    // Long compared with the delay that a busy machine adds to a renewal.
+    let long_sessions = ControlSettings { session_ms: 4_000, ..ControlSettings::default() };
     block_on(async {
-        let cluster = Cluster::start_as(3, Tuning::default(), patient);
+        let cluster = Cluster::start_as(3, Tuning::default(), long_sessions);
         let leader = cluster.leader().await;
         let mut sessions = Vec::new();
         for i in 0..2 {
@@ -334,10 +334,10 @@
         let renew = async |renew: &SessionRenewal| -> SessionRenewalReply {
             let address = cluster.address((leader + 1) % 3);
             loop {
-                let answer = cluster.client.call(&address, paths::RENEW, renew, PATIENCE).await;
+                let answer = cluster.client.call(&address, paths::RENEW, renew, MAX_WAIT).await;
                 match answer {
                     Ok(renewed) => return renewed,
-                    // An election under load is no fault; a lapsed session is.
+                    // An election under load is allowed; an expired session is not.
                     Err(CallError::Failure(failure)) if failure.retry_ms.is_some() => {}
                     Err(error) => panic!("{error}"),
                 }
@@ -356,16 +356,16 @@
 }
 
 #[test]
-fn harms_nothing_when_an_isolated_leader_comes_back() {
-    // Symptom: accepted changes disappear, or two processes lead. Sequence: the leader is cut off
-    // for longer than its lease, hundreds of changes are accepted without it, it comes back.
-    // Cause: it believes that it still leads.
+fn keeps_all_changes_when_a_partitioned_leader_returns() {
+    // Guards against lost changes or two leaders. The leader is partitioned for longer than its
+    // lease, hundreds of changes are accepted without it, and it returns. It must not continue to
+    // act as leader.
     block_on(async {
         let cluster = Cluster::start(3, Tuning::default());
         let old = cluster.leader().await;
         cluster.propose(old, &publish(1)).await;
         let before = cluster.status(old).await.unwrap();
-        cluster.cut_off(old);
+        cluster.partition(old);
         let other = (old + 1) % 3;
         let mut last = Position::default();
         for n in 2..=300 {
@@ -401,9 +401,10 @@
 }
 
 #[test]
-fn can_start_anew_from_one_folder_after_a_majority_is_lost() {
-    // Symptom: nothing is accepted any more. Sequence: two of three disks are lost; the third's
-    // folder is given to a new process, and others join it. Cause: a majority of disks is gone.
+fn can_restore_from_one_folder_after_a_majority_is_lost() {
+    // Guards the restore of a deployment that accepts nothing because a majority of its disks is
+    // lost. Two of three disks are lost; a new process restores the folder of the third, and others
+    // join it.
     block_on(async {
         let snapshot_thresholds = SnapshotThresholds { entries: 20, bytes: 64 << 20 };
         let mut cluster = Cluster::start(3, Tuning { snapshot_thresholds, ..Tuning::default() });
@@ -424,7 +425,7 @@
         let action = serde_json::json!({"add": {
             "node": name(next), "address": cluster.address(next),
         }});
-        cluster.act(first, &action.to_string()).await.unwrap();
+        cluster.request_action(first, &action.to_string()).await.unwrap();
         cluster.until(next, |s| s.voter && s.position == last).await;
         let at = position(cluster.propose(next, &publish(51)).await);
         assert!(at > last);
@@ -435,11 +436,11 @@
 }
 
 #[test]
-fn keeps_a_snapshot_only_after_the_entries_that_it_covers() {
-    // Symptom: a replica stops with a failed storage although its disk is sound. Sequence: the
-    // others commit faster than its own disk writes; it takes a snapshot of what is committed;
-    // the snapshot reaches the disk before the entries that it covers. Cause: writes that wait
-    // for room in the disk's ring are overtaken.
+fn writes_a_snapshot_only_after_the_entries_that_it_covers() {
+    // Guards against a replica that stops with a storage failure although its disk works. The others
+    // commit faster than its own disk writes. It takes a snapshot of the committed state, which
+    // reaches the disk before the entries that it covers, because it overtakes the writes that wait
+    // for capacity in the disk's queue.
     block_on(async {
         let snapshot_thresholds = SnapshotThresholds { entries: 100, bytes: 64 << 20 };
         let tuning =
--- a/components/control/tests/support/mod.rs
+++ b/components/control/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Control processes within the test's process, each with its own kernel, server and folder.
+//! Control processes inside the test process, each with its own kernel, server and folder.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -41,8 +41,8 @@
 const TOKEN: &str = "a-token-of-processes";
 const KEYS: &str = "process p a-token-of-processes\noperator o a-token-of-operators\n";
 
-/// How long anything may take before a test gives up; nothing is asserted on it.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Time after which a test fails because a condition was not reached. No test asserts on it.
+pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
 /// A running control process.
 pub struct Process {
@@ -51,24 +51,24 @@
     server: JoinHandle<()>,
 }
 
-/// The processes of one deployment; stopped ones are none.
+/// The processes of one deployment; stopped ones are `None`.
 pub struct Cluster {
     pub folder: tempfile::TempDir,
     pub settings: Vec<Settings>,
     pub processes: Vec<Option<Process>>,
     pub tuning: Tuning,
-    cut: Arc<Mutex<BTreeSet<String>>>,
+    partitioned: Arc<Mutex<BTreeSet<String>>>,
     pub client: Client,
 }
 
 impl Cluster {
     /// Starts `count` replicas that found a deployment.
     pub fn start(count: usize, tuning: Tuning) -> Self {
-        Self::start_as(count, tuning, quick())
+        Self::start_as(count, tuning, short_timeouts())
     }
 
-    /// Starts replicas with other settings than the tests' short timeouts.
-    pub fn start_as(count: usize, tuning: Tuning, quick: ControlSettings) -> Self {
+    /// Starts replicas with the given settings in place of the tests' short timeouts.
+    pub fn start_as(count: usize, tuning: Tuning, short_timeouts: ControlSettings) -> Self {
         let folder = tempfile::tempdir().unwrap();
         std::fs::write(folder.path().join("keys"), KEYS).unwrap();
         let listeners: Vec<_> = (0..count).map(|_| bind(([127, 0, 0, 1], 0).into())).collect();
@@ -81,18 +81,18 @@
             settings: Vec::new(),
             processes: Vec::new(),
             tuning: Tuning { hand_over_timeout_ms: 0, ..tuning },
-            cut: Arc::default(),
+            partitioned: Arc::default(),
             client: client(TOKEN),
             folder,
         };
         for (i, listener) in listeners.into_iter().enumerate() {
-            let control = ControlSettings { replicas: replicas.clone(), ..quick.clone() };
+            let control = ControlSettings { replicas: replicas.clone(), ..short_timeouts.clone() };
             cluster.add(i, listener, control);
         }
         cluster
     }
 
-    /// Starts a process that waits to be added; gives its place.
+    /// Starts a process that waits to be added, and returns its index.
     pub fn join(&mut self) -> usize {
         self.join_with(|_| {})
     }
@@ -101,7 +101,7 @@
     pub fn join_with(&mut self, change: impl FnOnce(&mut ControlSettings)) -> usize {
         let i = self.processes.len();
         let listener = bind(([127, 0, 0, 1], 0).into());
-        let mut control = ControlSettings { join: true, ..quick() };
+        let mut control = ControlSettings { join: true, ..short_timeouts() };
         change(&mut control);
         self.add(i, listener, control);
         i
@@ -120,32 +120,32 @@
         self.processes.push(Some(process));
     }
 
-    /// Cuts a process off: no message of the agreement reaches or leaves it.
-    pub fn cut_off(&self, i: usize) {
-        self.cut.lock().unwrap().insert(self.address(i));
+    /// Partitions a process: it neither sends nor receives messages of the agreement.
+    pub fn partition(&self, i: usize) {
+        self.partitioned.lock().unwrap().insert(self.address(i));
     }
 
-    /// Ends all cuts.
+    /// Ends all partitions.
     pub fn heal(&self) {
-        self.cut.lock().unwrap().clear();
+        self.partitioned.lock().unwrap().clear();
     }
 
     fn tuning(&self, i: usize) -> Tuning {
-        let cut = self.cut.clone();
+        let partitioned = self.partitioned.clone();
         let own = self.settings.get(i).map(|settings| settings.listen.to_string());
         let own = own.unwrap_or_default();
-        let reach = move |to: &str| {
-            let cut = cut.lock().unwrap();
-            !cut.contains(to) && !cut.contains(&own)
+        let can_reach = move |to: &str| {
+            let partitioned = partitioned.lock().unwrap();
+            !partitioned.contains(to) && !partitioned.contains(&own)
         };
-        Tuning { can_reach: Arc::new(reach), ..self.tuning.clone() }
+        Tuning { can_reach: Arc::new(can_reach), ..self.tuning.clone() }
     }
 
     pub fn data(&self, i: usize) -> PathBuf {
         self.folder.path().join(format!("data-{i}"))
     }
 
-    /// Stops a process without a word to the others.
+    /// Stops a process without a hand-over to the others.
     pub fn kill(&mut self, i: usize) {
         let process = self.processes[i].take().unwrap();
         process.kernel.phases.advance(Phase::Stopping);
@@ -158,7 +158,7 @@
         let lock = self.data(i).join("control").join("lock");
         let started = Instant::now();
         while std::fs::File::open(&lock).unwrap().try_lock().is_err() {
-            assert!(started.elapsed() < PATIENCE);
+            assert!(started.elapsed() < MAX_WAIT);
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -177,24 +177,24 @@
 
     pub async fn status(&self, i: usize) -> Option<Status> {
         let url = self.client.url(&self.address(i), paths::CONTROL_STATUS);
-        let mut answer = self.client.get(&url).timeout(PATIENCE).send().await.ok()?;
+        let mut answer = self.client.get(&url).timeout(MAX_WAIT).send().await.ok()?;
         serde_json::from_slice(&answer.body().await.ok()?).ok()
     }
 
-    /// Waits until a status passes a test.
-    pub async fn until(&self, i: usize, pass: impl Fn(&Status) -> bool) -> Status {
+    /// Waits until the status of a process satisfies a condition.
+    pub async fn until(&self, i: usize, condition: impl Fn(&Status) -> bool) -> Status {
         let started = Instant::now();
         loop {
             let status = self.status(i).await;
-            if let Some(status) = status.clone().filter(|s| pass(s)) {
+            if let Some(status) = status.clone().filter(|s| condition(s)) {
                 return status;
             }
-            assert!(started.elapsed() < PATIENCE, "{i} stands at {status:?}");
+            assert!(started.elapsed() < MAX_WAIT, "the status of {i} is {status:?}");
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
-    /// Waits until a running process leads, and gives its place.
+    /// Waits until a running process leads, and returns its index.
     pub async fn leader(&self) -> usize {
         let started = Instant::now();
         loop {
@@ -207,32 +207,32 @@
                     return i;
                 }
             }
-            assert!(started.elapsed() < PATIENCE);
+            assert!(started.elapsed() < MAX_WAIT);
             actix_rt::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
     /// Proposes once through a process.
     pub async fn try_propose(&self, i: usize, command: &Command) -> Result<Reply, CallError> {
-        self.client.call(&self.address(i), paths::PROPOSE, command, PATIENCE).await
+        self.client.call(&self.address(i), paths::PROPOSE, command, MAX_WAIT).await
     }
 
-    /// Proposes through a process, again and again, as callers do.
+    /// Proposes through a process, with retries as callers do.
     pub async fn propose(&self, i: usize, command: &Command) -> Reply {
         let started = Instant::now();
         loop {
             match self.try_propose(i, command).await {
                 Ok(reply) => return reply,
-                Err(error) => assert!(started.elapsed() < PATIENCE, "{error}"),
+                Err(error) => assert!(started.elapsed() < MAX_WAIT, "{error}"),
             }
             actix_rt::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Asks a process for the configuration as of a linearizable read.
+    /// Reads the configuration through a process by a linearizable read.
     pub async fn current(&self, i: usize) -> Result<Config, Failure> {
         let url = self.client.url(&self.address(i), paths::CURRENT);
-        let mut answer = self.client.get(&url).timeout(PATIENCE).send().await.unwrap();
+        let mut answer = self.client.get(&url).timeout(MAX_WAIT).send().await.unwrap();
         let body = answer.body().await.unwrap();
         if answer.status().as_u16() < 400 {
             return Ok(serde_json::from_slice(&body).unwrap());
@@ -243,11 +243,15 @@
         }
     }
 
-    /// Orders the control processes something, as an operator.
-    pub async fn act(&self, i: usize, action: &str) -> Result<serde_json::Value, Failure> {
+    /// Requests an action of the control processes, as an operator.
+    pub async fn request_action(
+        &self,
+        i: usize,
+        action: &str,
+    ) -> Result<serde_json::Value, Failure> {
         let url = self.client.url(&self.address(i), paths::CONTROL_STATUS);
         let body = action.to_owned();
-        let mut answer = self.client.post(&url).timeout(PATIENCE).send_body(body).await.unwrap();
+        let mut answer = self.client.post(&url).timeout(MAX_WAIT).send_body(body).await.unwrap();
         let body = answer.body().await.unwrap();
         if answer.status().as_u16() < 400 {
             return Ok(serde_json::from_slice(&body).unwrap());
@@ -292,7 +296,7 @@
     actix_rt::System::new().block_on(future)
 }
 
-fn quick() -> ControlSettings {
+fn short_timeouts() -> ControlSettings {
     ControlSettings {
         election_ms: 400,
         heartbeat_ms: 50,
@@ -306,7 +310,7 @@
     loop {
         match server::listen(address) {
             Ok(listener) => return listener,
-            Err(error) => assert!(started.elapsed() < PATIENCE, "{error}"),
+            Err(error) => assert!(started.elapsed() < MAX_WAIT, "{error}"),
         }
         std::thread::sleep(Duration::from_millis(20));
     }
