--- a/components/control/tests/replicas.rs
+++ b/components/control/tests/replicas.rs
@@ -436,7 +436,7 @@
 }
 
 #[test]
-fn writes_a_snapshot_only_after_the_entries_that_it_covers() {
+fn keeps_a_snapshot_only_after_the_entries_that_it_covers() {
     // Guards against a replica that stops with a storage failure although its disk works. The others
     // commit faster than its own disk writes. It takes a snapshot of the committed state, which
     // reaches the disk before the entries that it covers, because it overtakes the writes that wait
