--- a/components/control/src/apply.rs
+++ b/components/control/src/apply.rs
@@ -18,7 +18,7 @@
     /// The state.
     pub state: State,
     /// The last applied entry.
-    pub mark: EntryId,
+    pub last: EntryId,
     /// Bytes of commands applied since the last snapshot was started.
     pub bytes: usize,
     feed: Option<Feed>,
@@ -27,7 +27,7 @@
 impl Applied {
     /// Creates an empty state. Changes of configuration are pushed to `feed`, if there is one.
     pub fn new(feed: Option<Feed>) -> Self {
-        Self { state: State::default(), mark: EntryId::default(), bytes: 0, feed }
+        Self { state: State::default(), last: EntryId::default(), bytes: 0, feed }
     }
 
     /// Replaces the state with that of a snapshot.
@@ -36,10 +36,10 @@
     ///
     /// Returns [`DecodeError`] if another release wrote it in a format that is not supported.
     pub fn reset(&mut self, snapshot: &Snapshot) -> Result<(), DecodeError> {
-        let mark = snapshot.meta.last;
+        let last = snapshot.meta.last;
         let state = rmp_serde::from_slice(&snapshot.data);
-        self.state = state.map_err(|source| DecodeError { index: mark.index, source })?;
-        self.mark = mark;
+        self.state = state.map_err(|source| DecodeError { index: last.index, source })?;
+        self.last = last;
         self.bytes = 0;
         if let Some(feed) = &self.feed {
             feed.reset(self.state.config.clone());
@@ -55,7 +55,7 @@
     /// support. Skipping it would make this replica's state differ from the others'.
     pub fn apply(&mut self, entry: Entry) -> Result<Option<Reply>, DecodeError> {
         let index = entry.id.index;
-        let follows = index == self.mark.index + 1;
+        let follows = index == self.last.index + 1;
         if !follows {
             tracing::error!(event = "promise_broken", promise = "applied_in_order", index);
         }
@@ -67,13 +67,13 @@
             }
             Payload::Empty | Payload::Members(_) => None,
         };
-        self.mark = entry.id;
+        self.last = entry.id;
         Ok(reply)
     }
 
-    fn apply_command(&mut self, mark: EntryId, body: Body) -> Reply {
+    fn apply_command(&mut self, id: EntryId, body: Body) -> Reply {
         let before = self.state.config.at;
-        let at = Position { epoch: mark.epoch, revision: before.revision.next() };
+        let at = Position { epoch: id.epoch, revision: before.revision.next() };
         let reply = self.state.apply(at, body.stamp, body.command);
         if let Some(feed) = &self.feed {
             for (at, change) in self.state.changes_after(before) {
--- a/components/control/src/disk.rs
+++ b/components/control/src/disk.rs
@@ -92,8 +92,8 @@
                 retry_while_full(&is_closed, || apply_write(storage, &write))?;
             }
             Job::SaveSnapshot(snapshot) => {
-                let kept = convert::snapshot(&snapshot);
-                retry_while_full(&is_closed, || storage.save_snapshot(&kept))?;
+                let stored = convert::snapshot(&snapshot);
+                retry_while_full(&is_closed, || storage.save_snapshot(&stored))?;
                 done.push(Report::SnapshotSaved(snapshot));
             }
         }
--- a/components/control/src/handle.rs
+++ b/components/control/src/handle.rs
@@ -186,7 +186,7 @@
 }
 
 fn overloaded() -> Failure {
-    let detail = "the replica is overloaded";
+    let detail = "the replica has too much to do";
     Failure::not_run(Code::Overloaded, detail).retry_after(RETRY_AFTER_MS)
 }
 
--- a/components/control/src/replica.rs
+++ b/components/control/src/replica.rs
@@ -116,7 +116,7 @@
         rings: Rings,
         founders: BTreeMap<Node, String>,
     ) -> Self {
-        let storage = StorageStatus { snapshot: applied.mark.index, ..StorageStatus::default() };
+        let storage = StorageStatus { snapshot: applied.last.index, ..StorageStatus::default() };
         Self {
             kernel,
             replica,
@@ -288,8 +288,8 @@
     }
 
     fn read_ready(&mut self, token: Token, index: u64) {
-        if self.applied.mark.index < index {
-            let applied = self.applied.mark.index;
+        if self.applied.last.index < index {
+            let applied = self.applied.last.index;
             tracing::error!(event = "promise_broken", promise = "read_applied", index, applied);
         }
         self.pending.read(token, &self.applied.state.config);
@@ -349,7 +349,7 @@
     }
 
     fn take_snapshot(&mut self) {
-        let index = self.applied.mark.index;
+        let index = self.applied.last.index;
         let enough_entries =
             index.saturating_sub(self.storage.snapshot) >= self.snapshot_thresholds.entries;
         let due = enough_entries || self.applied.bytes >= self.snapshot_thresholds.bytes;
@@ -357,7 +357,7 @@
             return;
         }
         let meta =
-            SnapshotMeta { last: self.applied.mark, members: self.replica.members_at(index) };
+            SnapshotMeta { last: self.applied.last, members: self.replica.members_at(index) };
         let state = Box::new(self.applied.state.clone());
         if self.rings.snapshot_jobs.offer(SnapshotJob { meta, state }).is_ok() {
             self.pending_snapshot = Some(index);
--- a/components/control/src/report.rs
+++ b/components/control/src/report.rs
@@ -28,7 +28,7 @@
             epoch: status.epoch,
             leader: status.leader.map(|id| id.node),
             committed: status.commit,
-            applied: self.applied.mark.index,
+            applied: self.applied.last.index,
             position: state.config.at,
             replicas,
             sessions: state.sessions().map(|(n, session)| (n, session.node.clone())).collect(),
--- a/components/control/src/restore.rs
+++ b/components/control/src/restore.rs
@@ -56,7 +56,7 @@
     fs::rename(&unfinished, to).map_err(StartError::Restore)?;
     let folder = to.parent().unwrap_or(Path::new("."));
     fs::File::open(folder).and_then(|f| f.sync_all()).map_err(StartError::Restore)?;
-    tracing::warn!(event = "restored", index = applied.mark.index, epoch = applied.mark.epoch.0);
+    tracing::warn!(event = "restored", index = applied.last.index, epoch = applied.last.epoch.0);
     Ok(())
 }
 
@@ -75,11 +75,11 @@
         applied.reset(snapshot)?;
     }
     for entry in saved.entries {
-        if entry.id.index > applied.mark.index {
+        if entry.id.index > applied.last.index {
             applied.apply(entry)?;
         }
     }
-    if applied.mark == EntryId::default() {
+    if applied.last == EntryId::default() {
         return Err(StartError::NothingToRestore(from.to_owned()));
     }
     Ok(applied)
@@ -96,9 +96,9 @@
     let seat = ReplicaInfo { address: address.to_owned(), voter: true, replaces: None };
     let mut members = Membership::default();
     members.replicas.insert(ReplicaId::new(node.clone(), recovered.identity), seat);
-    let meta = SnapshotMeta { last: applied.mark, members };
+    let meta = SnapshotMeta { last: applied.last, members };
     let data = rmp_serde::to_vec_named(&applied.state).expect("the state is plain data");
-    let epoch = Epoch(applied.mark.epoch.0 + EPOCH_INCREMENT);
+    let epoch = Epoch(applied.last.epoch.0 + EPOCH_INCREMENT);
     storage.save_hard_state(&HardState { epoch, vote: None })?;
     storage.save_snapshot(&convert::snapshot(&convert::build_snapshot(meta, data)))?;
     Ok(())
--- a/components/control/src/routes.rs
+++ b/components/control/src/routes.rs
@@ -147,7 +147,7 @@
             let voters = voters.map(|replica| replica.node).collect();
             return Ok(EpochAnswer { epoch: status.epoch, voters });
         }
-        Err(Failure::not_run(Code::NoQuorum, "this control process is not a voter"))
+        Err(Failure::not_run(Code::NoQuorum, "this control process does not vote"))
     }
 
     async fn control_status(&self, call: &Call) -> Result<Reply, Failure> {
@@ -277,7 +277,7 @@
         RequestError::Failed(failure) => Err(failure),
         RequestError::NotLeader(Some(address)) if call.query != FORWARDED => Ok(address),
         RequestError::NotLeader(_) => {
-            let detail = "the control processes currently have no leader";
+            let detail = "the control processes have no leader just now";
             Err(Failure::not_run(Code::NoQuorum, detail).retry_after(RETRY_AFTER_MS))
         }
     }
--- a/components/control/src/serve.rs
+++ b/components/control/src/serve.rs
@@ -78,8 +78,7 @@
             let size = data.len();
             let token = self.pending.add(waiter);
             if size > MAX_COMMAND_BYTES {
-                let detail =
-                    format!("the command has {size} bytes, the maximum is {MAX_COMMAND_BYTES}");
+                let detail = format!("the command takes {size} of {MAX_COMMAND_BYTES} bytes");
                 let failure = Failure::not_run(Code::TooLarge, detail);
                 self.pending.refuse(token, failure.into());
                 continue;
@@ -128,7 +127,7 @@
             return;
         }
         let Some(change) = self.membership_change(request) else {
-            let failure = Failure::not_run(Code::NotFound, "there is no replica with this name");
+            let failure = Failure::not_run(Code::NotFound, "no replica has that name");
             let _ = answer.send(Err(failure.into()));
             return;
         };
--- a/components/storage/src/atomic.rs
+++ b/components/storage/src/atomic.rs
@@ -1,7 +1,7 @@
-//! Small files that are replaced whole: the replica's identity, the hard state, snapshots.
+//! Files that are replaced atomically: the replica's identity, the hard state, snapshots.
 //!
 //! A file is written under another name, synced, renamed over the old one, and its folder is
-//! synced. A crash at any moment leaves either the old file or the new one, never a mixture.
+//! synced. A crash at any time leaves either the old file or the new one, never a mixture.
 
 use std::fs;
 use std::fs::File;
@@ -19,17 +19,17 @@
 
 /// The format version of all files that this release writes.
 pub const FORMAT: u32 = 1;
-/// Bytes before the body: magic, format, length, checksum.
-pub const HEADER: usize = 8 + 4 + 8 + 4;
-/// The ending of a file that is not yet renamed into place.
+/// Length in bytes of the header: magic, format, length, checksum.
+pub const HEADER_BYTES: usize = 8 + 4 + 8 + 4;
+/// The extension of a file that is not yet renamed to its final path.
 pub const TEMP_EXTENSION: &str = "tmp";
 
-/// Replaces the file `path` by one that holds `value`.
+/// Replaces the file `path` with one that contains `value`.
 ///
 /// # Errors
 ///
-/// [`StorageError::Io`]; the old file is then still in place, or the new one is.
-/// [`StorageError::Full`]; the old file is still in place.
+/// Returns [`StorageError::Io`], after which either the old file or the new one is in place, or
+/// [`StorageError::Full`], after which the old file is in place.
 pub fn write<T: Serialize>(
     disk: &Disk,
     path: &Path,
@@ -37,63 +37,68 @@
     value: &T,
 ) -> Result<(), StorageError> {
     let body = rmp_serde::to_vec_named(value).expect("stored values are plain data");
-    let mut whole = Vec::with_capacity(HEADER + body.len());
-    whole.extend_from_slice(magic);
-    whole.extend_from_slice(&FORMAT.to_be_bytes());
-    whole.extend_from_slice(&(body.len() as u64).to_be_bytes());
-    whole.extend_from_slice(&checksum(magic, &body).to_be_bytes());
-    whole.extend_from_slice(&body);
-    let unfinished = path.with_extension(TEMP_EXTENSION);
-    let mut file = File::create(&unfinished).map_err(write_error("create", &unfinished))?;
-    if let Err(error) = (disk.write)(&mut file, &whole) {
-        // It would hold on to room that is wanted.
-        fs::remove_file(&unfinished).map_err(io_error("remove", &unfinished))?;
-        return Err(write_error("write", &unfinished)(error));
+    let mut file_bytes = Vec::with_capacity(HEADER_BYTES + body.len());
+    file_bytes.extend_from_slice(magic);
+    file_bytes.extend_from_slice(&FORMAT.to_be_bytes());
+    file_bytes.extend_from_slice(&(body.len() as u64).to_be_bytes());
+    file_bytes.extend_from_slice(&checksum(magic, &body).to_be_bytes());
+    file_bytes.extend_from_slice(&body);
+    let temp_path = path.with_extension(TEMP_EXTENSION);
+    let mut file = File::create(&temp_path).map_err(write_error("create", &temp_path))?;
+    if let Err(error) = (disk.write)(&mut file, &file_bytes) {
+        // The unfinished file would occupy space that is needed.
+        fs::remove_file(&temp_path).map_err(io_error("remove", &temp_path))?;
+        return Err(write_error("write", &temp_path)(error));
     }
-    (disk.sync)(&file).map_err(io_error("sync", &unfinished))?;
+    (disk.sync)(&file).map_err(io_error("sync", &temp_path))?;
     drop(file);
-    (disk.rename)(&unfinished, path).map_err(io_error("rename", path))?;
+    (disk.rename)(&temp_path, path).map_err(io_error("rename", path))?;
     let folder = path.parent().unwrap_or(Path::new("."));
     (disk.sync_folder)(folder).map_err(io_error("sync", folder))
 }
 
-/// Reads what [`write`] wrote, or none if there is no such file.
+/// Reads a file that [`write`] wrote. Returns none if it does not exist.
 ///
 /// # Errors
 ///
-/// [`StorageError::Corrupt`] if a bit of it has changed, [`StorageError::Format`] if another
-/// release wrote it.
+/// Returns [`StorageError::Corrupt`] if its content has changed, and [`StorageError::Format`] if its
+/// format is that of another release.
 pub fn read<T: DeserializeOwned>(path: &Path, magic: &[u8; 8]) -> Result<Option<T>, StorageError> {
-    let whole = match fs::read(path) {
-        Ok(whole) => whole,
+    let file_bytes = match fs::read(path) {
+        Ok(file_bytes) => file_bytes,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(error) => return Err(io_error("read", path)(error)),
     };
     let corrupt = |offset, what| StorageError::Corrupt { path: path.to_owned(), offset, what };
-    if whole.len() < HEADER {
-        return Err(corrupt(whole.len() as u64, Damage::Short));
+    if file_bytes.len() < HEADER_BYTES {
+        return Err(corrupt(file_bytes.len() as u64, Damage::Short));
     }
-    check_format(path, &whole, magic)?;
-    let length = u64::from_be_bytes(whole[12..20].try_into().expect("eight bytes"));
-    let sum = u32::from_be_bytes(whole[20..24].try_into().expect("four bytes"));
-    let body = &whole[HEADER..];
+    check_format(path, &file_bytes, magic)?;
+    let length = u64::from_be_bytes(file_bytes[12..20].try_into().expect("eight bytes"));
+    let sum = u32::from_be_bytes(file_bytes[20..24].try_into().expect("four bytes"));
+    let body = &file_bytes[HEADER_BYTES..];
     if body.len() as u64 != length {
-        return Err(corrupt(whole.len() as u64, Damage::Short));
+        return Err(corrupt(file_bytes.len() as u64, Damage::Short));
     }
     if checksum(magic, body) != sum {
-        return Err(corrupt(HEADER as u64, Damage::Checksum));
+        return Err(corrupt(HEADER_BYTES as u64, Damage::Checksum));
     }
-    let value = rmp_serde::from_slice(body).map_err(|_| corrupt(HEADER as u64, Damage::Content))?;
+    let value =
+        rmp_serde::from_slice(body).map_err(|_| corrupt(HEADER_BYTES as u64, Damage::Content))?;
     Ok(Some(value))
 }
 
-/// Checks that a file starts with `magic` and the format that this release knows.
-pub(crate) fn check_format(path: &Path, whole: &[u8], magic: &[u8; 8]) -> Result<(), StorageError> {
-    if whole[..8] != magic[..] {
+/// Checks that a file starts with `magic` and the format version of this release.
+pub(crate) fn check_format(
+    path: &Path,
+    file_bytes: &[u8],
+    magic: &[u8; 8],
+) -> Result<(), StorageError> {
+    if file_bytes[..8] != magic[..] {
         let (path, what) = (path.to_owned(), Damage::Magic);
         return Err(StorageError::Corrupt { path, offset: 0, what });
     }
-    let found = u32::from_be_bytes(whole[8..12].try_into().expect("four bytes"));
+    let found = u32::from_be_bytes(file_bytes[8..12].try_into().expect("four bytes"));
     if found != FORMAT {
         return Err(StorageError::Format { path: path.to_owned(), found, known: FORMAT });
     }
--- a/components/storage/src/disk.rs
+++ b/components/storage/src/disk.rs
@@ -1,4 +1,4 @@
-//! The file operations that can fail, replaceable so that tests can make them fail.
+//! The file operations, replaceable so that tests can make them fail.
 
 use std::fs;
 use std::fs::File;
@@ -17,14 +17,14 @@
 /// The file operations.
 #[derive(Clone)]
 pub struct Disk {
-    /// Writes all bytes at the file's end.
+    /// Appends all bytes to the file.
     pub write: Arc<WriteFile>,
-    /// Waits until the file's content is on the disk.
+    /// Syncs the file's content.
     pub sync: Arc<SyncFile>,
     /// Renames a file over another.
     pub rename: Arc<Rename>,
-    /// Waits until the folder's list of files is on the disk; a new file could otherwise be
-    /// missing after a power loss although its content had been synced.
+    /// Syncs the folder's list of files. Otherwise a new file could be missing after a power loss
+    /// although its content was synced.
     pub sync_folder: Arc<SyncFolder>,
 }
 
@@ -39,8 +39,8 @@
     }
 }
 
-/// The same as [`io_error`] for what a full disk refuses. A sync that fails for want of room is not
-/// among them: what it should have kept may be lost.
+/// Like [`io_error`], but converts the error of a full disk to [`StorageError::Full`]. This must not
+/// be used for a sync that fails because the disk is full: the data to be synced may be lost.
 pub(crate) fn write_error<'a>(
     action: &'static str,
     path: &'a Path,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Adds to an error of the operating system what was tried with which file.
+/// Adds the attempted action and the file to an error of the operating system.
 pub(crate) fn io_error<'a>(
     action: &'static str,
     path: &'a Path,
--- a/components/storage/src/entry.rs
+++ b/components/storage/src/entry.rs
@@ -1,4 +1,4 @@
-//! What the storage keeps.
+//! The data that the storage keeps.
 
 use bytes::Bytes;
 use chicoryford_types::Epoch;
@@ -10,21 +10,21 @@
 /// One entry of the log.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Entry {
-    /// Counts the entries of the log from one.
+    /// The number of the entry in the log, starting from one.
     pub index: u64,
     /// The epoch of the leader that appended it.
     pub epoch: Epoch,
-    /// Its content, which the storage does not read.
+    /// Its content, which the storage does not interpret.
     pub body: Bytes,
 }
 
-/// What a replica must remember of elections: without it, it could vote twice in one epoch after
-/// a restart, and two leaders could be elected.
+/// The election state that a replica must persist. Without it, the replica could vote twice in one
+/// epoch after a restart, and two leaders could be elected.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct HardState {
     /// The highest epoch seen.
     pub epoch: Epoch,
-    /// For whom it voted in that epoch.
+    /// The replica for which it voted in that epoch.
     pub vote: Option<Vote>,
 }
 
@@ -40,10 +40,10 @@
 /// The state after an entry, in place of all entries up to it.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Snapshot {
-    /// The last entry that it covers.
+    /// The index of the last entry that it covers.
     pub index: u64,
     /// The epoch of that entry.
     pub epoch: Epoch,
-    /// Its content, which the storage does not read.
+    /// Its content, which the storage does not interpret.
     pub body: Bytes,
 }
--- a/components/storage/src/error.rs
+++ b/components/storage/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the data folder cannot be used.
+//! Errors of the data folder.
 
 use std::io;
 use std::path::PathBuf;
@@ -9,24 +9,24 @@
 /// The data folder could not be read or written.
 #[derive(Clone, Debug, Error)]
 pub enum StorageError {
-    /// A file operation failed. The storage takes no more writes in this process: after a failed
-    /// sync the kernel may have dropped the dirty pages and marked them clean, so that a second
+    /// A file operation failed. The storage accepts no more writes in this process: after a failed
+    /// sync, the kernel may have dropped the dirty pages and marked them clean, so that a second
     /// sync would succeed although the data is lost.
     #[error("cannot {action} {}: {source}", .path.display())]
     Io {
-        /// What was tried.
+        /// The attempted action.
         action: &'static str,
-        /// With which file or folder.
+        /// The file or folder.
         path: PathBuf,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: Arc<io::Error>,
     },
-    /// The disk has no room for a file. Nothing of the operation is left in the folder, and it may
-    /// be tried again.
-    #[error("no room on the disk for {}", .0.display())]
+    /// The disk has no space for a file. The operation left nothing in the folder and may be
+    /// retried.
+    #[error("the disk is full, cannot write {}", .0.display())]
     Full(PathBuf),
-    /// An earlier operation failed, and nothing is written since.
-    #[error("the data folder is not written any more: {0}")]
+    /// An earlier operation failed, and nothing is written after it.
+    #[error("the data folder is no longer written: {0}")]
     Poisoned(Arc<StorageError>),
     /// A file is damaged where it had been synced, so acknowledged entries may be lost.
     #[error(
@@ -37,12 +37,12 @@
     Corrupt {
         /// The file.
         path: PathBuf,
-        /// Where in it.
+        /// The offset of the damage in the file.
         offset: u64,
-        /// What is wrong there.
+        /// The kind of damage.
         what: Damage,
     },
-    /// A file has a format of another release.
+    /// A file has the format of another release.
     #[error("{} has format version {found}, this release reads {known}", .path.display())]
     Format {
         /// The file.
@@ -52,10 +52,10 @@
         /// The version that this release reads and writes.
         known: u32,
     },
-    /// Another process uses the data folder.
+    /// Another process has the data folder open.
     #[error("{} is in use by another process", .0.display())]
     Locked(PathBuf),
-    /// An append left a gap.
+    /// The entries to be appended do not follow the last one.
     #[error("entry {found} does not follow entry {last}")]
     Gap {
         /// The last entry of the log.
@@ -66,13 +66,13 @@
 }
 
 impl StorageError {
-    /// Tells whether all that is wrong is that the disk has no room at present.
+    /// Returns whether the only problem is that the disk currently has no space.
     pub fn is_full(&self) -> bool {
         matches!(self, Self::Full(_))
     }
 }
 
-/// What is wrong at a place in a file.
+/// The kind of damage of a file.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum Damage {
     /// A checksum does not match.
@@ -81,16 +81,16 @@
     /// The file ends too early.
     #[error("the file ends too early")]
     Short,
-    /// The file is of another kind.
-    #[error("this is not a file of that kind")]
+    /// The magic number of the file is wrong.
+    #[error("the magic number is wrong")]
     Magic,
     /// An entry does not follow its predecessor.
     #[error("an entry is missing or out of order")]
     Order,
-    /// A file that must be there is not.
+    /// A required file is missing.
     #[error("the file is missing")]
     Missing,
-    /// The content cannot be read.
-    #[error("the content cannot be read")]
+    /// The content cannot be decoded.
+    #[error("the content cannot be decoded")]
     Content,
 }
--- a/components/storage/src/lib.rs
+++ b/components/storage/src/lib.rs
@@ -1,7 +1,7 @@
 //! The durable log and snapshots of a control process.
 //!
-//! Everything lies under one data folder and lasts only once it is synced, so nothing is
-//! acknowledged before [`Storage::sync`] has returned. docs/STORAGE.md gives the format of each
+//! All files are in one data folder. Data is durable only once it is synced, so nothing is
+//! acknowledged before [`Storage::sync`] has returned. docs/STORAGE.md describes the format of each
 //! file and what operators do when a file is refused.
 
 pub mod atomic;
--- a/components/storage/src/salvage.rs
+++ b/components/storage/src/salvage.rs
@@ -1,4 +1,4 @@
-//! Reads what a data folder holds without changing it, for a restore after a majority of the
+//! Reads the content of a data folder without changing it, for a restore after a majority of the
 //! replicas is lost (docs/CONTROL.md).
 
 use std::path::Path;
@@ -10,9 +10,9 @@
 use crate::segment;
 use crate::snapshot;
 use crate::snapshot::list;
-use crate::storage::LOG;
+use crate::storage::LOG_FOLDER;
 
-/// What a data folder holds.
+/// The content of a data folder.
 #[derive(Clone, Debug, Default)]
 pub struct Salvaged {
     /// The newest snapshot.
@@ -21,25 +21,25 @@
     pub entries: Vec<Entry>,
 }
 
-/// Reads a data folder. A copy that has just a snapshot will do: the identity and the votes of a
-/// deployment that is gone are of no account.
+/// Reads a data folder. A copy that contains only a snapshot is sufficient: the identity and the
+/// votes of a lost deployment are not needed.
 ///
 /// # Errors
 ///
-/// [`StorageError::Corrupt`] if what is there is damaged.
+/// Returns [`StorageError::Corrupt`] if the content is damaged.
 pub fn salvage(folder: &Path) -> Result<Salvaged, StorageError> {
     let snapshot = snapshot::read(folder)?;
-    let log = folder.join(LOG);
+    let log = folder.join(LOG_FOLDER);
     let files = if log.is_dir() { list(&log, segment::EXTENSION)? } else { Vec::new() };
     let mut entries: Vec<Entry> = Vec::new();
-    for (place, (first, path)) in files.iter().enumerate() {
-        let missing = |what| StorageError::Corrupt { path: path.clone(), offset: 0, what };
+    for (position, (first, path)) in files.iter().enumerate() {
+        let corrupt = |what| StorageError::Corrupt { path: path.clone(), offset: 0, what };
         let covered = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let before = entries.last().map_or(covered, |entry| entry.index);
         if *first > before + 1 {
-            return Err(missing(Damage::Order));
+            return Err(corrupt(Damage::Order));
         }
-        let last = place + 1 == files.len();
+        let last = position + 1 == files.len();
         if let Some(read) = segment::read(path, *first, last)? {
             entries.extend(read.entries);
         }
--- a/components/storage/src/storage.rs
+++ b/components/storage/src/storage.rs
@@ -25,26 +25,26 @@
 use crate::snapshot;
 use crate::snapshot::list;
 
-const IDENTITY: &str = "identity";
+const IDENTITY_FILE: &str = "identity";
 const IDENTITY_MAGIC: &[u8; 8] = b"cfidenty";
-const HARD: &str = "hard";
-const HARD_MAGIC: &[u8; 8] = b"cfhardst";
-const LOCK: &str = "lock";
-pub(crate) const LOG: &str = "log";
-/// The mode of a folder that its owner alone can enter.
-const OWNER_ONLY: u32 = 0o700;
-/// The bits of a mode that let others in.
-const OTHERS: u32 = 0o077;
-
-/// How the storage behaves.
+const HARD_STATE_FILE: &str = "hard";
+const HARD_STATE_MAGIC: &[u8; 8] = b"cfhardst";
+const LOCK_FILE: &str = "lock";
+pub(crate) const LOG_FOLDER: &str = "log";
+/// The mode of a folder that only its owner can access.
+const OWNER_ONLY_MODE: u32 = 0o700;
+/// The mode bits that give access to group and others.
+const NON_OWNER_MODE: u32 = 0o077;
+
+/// The settings of the storage.
 #[derive(Clone, Debug)]
 pub struct StorageSettings {
-    /// Bytes after which a new segment is begun; whole segments are what compaction removes.
+    /// Size in bytes after which a new segment is started. Compaction removes whole segments.
     pub segment_bytes: u64,
-    /// Entries kept before a snapshot, so that a follower that lags a little need not be sent
-    /// the whole snapshot.
+    /// Number of entries retained before a snapshot, so that a follower that lags slightly need not
+    /// receive the whole snapshot.
     pub retained_entries: u64,
-    /// The identity that a new data folder gets: the moment of its creation.
+    /// The identity of a new data folder: the time of its creation.
     pub identity: Incarnation,
 }
 
@@ -54,13 +54,13 @@
     }
 }
 
-/// What a data folder held when it was opened.
+/// The content of a data folder when it was opened.
 #[derive(Clone, Debug, Default)]
 pub struct Recovered {
-    /// Identifies this data folder: a process whose disk was replaced has another one, and must
-    /// not vote as if it remembered what the lost one promised.
+    /// The identity of this data folder. A process whose disk was replaced has a new identity,
+    /// because it must not vote without the votes that the lost folder had recorded.
     pub identity: Incarnation,
-    /// Whether the folder was empty and has just been given its identity.
+    /// Whether the folder was empty, so that its identity was just created.
     pub is_new: bool,
     /// The highest epoch seen, and the vote in it.
     pub hard: HardState,
@@ -68,7 +68,7 @@
     pub snapshot: Option<Snapshot>,
     /// The entries of the log in order.
     pub entries: Vec<Entry>,
-    /// Bytes of a torn write that were cut off the end of the log.
+    /// Number of bytes of a torn write that were truncated at the end of the log.
     pub truncated_bytes: u64,
 }
 
@@ -90,25 +90,25 @@
     ///
     /// # Errors
     ///
-    /// [`StorageError::Corrupt`] if what had been synced is damaged, [`StorageError::Locked`] if
-    /// another process has the folder open.
+    /// Returns [`StorageError::Corrupt`] if synced content is damaged, and [`StorageError::Locked`]
+    /// if another process has the folder open.
     pub fn open(
         folder: &Path,
         settings: StorageSettings,
         disk: Disk,
     ) -> Result<(Self, Recovered), StorageError> {
-        let log = folder.join(LOG);
+        let log = folder.join(LOG_FOLDER);
         create_private(&log).map_err(io_error("create", &log))?;
         let lock = lock(folder)?;
         remove_unfinished(folder)?;
-        let (identity, hard, is_new) = identify(&disk, folder, settings.identity)?;
+        let (identity, hard, is_new) = load_identity(&disk, folder, settings.identity)?;
         let snapshot = snapshot::read(folder)?;
         let (segments, entries, truncated_bytes) = load_log(&disk, &log)?;
         let covered = snapshot.as_ref().map_or(0, |s| s.index);
         let failure = None;
         let folder = folder.to_owned();
         let mut storage = Self { folder, settings, disk, segments, covered, failure, _lock: lock };
-        let entries = storage.join(snapshot.as_ref(), entries)?;
+        let entries = storage.reconcile(snapshot.as_ref(), entries)?;
         tracing::info!(
             event = "storage_opened",
             identity = identity.0,
@@ -120,44 +120,44 @@
         Ok((storage, Recovered { identity, is_new, hard, snapshot, entries, truncated_bytes }))
     }
 
-    /// Gives the failure after which nothing is written any more.
+    /// Returns the failure after which nothing is written, if there was one.
     pub fn failure(&self) -> Option<Arc<StorageError>> {
         self.failure.clone()
     }
 
-    /// Gives the index of the last entry, synced or not.
+    /// Returns the index of the last entry, synced or not.
     pub fn last_index(&self) -> u64 {
         self.segments.last().map_or(self.covered, Segment::last_index)
     }
 
-    /// Counts the bytes of the log.
+    /// Returns the size of the log in bytes.
     pub fn bytes(&self) -> u64 {
         self.segments.iter().map(|s| s.length).sum()
     }
 
-    /// Reads an entry back from the log, written or synced; none if it is not there any more.
+    /// Reads an entry from the log, synced or not. Returns none if the log does not contain it.
     ///
     /// # Errors
     ///
-    /// [`StorageError`] if it cannot be read, or is not what was written.
+    /// Returns [`StorageError`] if it cannot be read, or differs from what was written.
     pub fn read(&self, index: u64) -> Result<Option<Entry>, StorageError> {
-        let place = self.segments.partition_point(|segment| segment.first <= index);
-        match place.checked_sub(1).map(|place| &self.segments[place]) {
+        let position = self.segments.partition_point(|segment| segment.first <= index);
+        match position.checked_sub(1).map(|position| &self.segments[position]) {
             Some(segment) => segment.read(index),
             None => Ok(None),
         }
     }
 
-    /// Appends entries. If the first is not beyond the last of the log, the log is first cut
+    /// Appends entries. If the log already contains the index of the first one, the log is truncated
     /// before it: a new leader's entries replace those that were never committed.
     ///
-    /// The entries last only after [`Storage::sync`].
+    /// The entries are durable only after [`Storage::sync`].
     ///
     /// # Errors
     ///
-    /// [`StorageError::Gap`] if an entry does not follow its predecessor; nothing is written.
+    /// Returns [`StorageError::Gap`] if an entry does not follow its predecessor; nothing is written.
     pub fn append(&mut self, entries: &[Entry]) -> Result<(), StorageError> {
-        self.check()?;
+        self.check_usable()?;
         let Some(first) = entries.first() else { return Ok(()) };
         let last = self.last_index();
         let jump = entries.windows(2).find(|pair| pair[1].index != pair[0].index + 1);
@@ -167,9 +167,9 @@
         if first.index > last + 1 || first.index <= self.covered {
             return Err(StorageError::Gap { last, found: first.index });
         }
-        self.guard(|s| {
+        self.run_operation(|s| {
             if first.index <= last {
-                s.cut_from(first.index)?;
+                s.remove_from(first.index)?;
             }
             s.append_all(entries)
         })
@@ -181,62 +181,65 @@
     ///
     /// [`StorageError`].
     pub fn truncate(&mut self, from: u64) -> Result<(), StorageError> {
-        self.check()?;
+        self.check_usable()?;
         if from > self.last_index() {
             return Ok(());
         }
-        self.guard(|s| s.cut_from(from))
+        self.run_operation(|s| s.remove_from(from))
     }
 
-    /// Waits until all appended entries are on the disk. One call serves all entries appended
-    /// since the last one.
+    /// Syncs all entries appended since the last call.
     ///
     /// # Errors
     ///
-    /// [`StorageError`]; nothing since the last successful call may be acknowledged.
+    /// Returns [`StorageError`]. No entry appended since the last successful call may be
+    /// acknowledged.
     pub fn sync(&mut self) -> Result<(), StorageError> {
-        self.check()?;
-        self.guard(|s| match s.segments.last_mut() {
+        self.check_usable()?;
+        self.run_operation(|s| match s.segments.last_mut() {
             Some(segment) => segment.sync(&s.disk),
             None => Ok(()),
         })
     }
 
-    /// Replaces the hard state; it is on the disk when this returns.
+    /// Replaces the hard state. It is synced when this returns.
     ///
     /// # Errors
     ///
-    /// [`StorageError`]; the vote must then not be given.
+    /// Returns [`StorageError`]. The vote must not be cast then.
     pub fn save_hard_state(&mut self, hard: &HardState) -> Result<(), StorageError> {
-        self.check()?;
-        self.guard(|s| atomic::write(&s.disk, &s.folder.join(HARD), HARD_MAGIC, hard))
+        self.check_usable()?;
+        self.run_operation(|s| {
+            atomic::write(&s.disk, &s.folder.join(HARD_STATE_FILE), HARD_STATE_MAGIC, hard)
+        })
     }
 
-    /// Keeps a snapshot and removes the segments that it makes needless. If the log does not
-    /// agree with it, as when it came from the leader, the log starts anew after it.
+    /// Saves a snapshot and removes the segments that it makes obsolete. If the log does not match
+    /// it, for instance because the leader sent it, the log is cleared and restarts after it.
     ///
     /// # Errors
     ///
-    /// [`StorageError`]; the older snapshot and log are then still there.
+    /// Returns [`StorageError`]. If the snapshot could not be written, the older snapshot and the log
+    /// still exist.
     pub fn save_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), StorageError> {
-        self.check()?;
+        self.check_usable()?;
         if snapshot.index <= self.covered {
             return Ok(());
         }
-        self.guard(|s| {
+        self.run_operation(|s| {
             snapshot::write(&s.disk, &s.folder, snapshot)?;
             s.covered = snapshot.index;
-            if s.agrees(snapshot) { s.compact() } else { s.clear() }
+            if s.log_matches(snapshot) { s.compact_log() } else { s.clear_log() }
         })
     }
 
-    fn agrees(&self, snapshot: &Snapshot) -> bool {
-        let held = self.segments.iter().find_map(|s| s.epoch(snapshot.index));
-        held == Some(snapshot.epoch)
+    fn log_matches(&self, snapshot: &Snapshot) -> bool {
+        let epoch = self.segments.iter().find_map(|s| s.epoch(snapshot.index));
+        epoch == Some(snapshot.epoch)
     }
 
-    /// Fits the log to the snapshot, as a crash between writing one and the other left them.
-    fn join(
+    /// Reconciles the log with the snapshot after a crash between the writes of both.
+    fn reconcile(
         &mut self,
         snapshot: Option<&Snapshot>,
         entries: Vec<Entry>,
@@ -248,9 +251,9 @@
         }
         let Some(snapshot) = snapshot else { return Ok(entries) };
         if self.last_index() < self.covered
-            || (first.first <= self.covered && !self.agrees(snapshot))
+            || (first.first <= self.covered && !self.log_matches(snapshot))
         {
-            self.clear()?;
+            self.clear_log()?;
             return Ok(Vec::new());
         }
         Ok(entries)
@@ -260,18 +263,18 @@
         let full = self.segments.last().is_none_or(|s| s.length >= self.settings.segment_bytes);
         if full {
             if let Some(segment) = self.segments.last_mut() {
-                // Only the last segment may have a torn end, so this one must be whole first.
+                // Only the last segment may have a torn end, so this one is synced completely first.
                 segment.finish(&self.disk)?;
             }
-            let log = self.folder.join(LOG);
+            let log = self.folder.join(LOG_FOLDER);
             self.segments.push(Segment::create(&self.disk, &log, entries[0].index)?);
         }
-        let segment = self.segments.last_mut().expect("one was just made if there was none");
+        let segment = self.segments.last_mut().expect("a segment was created if there was none");
         segment.append(&self.disk, entries)
     }
 
-    fn cut_from(&mut self, from: u64) -> Result<(), StorageError> {
-        // The last segment goes first, so that a crash in between leaves no hole.
+    fn remove_from(&mut self, from: u64) -> Result<(), StorageError> {
+        // The last segment is removed first, so that a crash in between leaves no gap.
         while let Some(segment) = self.segments.pop_if(|s| s.first >= from) {
             self.remove(&segment.path)?;
         }
@@ -281,16 +284,16 @@
         }
     }
 
-    fn compact(&mut self) -> Result<(), StorageError> {
-        let needless = self.covered.saturating_sub(self.settings.retained_entries);
-        while self.segments.len() > 1 && self.segments[0].last_index() <= needless {
+    fn compact_log(&mut self) -> Result<(), StorageError> {
+        let obsolete = self.covered.saturating_sub(self.settings.retained_entries);
+        while self.segments.len() > 1 && self.segments[0].last_index() <= obsolete {
             let segment = self.segments.remove(0);
             self.remove(&segment.path)?;
         }
         Ok(())
     }
 
-    fn clear(&mut self) -> Result<(), StorageError> {
+    fn clear_log(&mut self) -> Result<(), StorageError> {
         while let Some(segment) = self.segments.pop() {
             self.remove(&segment.path)?;
         }
@@ -299,18 +302,18 @@
 
     fn remove(&self, path: &Path) -> Result<(), StorageError> {
         fs::remove_file(path).map_err(io_error("remove", path))?;
-        let log = self.folder.join(LOG);
+        let log = self.folder.join(LOG_FOLDER);
         (self.disk.sync_folder)(&log).map_err(io_error("sync", &log))
     }
 
-    fn check(&self) -> Result<(), StorageError> {
+    fn check_usable(&self) -> Result<(), StorageError> {
         match &self.failure {
             Some(failure) => Err(StorageError::Poisoned(failure.clone())),
             None => Ok(()),
         }
     }
 
-    fn guard(
+    fn run_operation(
         &mut self,
         operation: impl FnOnce(&mut Self) -> Result<(), StorageError>,
     ) -> Result<(), StorageError> {
@@ -326,7 +329,7 @@
 }
 
 fn lock(folder: &Path) -> Result<File, StorageError> {
-    let path = folder.join(LOCK);
+    let path = folder.join(LOCK_FILE);
     let file = File::create(&path).map_err(io_error("create", &path))?;
     file.try_lock().map_err(|error| match error {
         fs::TryLockError::WouldBlock => StorageError::Locked(folder.to_owned()),
@@ -345,29 +348,30 @@
     Ok(())
 }
 
-/// Reads who this replica is and how it voted, or makes both for an empty folder.
+/// Reads the identity and the hard state, or creates both in an empty folder.
 ///
-/// The hard state is written first: a folder with an identity but no hard state has lost it.
-fn identify(
+/// The hard state is written first, so that a folder with an identity but no hard state is known to
+/// have lost it.
+fn load_identity(
     disk: &Disk,
     folder: &Path,
     new: Incarnation,
 ) -> Result<(Incarnation, HardState, bool), StorageError> {
-    let (identity, hard) = (folder.join(IDENTITY), folder.join(HARD));
+    let (identity, hard) = (folder.join(IDENTITY_FILE), folder.join(HARD_STATE_FILE));
     let known: Option<Incarnation> = atomic::read(&identity, IDENTITY_MAGIC)?;
-    let held: Option<HardState> = atomic::read(&hard, HARD_MAGIC)?;
+    let hard_state: Option<HardState> = atomic::read(&hard, HARD_STATE_MAGIC)?;
     let missing = |path: PathBuf| StorageError::Corrupt { path, offset: 0, what: Damage::Missing };
     if let Some(known) = known {
-        let held = held.ok_or_else(|| missing(hard))?;
-        return Ok((known, held, false));
+        let hard_state = hard_state.ok_or_else(|| missing(hard))?;
+        return Ok((known, hard_state, false));
     }
     let used = !list(folder, snapshot::EXTENSION)?.is_empty()
-        || !list(&folder.join(LOG), segment::EXTENSION)?.is_empty()
-        || held.is_some_and(|held| held != HardState::default());
+        || !list(&folder.join(LOG_FOLDER), segment::EXTENSION)?.is_empty()
+        || hard_state.is_some_and(|hard_state| hard_state != HardState::default());
     if used {
         return Err(missing(identity));
     }
-    atomic::write(disk, &hard, HARD_MAGIC, &HardState::default())?;
+    atomic::write(disk, &hard, HARD_STATE_MAGIC, &HardState::default())?;
     atomic::write(disk, &identity, IDENTITY_MAGIC, &new)?;
     Ok((new, HardState::default(), true))
 }
@@ -379,8 +383,8 @@
     let mut segments: Vec<Segment> = Vec::new();
     let mut entries = Vec::new();
     let mut truncated_bytes = 0;
-    for (place, (first, path)) in files.iter().enumerate() {
-        let last = place + 1 == files.len();
+    for (position, (first, path)) in files.iter().enumerate() {
+        let last = position + 1 == files.len();
         if segments.last().is_some_and(|s| s.last_index() + 1 != *first) {
             let (path, what) = (path.clone(), Damage::Order);
             return Err(StorageError::Corrupt { path, offset: 0, what });
@@ -396,12 +400,13 @@
     Ok((segments, entries, truncated_bytes))
 }
 
-/// Makes a folder that its owner alone can enter: what is stored may show keys of callers. One that
-/// exists is left as it is, with a line in the log if others can read it.
+/// Creates a folder that only its owner can access, since the stored data may contain keys of
+/// callers. The mode of an existing folder is not changed; a warning is logged if others can access
+/// it.
 fn create_private(folder: &Path) -> io::Result<()> {
-    DirBuilder::new().recursive(true).mode(OWNER_ONLY).create(folder)?;
+    DirBuilder::new().recursive(true).mode(OWNER_ONLY_MODE).create(folder)?;
     let mode = fs::metadata(folder)?.permissions().mode();
-    if mode & OTHERS != 0 {
+    if mode & NON_OWNER_MODE != 0 {
         tracing::warn!(event = "folder_open", folder = %folder.display(), mode);
     }
     Ok(())
--- a/components/storage/tests/storage.rs
+++ b/components/storage/tests/storage.rs
@@ -1,4 +1,4 @@
-//! The storage over its public interface, with a disk that fails on request.
+//! The storage through its public interface, with a disk that fails on request.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -30,7 +30,7 @@
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 
-/// Drives the randomised runs.
+/// The seed of the randomised tests.
 const SEED: u64 = 4;
 
 fn settings() -> StorageSettings {
@@ -126,10 +126,10 @@
 }
 
 #[test]
-fn starts_the_log_anew_after_a_leaders_snapshot() {
-    // Symptom: a follower that took the leader's snapshot keeps old entries that contradict it.
-    // Sequence: entries of epoch 1 are in the log; a snapshot whose last entry is of epoch 2
-    // arrives; the process dies before the log is cleared. Cause: two files, one crash.
+fn clears_the_log_after_a_leaders_snapshot_that_contradicts_it() {
+    // Guards against a follower that keeps old entries which contradict the leader's snapshot. The
+    // log has entries of epoch 1; a snapshot whose last entry is of epoch 2 is saved; the process
+    // crashes after the snapshot is written and before the log is cleared.
     let folder = tempfile::tempdir().unwrap();
     let snapshot = Snapshot { index: 5, epoch: Epoch(2), body: Bytes::from_static(b"s") };
     let failing = Arc::new(AtomicBool::new(false));
@@ -158,20 +158,20 @@
     assert_eq!(open(folder.path()).unwrap().1.entries, entries(6, 7, 2));
 }
 
-/// Symptom: a process whose VM lost power cannot start: a file before the last one is damaged.
-/// Sequence: a sync writes a record of what is synced after itself; the next append begins a new
-/// file; power is lost, and that record was never synced.
-/// Cause: the record counted as synced, so a full file was not synced again before the next one
-/// began, though only the last file may have a torn end.
+/// Guards against a process that cannot start after its VM lost power, because a segment before the
+/// last one is damaged. A sync appends a sync mark after the synced data; the next append starts a
+/// new segment; power is lost before the mark is synced. If the mark counted as synced, the full
+/// segment was not synced again before the next one was started, although only the last segment may
+/// have a torn end.
 #[test]
 fn a_full_file_is_on_the_disk_whole_before_the_next_one_begins() {
     let folder = tempfile::tempdir().unwrap();
     let synced = Arc::new(Mutex::new(BTreeMap::new()));
-    let noted = synced.clone();
+    let recorder = synced.clone();
     let disk = Disk {
         sync: Arc::new(move |file| {
             let metadata = file.metadata()?;
-            noted.lock().unwrap().insert(metadata.ino(), metadata.len());
+            recorder.lock().unwrap().insert(metadata.ino(), metadata.len());
             file.sync_data()
         }),
         ..Disk::default()
@@ -189,18 +189,18 @@
         assert_eq!(synced, metadata.len(), "{}", file.display());
     }
     drop(storage);
-    // Power is lost: of each file, what its last sync covered is left.
+    // Simulates a power loss: each file is truncated to the length of its last sync.
     for file in files {
         let metadata = fs::metadata(&file).unwrap();
-        let left = synced.lock().unwrap()[&metadata.ino()];
-        fs::OpenOptions::new().write(true).open(&file).unwrap().set_len(left).unwrap();
+        let synced_length = synced.lock().unwrap()[&metadata.ino()];
+        fs::OpenOptions::new().write(true).open(&file).unwrap().set_len(synced_length).unwrap();
     }
     let (_, recovered) = open(folder.path()).unwrap();
     assert_eq!(recovered.entries, entries(1, 30, 1));
 }
 
 #[test]
-fn entries_can_be_read_back_one_by_one() {
+fn entries_can_be_read_one_by_one() {
     let folder = tempfile::tempdir().unwrap();
     let (mut storage, _) = open(folder.path()).unwrap();
     for index in 1..=30 {
@@ -233,8 +233,8 @@
 
 #[test]
 fn errors_on_a_lost_identity_or_vote() {
-    // Symptom: a replica votes twice in one epoch. Sequence: it votes, somebody removes or loses
-    // a file of its folder, it starts again. Cause: a folder that forgot passes for a new one.
+    // Guards against a replica that votes twice in one epoch. It votes, a file of its folder is
+    // removed or lost, and it restarts. An incomplete folder must not be treated as a new one.
     for lost in ["identity", "hard"] {
         let folder = tempfile::tempdir().unwrap();
         {
@@ -259,10 +259,10 @@
 }
 
 #[test]
-fn stops_for_good_after_a_failed_sync() {
-    // Symptom: an acknowledged entry is gone after a power loss. Sequence: a sync fails, the
-    // next one succeeds, the entry is acknowledged. Cause: the kernel drops dirty pages when
-    // writing them failed, and then has nothing left to fail with.
+fn refuses_all_operations_after_a_failed_sync() {
+    // Guards against the loss of an acknowledged entry. A sync fails, the next one succeeds, and the
+    // entry is acknowledged. The kernel drops dirty pages after it failed to write them, so the
+    // second sync has nothing left to write and succeeds.
     let folder = tempfile::tempdir().unwrap();
     let failing = Arc::new(AtomicBool::new(false));
     let flag = failing.clone();
@@ -291,15 +291,16 @@
     assert_eq!(recovered.hard, HardState::default());
 }
 
-/// A disk with room for so many more bytes; a write that does not fit stops half-way.
-fn disk_with(room: &Arc<AtomicUsize>) -> Disk {
-    let room = room.clone();
+/// Returns a disk with space for the given number of bytes. A write that does not fit is written in
+/// part.
+fn disk_with_space(space: &Arc<AtomicUsize>) -> Disk {
+    let space = space.clone();
     Disk {
         write: Arc::new(move |file, bytes| {
-            let left = room.load(Ordering::SeqCst);
-            let some = bytes.len().min(left);
+            let space_left = space.load(Ordering::SeqCst);
+            let some = bytes.len().min(space_left);
             file.write_all(&bytes[..some])?;
-            room.fetch_sub(some, Ordering::SeqCst);
+            space.fetch_sub(some, Ordering::SeqCst);
             match some < bytes.len() {
                 true => Err(io::ErrorKind::StorageFull.into()),
                 false => Ok(()),
@@ -309,32 +310,32 @@
     }
 }
 
-/// Room that no test uses up.
-const PLENTY: usize = 1 << 30;
+/// More space in bytes than any test uses.
+const AMPLE_SPACE: usize = 1 << 30;
 
 #[test]
-fn loses_nothing_synced_when_the_disk_fills_and_goes_on_when_there_is_room() {
-    // Symptom: entries vanish on a full disk, or the process ends again and again. Sequence: a write
-    // stops half-way with "no space left"; the process is restarted, or goes on. Cause: the half
-    // record must be cut, and nothing else; and there is nothing wrong but the room.
-    for room in [0, 1, 20, 60, 100, 700] {
+fn loses_no_synced_entry_on_a_full_disk_and_continues_when_there_is_space() {
+    // Guards against lost entries on a full disk and against a process that stops repeatedly. A write
+    // fails in the middle with "no space left"; the process is restarted or continues. Only the
+    // incomplete record must be truncated, and a full disk must not count as a failure.
+    for space in [0, 1, 20, 60, 100, 700] {
         for restarts in [true, false] {
             let folder = tempfile::tempdir().unwrap();
-            let left = Arc::new(AtomicUsize::new(PLENTY));
+            let space_left = Arc::new(AtomicUsize::new(AMPLE_SPACE));
             let (mut storage, _) =
-                Storage::open(folder.path(), settings(), disk_with(&left)).unwrap();
+                Storage::open(folder.path(), settings(), disk_with_space(&space_left)).unwrap();
             storage.append(&entries(1, 5, 1)).unwrap();
             storage.sync().unwrap();
-            left.store(room, Ordering::SeqCst);
+            space_left.store(space, Ordering::SeqCst);
             let refused = (6..100).find_map(|index| {
                 let written = storage.append(&[entry(index, 1)]).and_then(|()| storage.sync());
                 written.err().map(|error| (index, error))
             });
-            let (next, error) = refused.expect("the room is used up");
+            let (next, error) = refused.expect("the space is used up");
             assert!(error.is_full(), "{error}");
             assert!(storage.failure().is_none());
             assert_eq!(storage.last_index(), next - 1);
-            left.store(PLENTY, Ordering::SeqCst);
+            space_left.store(AMPLE_SPACE, Ordering::SeqCst);
             if restarts {
                 drop(storage);
                 storage = open(folder.path()).unwrap().0;
@@ -344,24 +345,25 @@
             storage.sync().unwrap();
             drop(storage);
             let (_, recovered) = open(folder.path()).unwrap();
-            assert_eq!(recovered.entries, entries(1, next + 20, 1), "room {room}");
+            assert_eq!(recovered.entries, entries(1, next + 20, 1), "space {space}");
         }
     }
 }
 
 #[test]
-fn a_vote_and_a_snapshot_that_find_no_room_leave_the_old_ones() {
+fn a_vote_and_a_snapshot_on_a_full_disk_leave_the_old_ones() {
     let folder = tempfile::tempdir().unwrap();
-    let left = Arc::new(AtomicUsize::new(PLENTY));
-    let (mut storage, _) = Storage::open(folder.path(), settings(), disk_with(&left)).unwrap();
+    let space_left = Arc::new(AtomicUsize::new(AMPLE_SPACE));
+    let (mut storage, _) =
+        Storage::open(folder.path(), settings(), disk_with_space(&space_left)).unwrap();
     storage.append(&entries(1, 5, 1)).unwrap();
     storage.sync().unwrap();
-    left.store(10, Ordering::SeqCst);
+    space_left.store(10, Ordering::SeqCst);
     let vote = HardState { epoch: Epoch(5), vote: None };
     assert!(storage.save_hard_state(&vote).unwrap_err().is_full());
     let snapshot = Snapshot { index: 4, epoch: Epoch(1), body: b"state".to_vec().into() };
     assert!(storage.save_snapshot(&snapshot).unwrap_err().is_full());
-    left.store(PLENTY, Ordering::SeqCst);
+    space_left.store(AMPLE_SPACE, Ordering::SeqCst);
     storage.save_snapshot(&snapshot).unwrap();
     drop(storage);
     let (_, recovered) = open(folder.path()).unwrap();
@@ -386,7 +388,7 @@
 }
 
 #[test]
-fn cuts_a_torn_tail_and_goes_on() {
+fn truncates_a_torn_tail_and_continues() {
     let folder = tempfile::tempdir().unwrap();
     {
         let (mut storage, _) = open(folder.path()).unwrap();
@@ -408,16 +410,16 @@
     assert_eq!(recovered.entries, [entries(1, 4, 1), entries(5, 6, 2)].concat());
 }
 
-/// Opens a folder with a disk that never waits: the randomised runs damage files themselves, and
-/// thousands of real syncs would only wait for the machine's disk.
+/// Opens a folder with a disk whose syncs do nothing. The randomised tests damage the files
+/// themselves, and thousands of real syncs would only take time.
 fn open_fast(folder: &Path) -> Result<(Storage, Recovered), StorageError> {
     let disk =
         Disk { sync: Arc::new(|_| Ok(())), sync_folder: Arc::new(|_| Ok(())), ..Disk::default() };
     Storage::open(folder, settings(), disk)
 }
 
-/// Writes `synced` entries that are synced in batches, then `loose` ones that are not.
-fn fill(folder: &Path, synced: u64, loose: u64, batch: u64) {
+/// Writes `synced` entries that are synced in batches, then `unsynced` ones that are not.
+fn fill(folder: &Path, synced: u64, unsynced: u64, batch: u64) {
     let (mut storage, _) = open_fast(folder).unwrap();
     let mut index = 1;
     while index <= synced {
@@ -426,18 +428,17 @@
         storage.sync().unwrap();
         index = to + 1;
     }
-    storage.append(&entries(synced + 1, synced + loose, 1)).unwrap();
+    storage.append(&entries(synced + 1, synced + unsynced, 1)).unwrap();
 }
 
 #[test]
-fn refuses_or_cuts_every_flipped_bit() {
-    // Symptom: an accepted change is gone, or is another one. Sequence: one bit of the folder
-    // changes while the process is down. Cause: a damaged synced record is taken for a torn tail,
-    // or is not noticed at all.
-    fn run(synced: u8, loose: u8, batch: u8, file: usize, byte: usize, bit: u8) -> bool {
-        let (synced, loose) = (u64::from(synced % 40), u64::from(loose % 4));
+fn refuses_or_truncates_every_flipped_bit() {
+    // Guards against a lost or changed entry. One bit of the folder changes while the process is
+    // stopped. A damaged synced record must not be treated as a torn tail or remain undetected.
+    fn run(synced: u8, unsynced: u8, batch: u8, file: usize, byte: usize, bit: u8) -> bool {
+        let (synced, unsynced) = (u64::from(synced % 40), u64::from(unsynced % 4));
         let folder = tempfile::tempdir().unwrap();
-        fill(folder.path(), synced, loose, u64::from(batch % 7) + 1);
+        fill(folder.path(), synced, unsynced, u64::from(batch % 7) + 1);
         let mut files = segments(folder.path());
         files.push(folder.path().join("hard"));
         files.push(folder.path().join("identity"));
@@ -464,10 +465,10 @@
 
 #[test]
 fn recovers_a_prefix_or_refuses_after_any_truncation() {
-    fn run(synced: u8, loose: u8, batch: u8, file: usize, length: usize) -> bool {
-        let (synced, loose) = (u64::from(synced % 40), u64::from(loose % 4));
+    fn run(synced: u8, unsynced: u8, batch: u8, file: usize, length: usize) -> bool {
+        let (synced, unsynced) = (u64::from(synced % 40), u64::from(unsynced % 4));
         let folder = tempfile::tempdir().unwrap();
-        fill(folder.path(), synced, loose, u64::from(batch % 7) + 1);
+        fill(folder.path(), synced, unsynced, u64::from(batch % 7) + 1);
         let files = segments(folder.path());
         if files.is_empty() {
             return true;
@@ -494,7 +495,7 @@
 }
 
 #[test]
-fn salvages_what_a_folder_holds_without_changing_it() {
+fn salvages_the_content_of_a_folder_without_changing_it() {
     let folder = tempfile::tempdir().unwrap();
     {
         let (mut storage, _) = open(folder.path()).unwrap();
@@ -518,9 +519,9 @@
     assert_eq!(fs::read(&path).unwrap(), torn);
 }
 
-/// What is stored may show keys of callers, so nobody else on the VM may read it.
+/// The stored data may contain keys of callers, so no other user of the VM may read it.
 #[test]
-fn a_new_folder_is_its_owners_alone() {
+fn a_new_folder_is_accessible_only_by_its_owner() {
     let folder = tempfile::tempdir().unwrap();
     let data = folder.path().join("data");
     Storage::open(&data, StorageSettings::default(), Disk::default()).unwrap();
