--- a/components/http/src/client.rs
+++ b/components/http/src/client.rs
@@ -1,4 +1,4 @@
-//! The client side: one connection to an endpoint, and what can go wrong on it.
+//! The client side: one connection to an endpoint, and its errors.
 
 use std::io;
 use std::net::SocketAddr;
@@ -29,28 +29,28 @@
 use crate::message::Request;
 use crate::socket;
 
-/// Bytes of a reply that is read whole; beyond it the endpoint is taken for broken.
-const REPLY_BOUND: usize = 64 << 20;
+/// Maximum size in bytes of a reply body that is read completely. A larger reply is an error.
+const MAX_REPLY_BYTES: usize = 64 << 20;
 
-/// Why an exchange came to no whole reply.
+/// An error for which an exchange produced no complete reply.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
-    /// No connection came about: not a byte of the request has left.
+    /// No connection was opened, so no byte of the request was sent.
     #[error("no connection: {0}")]
     NotSent(#[source] io::Error),
-    /// The request may have arrived.
+    /// The connection failed. The request may have been received.
     #[error("the connection broke: {0}")]
     Lost(#[source] io::Error),
-    /// The connection ended before the reply did.
+    /// The connection was closed before the end of the reply.
     #[error("the reply was cut short")]
     Truncated,
-    /// What came is no reply in the protocol, or belongs to another request.
-    #[error("unfit reply: {0}")]
+    /// The received bytes are not a valid reply, or belong to another request.
+    #[error("invalid reply: {0}")]
     Invalid(&'static str),
 }
 
 impl ExchangeError {
-    /// Tells whether the endpoint certainly saw nothing of the request.
+    /// Returns whether the endpoint certainly received nothing of the request.
     pub fn is_unsent(&self) -> bool {
         matches!(self, Self::NotSent(_))
     }
@@ -61,11 +61,11 @@
     address: SocketAddr,
     stream: TcpStream,
     input: BytesMut,
-    /// Set once anything happened after which it must not be used again.
-    spoiled: bool,
+    /// Whether the connection must not be reused.
+    tainted: bool,
 }
 
-/// The head of a reply whose body is still to be read.
+/// The head of a reply whose body has not been read yet.
 pub struct IncomingReply {
     connection: Connection,
     codec: ClientPayloadCodec,
@@ -77,14 +77,14 @@
     pub headers: Headers,
 }
 
-/// How the end of a body is known.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Framing {
     /// There is no body.
     Empty,
-    /// The codec knows.
+    /// The codec determines it from the headers.
     Codec,
-    /// It ends with the connection. The codec takes such a body for an empty one.
+    /// The body ends with the connection. The codec treats such a body as empty.
     Connection,
 }
 
@@ -93,16 +93,16 @@
     ///
     /// # Errors
     ///
-    /// [`ExchangeError::NotSent`] if there is none within the limit.
+    /// Returns [`ExchangeError::NotSent`] if the connection is not open within the limit.
     pub async fn open(address: SocketAddr, limit: Duration) -> Result<Self, ExchangeError> {
         let stream = socket::connect(address, limit).await.map_err(ExchangeError::NotSent)?;
-        Ok(Self { address, stream, input: BytesMut::new(), spoiled: false })
+        Ok(Self { address, stream, input: BytesMut::new(), tainted: false })
     }
 
-    /// Tells whether the connection may carry another request: it is open, and nothing came on it
-    /// that nobody asked for. Such bytes would be read as the answer to the next request.
+    /// Returns whether the connection may be used for another request: it is open, and no unsolicited
+    /// bytes were received on it. Such bytes would be read as the reply to the next request.
     pub fn is_clean(&mut self) -> bool {
-        if self.spoiled || !self.input.is_empty() {
+        if self.tainted || !self.input.is_empty() {
             return false;
         }
         match self.stream.try_read_buf(&mut self.input) {
@@ -115,19 +115,19 @@
     ///
     /// # Errors
     ///
-    /// [`ExchangeError`], after which the connection is gone.
+    /// Returns [`ExchangeError`], after which the connection is closed.
     pub async fn start(mut self, request: &Request) -> Result<IncomingReply, ExchangeError> {
         let mut codec = ClientCodec::default();
         let output = encode(&mut codec, request, self.address)?;
-        // A connection whose exchange is given up is reset, also if this process dies meanwhile. A close
-        // would let the bytes that were written arrive later, when the network carries them again, and
-        // the endpoint would begin what nobody wants any more.
+        // A connection whose exchange is abandoned is reset, also if this process is killed. After an
+        // orderly close, the kernel could still deliver the written bytes when a network partition
+        // ends, and the endpoint would start work that is no longer needed.
         self.stream.set_zero_linger().map_err(ExchangeError::NotSent)?;
         self.send(&output).await?;
         let head = loop {
             let decoded = codec.decode(&mut self.input);
-            if let Some(head) = decoded.map_err(|_| ExchangeError::Invalid("no HTTP reply"))? {
-                // A continuation is no answer; the answer follows.
+            if let Some(head) = decoded.map_err(|_| ExchangeError::Invalid("not an HTTP reply"))? {
+                // The final reply follows a 100 Continue.
                 if head.status != StatusCode::CONTINUE {
                     break head;
                 }
@@ -138,7 +138,7 @@
             }
         };
         if !codec.keep_alive() {
-            self.spoiled = true;
+            self.tainted = true;
         }
         let framing = framing(&codec, request, &head);
         Ok(IncomingReply {
@@ -151,9 +151,9 @@
         })
     }
 
-    /// Writes a request while watching for an early reply. An endpoint may answer before it has
-    /// read a long body; going on to write would then fail, or leave the rest of the body to be
-    /// read as the next request, so the rest is not sent and the connection not used again.
+    /// Writes a request and concurrently waits for an early reply. An endpoint may reply before it has
+    /// read a long body. Further writes would then fail, or the rest of the body would be read as the
+    /// next request, so the rest is not sent and the connection is not reused.
     async fn send(&mut self, output: &[u8]) -> Result<(), ExchangeError> {
         let mut sent = 0;
         while sent < output.len() {
@@ -172,7 +172,7 @@
                     match self.stream.try_read_buf(&mut self.input) {
                         Ok(0) => return Err(ExchangeError::Truncated),
                         Ok(_) => {
-                            self.spoiled = true;
+                            self.tainted = true;
                             return Ok(());
                         }
                         Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -190,11 +190,11 @@
 }
 
 impl IncomingReply {
-    /// Reads the next piece of the body; none at its end.
+    /// Reads the next chunk of the body. Returns none at its end.
     ///
     /// # Errors
     ///
-    /// [`ExchangeError`] if the connection ended or failed before the body did.
+    /// Returns [`ExchangeError`] if the connection was closed or failed before the end of the body.
     pub async fn next(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             if self.done {
@@ -203,9 +203,9 @@
             if self.framing == Framing::Connection {
                 return self.next_raw().await;
             }
-            let unfit = |_| ExchangeError::Invalid("broken framing of a body");
-            match self.codec.decode(&mut self.connection.input).map_err(unfit)? {
-                Some(Some(piece)) => return Ok(Some(piece)),
+            let invalid = |_| ExchangeError::Invalid("invalid framing of the body");
+            match self.codec.decode(&mut self.connection.input).map_err(invalid)? {
+                Some(Some(chunk)) => return Ok(Some(chunk)),
                 Some(None) => {
                     self.done = true;
                     return Ok(None);
@@ -218,9 +218,9 @@
         }
     }
 
-    /// Reads the next piece of a body that ends with its connection. A reset is no end of it.
+    /// Reads the next chunk of a body that ends with its connection. A reset is an error, not its end.
     async fn next_raw(&mut self) -> Result<Option<Bytes>, ExchangeError> {
-        self.connection.spoiled = true;
+        self.connection.tainted = true;
         if self.connection.input.is_empty() && self.connection.fill().await? == 0 {
             self.done = true;
             return Ok(None);
@@ -228,17 +228,17 @@
         Ok(Some(self.connection.input.split().freeze()))
     }
 
-    /// Reads the whole body.
+    /// Reads the whole body. Returns the reply, and the connection if it can be reused.
     ///
     /// # Errors
     ///
-    /// [`ExchangeError`] if it does not come whole.
+    /// Returns [`ExchangeError`] if the body is incomplete or too large.
     pub async fn read_all(mut self) -> Result<(Reply, Option<Connection>), ExchangeError> {
         let mut body = BytesMut::new();
-        while let Some(piece) = self.next().await? {
-            body.extend_from_slice(&piece);
-            if body.len() > REPLY_BOUND {
-                return Err(ExchangeError::Invalid("a reply beyond all bounds"));
+        while let Some(chunk) = self.next().await? {
+            body.extend_from_slice(&chunk);
+            if body.len() > MAX_REPLY_BYTES {
+                return Err(ExchangeError::Invalid("the reply is too large"));
             }
         }
         let headers = std::mem::take(&mut self.headers);
@@ -246,26 +246,26 @@
         Ok((reply, self.into_connection()))
     }
 
-    /// Gives the connection back for another request, if the reply was read to its end and the
-    /// connection is fit for one.
+    /// Returns the connection for another request, if the reply was read to its end and the
+    /// connection can be reused.
     pub fn into_connection(self) -> Option<Connection> {
         if self.done {
-            // Closed as usual from now on. If this fails, the connection is gone already.
+            // Restores the orderly close. If this fails, the connection is already closed.
             let _ = SockRef::from(&self.connection.stream).set_linger(None);
         }
-        let fit = self.done && !self.connection.spoiled;
-        (fit && self.connection.input.is_empty()).then_some(self.connection)
+        let is_reusable = self.done && !self.connection.tainted;
+        (is_reusable && self.connection.input.is_empty()).then_some(self.connection)
     }
 }
 
 fn framing(codec: &ClientCodec, request: &Request, head: &ResponseHead) -> Framing {
-    let bodiless = request.method == Method::HEAD
+    let has_no_body = request.method == Method::HEAD
         || head.status == StatusCode::NO_CONTENT
         || head.status == StatusCode::NOT_MODIFIED;
     match codec.message_type() {
         MessageType::Payload => Framing::Codec,
         MessageType::Stream => Framing::Connection,
-        MessageType::None if bodiless || head.headers().contains_key("content-length") => {
+        MessageType::None if has_no_body || head.headers().contains_key("content-length") => {
             Framing::Empty
         }
         MessageType::None => Framing::Connection,
@@ -282,13 +282,13 @@
     head.uri = request.target.parse::<Uri>().map_err(|_| ExchangeError::Invalid("target"))?;
     let mut headers = request.headers.clone();
     if headers.get("host").is_none() {
-        // A request without one is refused as unfit.
+        // HTTP/1.1 servers refuse a request without a host.
         headers.set("host", &address.to_string());
     }
     head.headers = headers.0;
     let length = request.body.len() as u64;
-    let bare = length == 0 && request.method == Method::GET;
-    let size = if bare { BodySize::None } else { BodySize::Sized(length) };
+    let has_no_body = length == 0 && request.method == Method::GET;
+    let size = if has_no_body { BodySize::None } else { BodySize::Sized(length) };
     let mut output = BytesMut::with_capacity(512 + request.body.len());
     let head = RequestHeadType::Owned(head);
     codec.encode(Message::Item((head, size)), &mut output).map_err(ExchangeError::NotSent)?;
--- a/components/http/src/lib.rs
+++ b/components/http/src/lib.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 connections whose bytes, ends and reuse are under control, on both sides.
+//! HTTP/1.1 client and server with control over the reading, reuse and closing of connections.
 //!
-//! The general server and client libraries hide the socket: a handler that waits is not told that
-//! its caller has left, and a pool may reuse a connection on which something came unasked. Here
-//! the library's codecs read and write messages, and this crate decides when a connection is
-//! read, reused and closed (docs/STYLE.md).
+//! General server and client libraries hide the socket: a waiting handler is not notified that its
+//! caller has disconnected, and a pool may reuse a connection on which unsolicited bytes were
+//! received. This crate uses the library's codecs to read and write messages, and decides itself
+//! when a connection is read, reused and closed (docs/STYLE.md).
 
 pub mod client;
 pub mod message;
--- a/components/http/src/server.rs
+++ b/components/http/src/server.rs
@@ -1,4 +1,5 @@
-//! The server side: reads whole requests, watches for the caller's leaving, writes whole replies.
+//! The server side: reads complete requests, detects when the caller disconnects, and writes
+//! complete replies.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -29,30 +30,30 @@
 use crate::message::StatusCode;
 use crate::socket;
 
-/// How long a reply may take to leave, while its caller reads slowly or not at all.
-const WRITE: Duration = Duration::from_secs(30);
-/// How long the rest of a request that was refused early is read and dropped. Closing a socket
-/// with unread bytes resets it, and the reset could overtake the reply that says why.
-const LINGER: Duration = Duration::from_secs(1);
-/// How long an idle connection is still read after the stop was asked for. The balancer sends no
-/// new work after two failed checks, a second apart; callers may be writing until then.
-const FAREWELL: Duration = Duration::from_millis(2_500);
-/// Bytes of further requests that are taken while one is answered.
-const AHEAD: usize = 64 << 10;
-/// Bytes of a chunked body's framing that are read beyond the body itself.
-const FRAMING: usize = 64 << 10;
+/// Timeout for the write of a reply, for callers that read slowly or not at all.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time for which the rest of an early refused request is read and dropped. Closing a socket with
+/// unread bytes resets it, and the reset could overtake the reply that gives the reason.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time for which an idle connection is still read after [`Server::close`]. The load balancer sends
+/// no new requests after two failed health checks, one second apart; callers may send until then.
+const CLOSE_GRACE: Duration = Duration::from_millis(2_500);
+/// Maximum number of bytes of pipelined requests that are buffered while one is answered.
+const MAX_PIPELINED_BYTES: usize = 64 << 10;
+/// Allowance in bytes for a chunked body's framing, in addition to the body itself.
+const FRAMING_ALLOWANCE_BYTES: usize = 64 << 10;
 
-/// What callers may send, and how long they may take.
+/// Limits for the size and the duration of requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Bounds {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub max_head_bytes: usize,
-    /// Bytes of a body.
+    /// Maximum size of a body in bytes.
     pub max_body_bytes: usize,
-    /// Time from the first byte of a request to the end of its head, and between two pieces of
-    /// its body.
+    /// Timeout from the first byte of a request to the end of its head, and between two reads of its
+    /// body.
     pub read_timeout: Duration,
-    /// Time for which a connection may stay idle.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
@@ -71,33 +72,35 @@
 pub struct Server {
     bounds: Rc<Cell<Bounds>>,
     closing: watch::Sender<bool>,
-    busy: Rc<Cell<usize>>,
+    active: Rc<Cell<usize>>,
 }
 
 impl Default for Server {
     fn default() -> Self {
-        Self { bounds: Rc::default(), closing: watch::Sender::new(false), busy: Rc::default() }
+        Self { bounds: Rc::default(), closing: watch::Sender::new(false), active: Rc::default() }
     }
 }
 
 impl Server {
-    /// Changes the bounds for requests that begin from now on.
+    /// Changes the bounds for requests that start after this call.
     pub fn set_bounds(&self, bounds: Bounds) {
         self.bounds.set(bounds);
     }
 
-    /// Asks for the end: replies close their connections, idle ones are closed soon.
+    /// Starts the shutdown: connections are closed after their next reply, and idle ones after a grace
+    /// period.
     pub fn close(&self) {
         self.closing.send_replace(true);
     }
 
-    /// Counts the requests of which a byte was read and that are not answered.
+    /// Returns the number of requests of which at least one byte was read and that are not answered
+    /// yet.
     pub fn active_requests(&self) -> usize {
-        self.busy.get()
+        self.active.get()
     }
 
-    /// Accepts connections and answers their requests with `handler`. The future that it returns
-    /// is dropped as soon as the caller closes its connection, which cancels all that it does.
+    /// Accepts connections and answers their requests with `handler`. The handler's future is dropped
+    /// as soon as the caller closes its connection, which cancels its work.
     pub async fn serve<H, F>(&self, listener: TcpListener, handler: H)
     where
         H: Fn(Request) -> F + Clone + 'static,
@@ -111,7 +114,7 @@
                 input: BytesMut::new(),
                 bounds: self.bounds.clone(),
                 closing: self.closing.subscribe(),
-                busy: self.busy.clone(),
+                active: self.active.clone(),
             };
             actix_rt::spawn(connection.run(handler.clone()));
         }
@@ -122,11 +125,11 @@
     Codec::new(ServiceConfig::new(KeepAlive::Os, Duration::ZERO, Duration::ZERO, false, None))
 }
 
-/// Why no request could be read.
-enum Unread {
-    /// The caller closed, reset, or stayed idle for too long; nothing is owed.
-    Over,
-    /// The request is refused with this status, and the connection ends.
+/// The reason for which no request could be read.
+enum ReadError {
+    /// The caller closed or reset the connection, or was idle for too long. No reply is sent.
+    Closed,
+    /// The request is refused with this status and reason, and the connection is closed.
     Refused(StatusCode, &'static str),
 }
 
@@ -136,20 +139,20 @@
     input: BytesMut,
     bounds: Rc<Cell<Bounds>>,
     closing: watch::Receiver<bool>,
-    busy: Rc<Cell<usize>>,
+    active: Rc<Cell<usize>>,
 }
 
-/// Counts a request for as long as it lives.
-struct Busy(Rc<Cell<usize>>);
+/// Counts an active request until it is dropped.
+struct ActiveRequest(Rc<Cell<usize>>);
 
-impl Busy {
+impl ActiveRequest {
     fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for Busy {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -165,63 +168,63 @@
             if self.await_first_byte().await.is_err() {
                 return;
             }
-            let busy = Busy::new(&self.busy);
+            let active_request = ActiveRequest::new(&self.active);
             let request = match self.read_request().await {
                 Ok(request) => request,
-                Err(Unread::Over) => return,
-                Err(Unread::Refused(status, why)) => {
-                    tracing::info!(event = "request_unfit", status = status.as_u16(), why);
-                    self.refuse(status, why).await;
+                Err(ReadError::Closed) => return,
+                Err(ReadError::Refused(status, reason)) => {
+                    tracing::info!(event = "request_unfit", status = status.as_u16(), why = reason);
+                    self.refuse(status, reason).await;
                     return;
                 }
             };
             let reply = {
                 let answer = handler(request);
-                let gone = watch_caller(&mut self.stream, &mut self.input);
+                let disconnected = wait_for_disconnect(&mut self.stream, &mut self.input);
                 tokio::select! {
                     reply = answer => reply,
-                    () = gone => return,
+                    () = disconnected => return,
                 }
             };
-            let keep = match tokio::time::timeout(WRITE, self.write(reply)).await {
+            let keep = match tokio::time::timeout(WRITE_TIMEOUT, self.write(reply)).await {
                 Ok(Ok(keep)) => keep,
                 Ok(Err(_)) | Err(_) => return,
             };
-            drop(busy);
+            drop(active_request);
             if !keep {
-                self.linger().await;
+                self.drain().await;
                 return;
             }
         }
     }
 
-    async fn await_first_byte(&mut self) -> Result<(), Unread> {
+    async fn await_first_byte(&mut self) -> Result<(), ReadError> {
         if !self.input.is_empty() {
             return Ok(());
         }
         let idle = self.bounds.get().idle_timeout;
-        let farewell = async {
-            // The sender lives as long as the server, so this only ends when it says so.
+        let close_grace = async {
+            // The sender exists as long as the server, so this ends only after `close`.
             let _ = self.closing.wait_for(|closing| *closing).await;
-            tokio::time::sleep(FAREWELL).await;
+            tokio::time::sleep(CLOSE_GRACE).await;
         };
         tokio::select! {
             biased;
             read = self.stream.read_buf(&mut self.input) => match read {
-                Ok(0) | Err(_) => Err(Unread::Over),
+                Ok(0) | Err(_) => Err(ReadError::Closed),
                 Ok(_) => Ok(()),
             },
-            () = farewell => Err(Unread::Over),
-            () = tokio::time::sleep(idle) => Err(Unread::Over),
+            () = close_grace => Err(ReadError::Closed),
+            () = tokio::time::sleep(idle) => Err(ReadError::Closed),
         }
     }
 
-    async fn read_request(&mut self) -> Result<Request, Unread> {
+    async fn read_request(&mut self) -> Result<Request, ReadError> {
         let bounds = self.bounds.get();
         let head =
             tokio::time::timeout(bounds.read_timeout, self.read_head(bounds.max_head_bytes)).await;
-        let late = Unread::Refused(StatusCode::REQUEST_TIMEOUT, "the head came too slowly");
-        let mut request = head.map_err(|_| late)??;
+        let timed_out = ReadError::Refused(StatusCode::REQUEST_TIMEOUT, "the head came too slowly");
+        let mut request = head.map_err(|_| timed_out)??;
         if self.codec.message_type() == MessageType::None {
             return Ok(request);
         }
@@ -230,19 +233,19 @@
             return Err(too_large());
         }
         if request.headers.get("expect").is_some() {
-            let go_on = b"HTTP/1.1 100 Continue\r\n\r\n";
-            self.stream.write_all(go_on).await.map_err(|_| Unread::Over)?;
+            let continuation = b"HTTP/1.1 100 Continue\r\n\r\n";
+            self.stream.write_all(continuation).await.map_err(|_| ReadError::Closed)?;
         }
         request.body = self.read_body(bounds).await?;
         Ok(request)
     }
 
-    async fn read_head(&mut self, bound: usize) -> Result<Request, Unread> {
+    async fn read_head(&mut self, bound: usize) -> Result<Request, ReadError> {
         loop {
             let before = self.input.len();
             let decoded = self.codec.decode(&mut self.input);
-            let unfit = Unread::Refused(StatusCode::BAD_REQUEST, "no HTTP/1.1 request");
-            if let Some(Message::Item(read)) = decoded.map_err(|_| unfit)? {
+            let invalid = ReadError::Refused(StatusCode::BAD_REQUEST, "no HTTP/1.1 request");
+            if let Some(Message::Item(read)) = decoded.map_err(|_| invalid)? {
                 if before - self.input.len() > bound {
                     return Err(head_too_large());
                 }
@@ -261,31 +264,34 @@
         }
     }
 
-    async fn read_body(&mut self, bounds: Bounds) -> Result<Bytes, Unread> {
-        let mut whole = BytesMut::new();
-        let mut raw = 0;
+    async fn read_body(&mut self, bounds: Bounds) -> Result<Bytes, ReadError> {
+        let mut body = BytesMut::new();
+        let mut raw_bytes = 0;
         loop {
-            let unfit = Unread::Refused(StatusCode::BAD_REQUEST, "the body's framing is broken");
-            match self.codec.decode(&mut self.input).map_err(|_| unfit)? {
-                Some(Message::Chunk(Some(piece))) => whole.extend_from_slice(&piece),
-                Some(Message::Chunk(None)) => return Ok(whole.freeze()),
-                Some(Message::Item(_)) => return Err(Unread::Over),
+            let invalid =
+                ReadError::Refused(StatusCode::BAD_REQUEST, "the body's framing is broken");
+            match self.codec.decode(&mut self.input).map_err(|_| invalid)? {
+                Some(Message::Chunk(Some(chunk))) => body.extend_from_slice(&chunk),
+                Some(Message::Chunk(None)) => return Ok(body.freeze()),
+                Some(Message::Item(_)) => return Err(ReadError::Closed),
                 None => {
                     let read = tokio::time::timeout(bounds.read_timeout, self.fill()).await;
-                    let late = "the body came too slowly";
-                    let late = Unread::Refused(StatusCode::REQUEST_TIMEOUT, late);
-                    raw += read.map_err(|_| late)??;
+                    let reason = "the body came too slowly";
+                    let timed_out = ReadError::Refused(StatusCode::REQUEST_TIMEOUT, reason);
+                    raw_bytes += read.map_err(|_| timed_out)??;
                 }
             }
-            if whole.len() > bounds.max_body_bytes || raw > 2 * bounds.max_body_bytes + FRAMING {
+            if body.len() > bounds.max_body_bytes
+                || raw_bytes > 2 * bounds.max_body_bytes + FRAMING_ALLOWANCE_BYTES
+            {
                 return Err(too_large());
             }
         }
     }
 
-    async fn fill(&mut self) -> Result<usize, Unread> {
+    async fn fill(&mut self) -> Result<usize, ReadError> {
         match self.stream.read_buf(&mut self.input).await {
-            Ok(0) | Err(_) => Err(Unread::Over),
+            Ok(0) | Err(_) => Err(ReadError::Closed),
             Ok(read) => Ok(read),
         }
     }
@@ -309,20 +315,20 @@
         Ok(keep)
     }
 
-    async fn refuse(&mut self, status: StatusCode, why: &'static str) {
+    async fn refuse(&mut self, status: StatusCode, reason: &'static str) {
         let text = format!("HTTP/1.1 {status}\r\nconnection: close\r\n");
-        let text = format!("{text}content-length: {}\r\n\r\n{why}", why.len());
+        let text = format!("{text}content-length: {}\r\n\r\n{reason}", reason.len());
         if self.stream.write_all(text.as_bytes()).await.is_ok() {
-            self.linger().await;
+            self.drain().await;
         }
     }
 
-    /// Ends the sending side and reads on for a while, so that the last reply is not lost.
-    async fn linger(&mut self) {
+    /// Shuts down the sending side and reads for a while, so that the last reply is not lost.
+    async fn drain(&mut self) {
         if self.stream.shutdown().await.is_err() {
             return;
         }
-        let drain = async {
+        let read_rest = async {
             loop {
                 self.input.clear();
                 match self.stream.read_buf(&mut self.input).await {
@@ -331,23 +337,23 @@
                 }
             }
         };
-        // Whoever still sends after this has had the time to read why it should not.
-        let _ = tokio::time::timeout(LINGER, drain).await;
+        // A caller that still sends after this timeout had enough time to read the reply.
+        let _ = tokio::time::timeout(DRAIN_TIMEOUT, read_rest).await;
     }
 }
 
-fn too_large() -> Unread {
-    Unread::Refused(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")
+fn too_large() -> ReadError {
+    ReadError::Refused(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")
 }
 
-fn head_too_large() -> Unread {
-    Unread::Refused(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
+fn head_too_large() -> ReadError {
+    ReadError::Refused(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
 }
 
-/// Returns when the caller closes or resets its connection. What it sends ahead is kept.
-async fn watch_caller(stream: &mut TcpStream, input: &mut BytesMut) {
+/// Returns when the caller closes or resets its connection. Pipelined bytes are buffered in `input`.
+async fn wait_for_disconnect(stream: &mut TcpStream, input: &mut BytesMut) {
     loop {
-        if input.len() >= AHEAD {
+        if input.len() >= MAX_PIPELINED_BYTES {
             return std::future::pending().await;
         }
         match stream.read_buf(input).await {
--- a/components/http/src/socket.rs
+++ b/components/http/src/socket.rs
@@ -1,4 +1,4 @@
-//! What every socket is set to.
+//! Settings of all sockets, and functions that open and accept them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,31 +13,35 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// How long sent bytes may stay unacknowledged before the connection counts as dead. A partition
-/// drops packets without a reset, so without it a connection through one hangs for minutes. Some
-/// round trips at most are a few milliseconds here, and lost packets are sent again after 0.2 s
-/// and 0.6 s, so two seconds are beyond what a live peer needs.
+/// Time for which sent bytes may stay unacknowledged before the connection is closed. A network
+/// partition drops packets without a reset, so without this timeout a connection hangs for minutes.
+/// A few round trips take at most some milliseconds here, and lost packets are retransmitted after
+/// 0.2 s and 0.6 s, so a reachable peer acknowledges within two seconds.
 pub const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time without traffic after which a connection is probed, and between two probes. An idle
-/// connection whose other side lost power is noticed after about four of them.
-const PROBE: Duration = Duration::from_secs(1);
-/// Unanswered probes after which a connection is dead.
-const PROBES: u32 = 3;
-/// Pause after the system refused a new connection.
+/// Idle time after which a connection is probed, and interval between two probes. An idle connection
+/// whose peer lost power is detected after about four of these intervals.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered probes after which a connection is closed.
+const MAX_FAILED_PROBES: u32 = 3;
+/// Pause after the system failed to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// New connections that wait to be accepted. An opening packet that finds the queue full is sent
-/// again only after a second.
-const BACKLOG: i32 = 1_024;
+/// Length of the queue of connections that wait to be accepted. If the queue is full, a client's SYN
+/// packet is retransmitted only after a second.
+const ACCEPT_BACKLOG: i32 = 1_024;
 
-/// Sets up a connected socket: no delay for small writes, and dead peers are noticed.
+/// Configures a connected socket: disables the delay of small writes, and enables the detection of
+/// unreachable peers.
 ///
 /// # Errors
 ///
-/// The error of the system call that failed.
+/// Returns the error of the system call that failed.
 pub fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    let probes = TcpKeepalive::new().with_time(PROBE).with_interval(PROBE).with_retries(PROBES);
+    let probes = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(MAX_FAILED_PROBES);
     socket.set_tcp_keepalive(&probes)?;
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
@@ -46,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// Why there is none; no byte of a request has left then.
+/// Returns the reason for which no connection was opened. No byte of a request was sent then.
 pub async fn connect(address: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
     let opened = tokio::time::timeout(limit, TcpStream::connect(address));
     let stream = opened.await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
@@ -54,14 +58,15 @@
     Ok(stream)
 }
 
-/// Takes the next connection, set up like all others. What goes wrong with one concerns nobody else;
-/// when the system refuses it, for want of descriptors for instance, it may not do so a moment later.
+/// Accepts and configures the next connection. An error of one connection does not affect others. If
+/// the system fails to accept, for instance because it has no file descriptors left, the call is
+/// retried, since the condition may be temporary.
 pub async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => match configure(&stream) {
                 Ok(()) => return stream,
-                // The other side has left already.
+                // The peer has already disconnected.
                 Err(error) => tracing::debug!(event = "socket_untuned", %error),
             },
             Err(error) => {
@@ -76,21 +81,21 @@
 ///
 /// # Errors
 ///
-/// Why it cannot.
+/// Returns the error of the system call that failed.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     TcpListener::from_std(socket.into())
 }
 
-/// Sets for how long sent bytes may stay unacknowledged before the connection counts as dead.
+/// Sets the time for which sent bytes may stay unacknowledged before the connection is closed.
 ///
 /// # Errors
 ///
-/// The error of the system call.
+/// Returns the error of the system call.
 pub fn set_unacknowledged_timeout(stream: &TcpStream, limit: Duration) -> io::Result<()> {
     SockRef::from(stream).set_tcp_user_timeout(Some(limit))
 }
--- a/components/http/tests/client.rs
+++ b/components/http/tests/client.rs
@@ -1,5 +1,5 @@
-//! The client against an endpoint whose bytes are scripted: when an answer is whole, and when a
-//! connection may be used again.
+//! The client with an endpoint that sends scripted bytes: when a reply is complete, and when a
+//! connection may be reused.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,17 +15,17 @@
 use tokio::net::TcpStream;
 
 const LIMIT: Duration = Duration::from_secs(2);
-const WHOLE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+const COMPLETE_REPLY: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
-/// What the endpoint does after the first bytes of a request came.
+/// The endpoint's behaviour after it received the first bytes of a request.
 enum Script {
-    /// Sends bytes, then keeps the connection.
+    /// Sends bytes, then keeps the connection open.
     Keep(&'static [u8]),
     /// Sends bytes, then closes.
     Close(&'static [u8]),
     /// Sends bytes, then resets.
     Reset(&'static [u8]),
-    /// Sends bytes, and others a moment later.
+    /// Sends bytes, and further bytes after a short pause.
     Later(&'static [u8], &'static [u8]),
 }
 
@@ -34,20 +34,20 @@
     let address = listener.local_addr().unwrap();
     actix_rt::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
-        let mut some = [0; 16];
-        stream.read_exact(&mut some).await.unwrap();
-        play(&mut stream, script).await;
+        let mut buffer = [0; 16];
+        stream.read_exact(&mut buffer).await.unwrap();
+        run_script(&mut stream, script).await;
     });
     address
 }
 
-async fn play(stream: &mut TcpStream, script: Script) {
+async fn run_script(stream: &mut TcpStream, script: Script) {
     match script {
         Script::Keep(bytes) => stream.write_all(bytes).await.unwrap(),
         Script::Close(bytes) => {
             stream.write_all(bytes).await.unwrap();
             let mut rest = [0; 4096];
-            // What is unread would turn the close into a reset.
+            // Unread bytes would turn the close into a reset.
             let _ = tokio::time::timeout(Duration::from_millis(20), stream.read(&mut rest)).await;
             stream.shutdown().await.unwrap();
             return;
@@ -81,31 +81,31 @@
 }
 
 #[actix_rt::test]
-async fn a_whole_answer_leaves_its_connection_for_another_request() {
-    let (body, connection) = exchange(Script::Keep(WHOLE)).await.unwrap();
+async fn a_connection_can_be_reused_after_a_complete_reply() {
+    let (body, connection) = exchange(Script::Keep(COMPLETE_REPLY)).await.unwrap();
     assert_eq!(body, "ok");
     assert!(connection.unwrap().is_clean());
 }
 
-/// Symptom: a caller gets the answer to another request.
-/// Sequence: an endpoint sends bytes after a whole answer, at once or a moment later; the next
-/// request on the connection reads them as its answer.
-/// Cause: the connection was used again although something had come that nobody asked for.
+/// Guards against a caller that receives the reply to another request. An endpoint sends bytes after a
+/// complete reply, immediately or after a pause. If the connection is reused, the next request reads
+/// these unsolicited bytes as its reply.
 #[actix_rt::test]
-async fn bytes_that_nobody_asked_for_end_a_connection() {
+async fn a_connection_with_unsolicited_bytes_is_not_reused() {
     let twice = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n";
     let (body, connection) = exchange(Script::Keep(twice)).await.unwrap();
     assert_eq!(body, "ok");
-    assert!(connection.is_none(), "they came with the answer");
-    let (_, connection) = exchange(Script::Later(WHOLE, b"HTTP/1.1 200 OK\r\n")).await.unwrap();
+    assert!(connection.is_none(), "the bytes arrived with the reply");
+    let (_, connection) =
+        exchange(Script::Later(COMPLETE_REPLY, b"HTTP/1.1 200 OK\r\n")).await.unwrap();
     let mut connection = connection.unwrap();
     tokio::time::sleep(Duration::from_millis(60)).await;
-    assert!(!connection.is_clean(), "they came later");
+    assert!(!connection.is_clean(), "the bytes arrived later");
 }
 
 #[actix_rt::test]
-async fn a_connection_that_its_endpoint_closed_is_not_used_again() {
-    let (_, connection) = exchange(Script::Close(WHOLE)).await.unwrap();
+async fn a_connection_that_its_endpoint_closed_is_not_reused() {
+    let (_, connection) = exchange(Script::Close(COMPLETE_REPLY)).await.unwrap();
     let mut connection = connection.unwrap();
     tokio::time::sleep(Duration::from_millis(60)).await;
     assert!(!connection.is_clean());
@@ -114,15 +114,14 @@
     ))
     .await
     .unwrap();
-    assert!(connection.is_none(), "it said that it would close");
+    assert!(connection.is_none(), "the endpoint announced the close");
 }
 
-/// Symptom: a caller gets half an answer that looks whole.
-/// Sequence: the endpoint breaks off within a body of known length, within a chunked one, or
-/// resets a body that ends with its connection.
-/// Cause: the end of the connection was taken for the end of the answer.
+/// Guards against a partial reply that is returned as complete. The endpoint stops in the middle of a
+/// body of known length or of a chunked body, or resets a connection whose end marks the end of the
+/// body. The end of the connection must not be treated as the end of the reply.
 #[actix_rt::test]
-async fn an_answer_that_breaks_off_is_not_whole() {
+async fn an_incomplete_reply_is_an_error() {
     let short = Script::Close(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok");
     assert!(matches!(exchange(short).await, Err(ExchangeError::Truncated)));
     let chunked =
@@ -144,11 +143,11 @@
     assert!(connection.is_none());
 }
 
-/// Symptom: an endpoint takes the rest of one body for the next request.
-/// Sequence: it answers before it has read a long body, and keeps the connection.
-/// Cause: the connection was used again before all of the body was sent.
+/// Guards against an endpoint that reads the rest of one body as the next request. It replies before
+/// it has read a long body, and keeps the connection open. The connection must not be reused before
+/// the whole body is sent.
 #[actix_rt::test]
-async fn an_early_answer_ends_its_connection() {
+async fn a_connection_with_an_early_reply_is_not_reused() {
     let early = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 2\r\n\r\nno";
     let address = endpoint(Script::Keep(early)).await;
     let connection = Connection::open(address, LIMIT).await.unwrap();
@@ -160,7 +159,7 @@
 }
 
 #[actix_rt::test]
-async fn a_refused_connection_says_that_nothing_was_sent() {
+async fn a_refused_connection_reports_that_nothing_was_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -169,31 +168,31 @@
 }
 
 #[actix_rt::test]
-async fn a_pool_gives_a_connection_only_to_the_incarnation_that_it_led_to() {
-    let address = endpoint(Script::Keep(WHOLE)).await;
+async fn a_pool_returns_a_connection_only_for_the_incarnation_it_was_opened_to() {
+    let address = endpoint(Script::Keep(COMPLETE_REPLY)).await;
     let connection = Connection::open(address, LIMIT).await.unwrap();
     let (_, connection) = connection.start(&request()).await.unwrap().read_all().await.unwrap();
     let mut pool = Pool::default();
     pool.keep(address, "i-1", connection.unwrap(), None);
     assert!(pool.take(address, "i-2").is_none());
     assert!(pool.take(address, "i-1").is_some());
-    assert!(pool.take(address, "i-1").is_none(), "it was taken");
+    assert!(pool.take(address, "i-1").is_none(), "the connection was removed from the pool");
 }
 
-/// Symptom: an engine begins a sample seconds after its run was stopped and its step ended.
-/// Sequence: the request is written while the network carries nothing to the engine; the run is stopped,
-/// and its connection closed; the network carries again.
-/// Cause: a close lets all bytes that were written before still arrive. A reset takes them back.
+/// Guards against an engine that starts a sample seconds after its run was stopped and its step ended.
+/// The request is written during a network partition; the run is stopped and its connection closed;
+/// the partition ends. After an orderly close, the kernel still delivers all written bytes. A reset
+/// discards them.
 #[actix_rt::test]
-async fn a_request_that_is_given_up_does_not_arrive_any_more() {
+async fn an_abandoned_request_is_not_delivered() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    // More than the sockets of both sides hold, so that a part waits on this side.
+    // Larger than the socket buffers of both sides, so that a part is still queued on this side.
     let request = Request::new(Method::POST, "/x", vec![b'x'; 32 << 20]);
     let connection = Connection::open(address, LIMIT).await.unwrap();
     let (mut stream, _) = listener.accept().await.unwrap();
-    let given_up = tokio::time::timeout(Duration::from_millis(300), connection.start(&request));
-    assert!(given_up.await.is_err(), "nobody reads it");
+    let abandoned = tokio::time::timeout(Duration::from_millis(300), connection.start(&request));
+    assert!(abandoned.await.is_err(), "no peer reads the request");
     let mut bytes = vec![0; 1 << 20];
     let end = loop {
         match stream.read(&mut bytes).await {
@@ -205,19 +204,19 @@
     assert_eq!(end, Err(std::io::ErrorKind::ConnectionReset));
 }
 
-/// The other side of it: a connection whose exchange is whole is closed as usual, since a reset could
-/// take the last bytes of the request from an endpoint that still reads them.
+/// The counterpart of the test above: after a complete exchange the connection is closed in order,
+/// since a reset could discard the last bytes of the request that the endpoint has not read yet.
 #[actix_rt::test]
-async fn a_connection_whose_exchange_is_whole_is_closed_without_a_reset() {
+async fn a_connection_is_closed_without_a_reset_after_a_complete_exchange() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let connection = Connection::open(address, LIMIT).await.unwrap();
     let (mut stream, _) = listener.accept().await.unwrap();
     let request = Request::new(Method::GET, "/x", "");
     let answering = async {
-        let mut some = [0; 4_096];
-        assert!(stream.read(&mut some).await.unwrap() > 0);
-        stream.write_all(WHOLE).await.unwrap();
+        let mut buffer = [0; 4_096];
+        assert!(stream.read(&mut buffer).await.unwrap() > 0);
+        stream.write_all(COMPLETE_REPLY).await.unwrap();
     };
     let (incoming, ()) = tokio::join!(connection.start(&request), answering);
     let (_, connection) = incoming.unwrap().read_all().await.unwrap();
--- a/components/http/tests/server.rs
+++ b/components/http/tests/server.rs
@@ -1,4 +1,4 @@
-//! The server on real sockets: what callers see when they leave early or send what is unfit.
+//! The server on real sockets: its behaviour when callers disconnect early or send invalid requests.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -17,12 +17,12 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-const WAIT: Duration = Duration::from_secs(5);
+const MAX_WAIT: Duration = Duration::from_secs(5);
 
-/// Notes when a handler's future is dropped.
-struct Dropped(Rc<Cell<u32>>);
+/// Counts the handler futures that are dropped.
+struct DropCounter(Rc<Cell<u32>>);
 
-impl Drop for Dropped {
+impl Drop for DropCounter {
     fn drop(&mut self) {
         self.0.set(self.0.get() + 1);
     }
@@ -51,23 +51,22 @@
 
 async fn read_all(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
-    tokio::time::timeout(WAIT, stream.read_to_end(&mut text)).await.unwrap().unwrap();
+    tokio::time::timeout(MAX_WAIT, stream.read_to_end(&mut text)).await.unwrap().unwrap();
     String::from_utf8_lossy(&text).into_owned()
 }
 
-/// Symptom: an engine works on for a caller that has left.
-/// Sequence: a request is read, its handler waits for an endpoint, the caller closes before the
-/// first byte of the answer.
-/// Cause: a server that does not read its socket while a handler waits learns of the close only
-/// when it writes.
+/// Guards against an engine that continues to work for a caller that has disconnected. A request is
+/// read, its handler waits for an endpoint, and the caller closes before the first byte of the reply.
+/// A server that does not read its socket while a handler waits detects the close only when it
+/// writes.
 #[actix_rt::test]
-async fn a_callers_close_ends_a_handler_that_waits() {
-    let (begun, dropped) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
-    let (first, second) = (begun.clone(), dropped.clone());
+async fn a_waiting_handler_is_cancelled_when_the_caller_disconnects() {
+    let (started, dropped) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
+    let (first, second) = (started.clone(), dropped.clone());
     let handler = move |_: Request| {
-        let (begun, guard) = (first.clone(), Dropped(second.clone()));
+        let (started, guard) = (first.clone(), DropCounter(second.clone()));
         async move {
-            begun.set(begun.get() + 1);
+            started.set(started.get() + 1);
             std::future::pending::<()>().await;
             drop(guard);
             Reply::new(StatusCode::OK, "")
@@ -75,7 +74,7 @@
     };
     let address = start(Rc::default(), handler).await;
     let stream = send(address, b"GET / HTTP/1.1\r\nhost: a\r\n\r\n").await;
-    until(|| begun.get() == 1).await;
+    until(|| started.get() == 1).await;
     assert_eq!(dropped.get(), 0);
     drop(stream);
     until(|| dropped.get() == 1).await;
@@ -91,7 +90,7 @@
 }
 
 #[actix_rt::test]
-async fn requests_that_are_sent_ahead_are_answered_in_order() {
+async fn pipelined_requests_are_answered_in_order() {
     let address = start(Rc::default(), echo).await;
     let one = b"POST /a?x=1 HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\n\r\none";
     let two = b"POST /b HTTP/1.1\r\nhost: a\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n3\r\ntwo\r\n0\r\n\r\n";
@@ -102,11 +101,11 @@
     assert!(text.contains("x-target: /a?x=1"), "{text}");
 }
 
-/// Symptom: the caller sees a reset in place of the reason.
-/// Sequence: more is sent than is allowed; the server answers and closes while bytes are unread.
-/// Cause: closing a socket with unread bytes resets it, and the reset overtakes the answer.
+/// Guards against a reset that the caller receives instead of the reason. The caller sends more than
+/// is allowed; the server replies and closes while bytes are unread. Closing a socket with unread
+/// bytes resets it, and the reset overtakes the reply.
 #[actix_rt::test]
-async fn a_refusal_of_what_is_too_large_can_be_read() {
+async fn the_refusal_of_a_too_large_request_can_be_read() {
     let server = Rc::new(Server::default());
     server.set_bounds(Bounds { max_head_bytes: 1_000, max_body_bytes: 1_000, ..Bounds::default() });
     let address = start(server, echo).await;
@@ -128,7 +127,7 @@
 }
 
 #[actix_rt::test]
-async fn a_head_that_comes_too_slowly_is_refused_as_not_run() {
+async fn a_head_that_is_not_received_in_time_is_refused() {
     let server = Rc::new(Server::default());
     server.set_bounds(Bounds { read_timeout: Duration::from_millis(50), ..Bounds::default() });
     let address = start(server, echo).await;
@@ -137,14 +136,14 @@
 }
 
 #[actix_rt::test]
-async fn the_own_client_is_understood_with_and_without_a_host() {
+async fn requests_of_the_own_client_are_accepted_with_and_without_a_host() {
     let address = start(Rc::default(), echo).await;
     for host in [None, Some("a")] {
         let mut request = Request::new(Method::PUT, "/a?b=c", "body");
         if let Some(host) = host {
             request.headers.set("host", host);
         }
-        let connection = Connection::open(address, WAIT).await.unwrap();
+        let connection = Connection::open(address, MAX_WAIT).await.unwrap();
         let (reply, _) = connection.start(&request).await.unwrap().read_all().await.unwrap();
         assert_eq!(reply.status, StatusCode::OK);
         assert_eq!(&reply.body[..], b"body");
@@ -153,17 +152,17 @@
 }
 
 #[actix_rt::test]
-async fn what_is_no_request_is_refused() {
+async fn invalid_bytes_are_refused() {
     let address = start(Rc::default(), echo).await;
     let text = read_all(&mut send(address, b"\x01\x02\x03\r\n\r\n").await).await;
     assert!(text.starts_with("HTTP/1.1 400"), "{text}");
 }
 
-/// Symptom: requests are cut at a planned stop.
-/// Sequence: the stop is asked for while a connection is idle; its caller then sends a request.
-/// Cause: a server that closes idle connections at once crosses with requests on their way.
+/// Guards against requests that are lost at a planned stop. The server is closed while a connection is
+/// idle, and its caller then sends a request. A server that closes idle connections immediately loses
+/// requests in flight.
 #[actix_rt::test]
-async fn a_request_just_after_the_stop_is_answered_and_closes_its_connection() {
+async fn a_request_just_after_the_close_is_answered_and_its_connection_closed() {
     let server = Rc::new(Server::default());
     let address = start(server.clone(), echo).await;
     let mut stream = TcpStream::connect(address).await.unwrap();
