--- a/components/control/src/handle.rs
+++ b/components/control/src/handle.rs
@@ -28,7 +28,8 @@
 /// Timeout for a reply of the replica, in milliseconds. A leader that takes longer has lost its
 /// majority and will report that itself.
 pub const REPLY_TIMEOUT_MS: u64 = 5_000;
-/// Time after which a caller should retry if there is no leader, in milliseconds. About one election.
+/// Time after which a caller should retry if there is no leader, in milliseconds. About one
+/// election.
 pub const RETRY_AFTER_MS: u64 = 500;
 
 /// The error for which this replica did not carry out a request.
@@ -109,8 +110,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`RequestError`]. The command may have been committed only if the error says that its
-    /// outcome is unknown.
+    /// Returns [`RequestError`]. The command may have been committed only if the error says that
+    /// its outcome is unknown.
     pub async fn propose(&self, command: Command) -> Result<Reply, RequestError> {
         self.request(|answer| Request::Propose(Box::new(command), answer)).await
     }
--- a/components/control/src/peers.rs
+++ b/components/control/src/peers.rs
@@ -17,16 +17,16 @@
 
 use crate::handle::Envelope;
 
-/// Maximum number of queued messages for one replica. Beyond it the oldest are dropped, as a network
-/// may drop them.
+/// Maximum number of queued messages for one replica. Beyond it the oldest are dropped, as a
+/// network may drop them.
 const MAX_QUEUED_MESSAGES: usize = 512;
 /// Maximum number of messages in one call.
 const MAX_BATCH_MESSAGES: usize = 64;
 /// Maximum size in bytes of the entries and snapshots in one call, unless a single message is
 /// larger. The receiver refuses the whole body if it exceeds its limit.
 const MAX_BATCH_BYTES: usize = 2 << 20;
-/// Maximum number of concurrent calls to one replica. With a single call, a stalled connection would
-/// block heartbeats until the call's timeout, and another leader would be elected.
+/// Maximum number of concurrent calls to one replica. With a single call, a stalled connection
+/// would block heartbeats until the call's timeout, and another leader would be elected.
 const MAX_CONCURRENT_CALLS: usize = 3;
 
 /// A message and its destination.
--- a/components/control/src/replica.rs
+++ b/components/control/src/replica.rs
@@ -62,7 +62,7 @@
     pub leadership: watch::Sender<Leadership>,
 }
 
-/// The thresholds at which a snapshot is taken.
+/// The thresholds at which a snapshot is taken. The one that is reached first counts.
 #[derive(Clone, Debug)]
 pub struct SnapshotThresholds {
     /// Entries applied since the last snapshot.
@@ -215,7 +215,8 @@
         self.handle_event(Event::KnownNodes(nodes));
     }
 
-    /// Returns whether this replica leads with a valid lease, so that no other replica can lead yet.
+    /// Returns whether this replica leads with a valid lease, so that no other replica can lead
+    /// yet.
     pub(crate) fn has_lease(&self) -> bool {
         self.replica.role() == Role::Leader && self.replica.status().lease_ms > 0
     }
@@ -322,6 +323,7 @@
         let _ = self.rings.outgoing.offer(Outgoing { address, message });
     }
 
+    /// Moves jobs from the backlog to the disk's queue until the queue is full.
     fn push_backlog(&mut self) {
         while let Some(job) = self.backlog.pop_front() {
             match self.rings.jobs.offer(job) {
@@ -348,6 +350,8 @@
         });
     }
 
+    /// Sends a copy of the state to the snapshot task if a threshold is reached and no other
+    /// snapshot is pending.
     fn take_snapshot(&mut self) {
         let index = self.applied.last.index;
         let enough_entries =
--- a/components/control/src/routes.rs
+++ b/components/control/src/routes.rs
@@ -44,8 +44,9 @@
 use crate::status::ActionResult;
 use crate::status::Status;
 
-/// Query that marks a call forwarded by another control process. Such a call is not forwarded again;
-/// otherwise two processes that each regard the other as the leader would forward it endlessly.
+/// Query that marks a call forwarded by another control process. Such a call is not forwarded
+/// again; otherwise two processes that each regard the other as the leader would forward it
+/// endlessly.
 const FORWARDED: &str = "forwarded";
 const PEERS: &[Kind] = &[Kind::Process];
 const OPERATORS: &[Kind] = &[Kind::Operator, Kind::Process];
@@ -57,7 +58,7 @@
     client: Client,
 }
 
-/// Adds the paths of the control role. [`crate::start`] must be called before.
+/// Adds the paths of the control role. [`crate::start()`] must be called before.
 ///
 /// # Errors
 ///
--- a/components/control/src/serve.rs
+++ b/components/control/src/serve.rs
@@ -63,6 +63,7 @@
         self.propose(proposals);
     }
 
+    /// Records the sender's address and passes the message to the replica.
     fn receive(&mut self, address: &str, message: Message) {
         let node = &message.from.node;
         if self.extra_addresses.get(node).is_none_or(|known| known != address) {
@@ -150,8 +151,8 @@
         }
     }
 
-    /// Finds the replica of a node. If the node has several identities, returns the oldest, which is
-    /// the one whose disk was lost.
+    /// Finds the replica of a node. If the node has several identities, returns the oldest, which
+    /// is the one whose disk was lost.
     fn find(&self, node: &Node) -> Option<ReplicaId> {
         self.replica.members().replicas.keys().find(|id| id.node == *node).cloned()
     }
--- a/components/control/tests/orders.rs
+++ b/components/control/tests/orders.rs
@@ -61,8 +61,8 @@
 }
 
 /// Guards against a sampler that keeps old weights because the leader's orders to it get no reply.
-/// An agent's VM is replaced under another name, and both announce the endpoint until the old one is
-/// found dead. If the name that sorts last is used, orders are sent to the old one.
+/// An agent's VM is replaced under another name, and both announce the endpoint until the old one
+/// is found dead. If the name that sorts last is used, orders are sent to the old one.
 #[test]
 fn uses_the_agent_that_started_last() {
     let all = vec![agent("new", 2, info("a")), agent("old", 1, info("a"))];
--- a/components/control/tests/replicas.rs
+++ b/components/control/tests/replicas.rs
@@ -99,9 +99,9 @@
 
 #[test]
 fn refuses_a_read_at_a_partitioned_leader() {
-    // Guards against a stale read. The leader is partitioned; the others elect another leader, which
-    // accepts a change; then the old leader is read at once. It must not answer from its own state
-    // without confirmation by a majority.
+    // Guards against a stale read. The leader is partitioned; the others elect another leader,
+    // which accepts a change; then the old leader is read at once. It must not answer from its own
+    // state without confirmation by a majority.
     block_on(async {
         let cluster = Cluster::start(3, Tuning::default());
         let old = cluster.leader().await;
@@ -188,8 +188,8 @@
 #[test]
 fn replaces_a_lost_replica_by_one_action() {
     // Guards against a replacement after which the loss of one more VM stops all changes. A VM and
-    // its disk are lost, a new VM replaces it, and another VM is lost at once. This fails if the new
-    // replica votes before it has the log, or if the lost one still counts as a voter.
+    // its disk are lost, a new VM replaces it, and another VM is lost at once. This fails if the
+    // new replica votes before it has the log, or if the lost one still counts as a voter.
     block_on(async {
         let mut cluster = Cluster::start(3, Tuning::default());
         let leader = cluster.leader().await;
@@ -218,8 +218,8 @@
 
 #[test]
 fn refuses_to_vote_with_an_emptied_disk() {
-    // Guards against two leaders in one epoch, or a lost change. A VM loses its disk and starts with
-    // its original settings. It must not vote, since its earlier votes and entries are lost.
+    // Guards against two leaders in one epoch, or a lost change. A VM loses its disk and starts
+    // with its original settings. It must not vote, since its earlier votes and entries are lost.
     block_on(async {
         let mut cluster = Cluster::start(3, Tuning::default());
         let leader = cluster.leader().await;
@@ -244,8 +244,8 @@
 
 #[test]
 fn stops_voting_and_reports_the_reason_when_the_disk_fails() {
-    // Guards against the loss of an accepted change. The leader's disk fails to sync, and the leader
-    // continues and acknowledges entries that are only in its page cache.
+    // Guards against the loss of an accepted change. The leader's disk fails to sync, and the
+    // leader continues and acknowledges entries that are only in its page cache.
     block_on(async {
         let failing = Arc::new(AtomicBool::new(false));
         let flag = failing.clone();
@@ -277,7 +277,8 @@
 #[test]
 fn accepts_no_change_while_its_disk_is_full_and_continues_when_it_has_space() {
     // Guards against a control process that stops itself repeatedly. Its disk fills, a write fails,
-    // the process restarts, and the write fails again: a full disk was handled like a defective one.
+    // the process restarts, and the write fails again: a full disk was handled like a defective
+    // one.
     block_on(async {
         let full = Arc::new(AtomicBool::new(false));
         let refusing = full.clone();
@@ -437,10 +438,10 @@
 
 #[test]
 fn keeps_a_snapshot_only_after_the_entries_that_it_covers() {
-    // Guards against a replica that stops with a storage failure although its disk works. The others
-    // commit faster than its own disk writes. It takes a snapshot of the committed state, which
-    // reaches the disk before the entries that it covers, because it overtakes the writes that wait
-    // for capacity in the disk's queue.
+    // Guards against a replica that stops with a storage failure although its disk works. The
+    // others commit faster than its own disk writes. It takes a snapshot of the committed state,
+    // which reaches the disk before the entries that it covers, because it overtakes the writes
+    // that wait for capacity in the disk's queue.
     block_on(async {
         let snapshot_thresholds = SnapshotThresholds { entries: 100, bytes: 64 << 20 };
         let tuning =
--- a/components/http/src/client.rs
+++ b/components/http/src/client.rs
@@ -99,8 +99,9 @@
         Ok(Self { address, stream, input: BytesMut::new(), tainted: false })
     }
 
-    /// Returns whether the connection may be used for another request: it is open, and no unsolicited
-    /// bytes were received on it. Such bytes would be read as the reply to the next request.
+    /// Returns whether the connection may be used for another request: it is open, and no
+    /// unsolicited bytes were received on it. Such bytes would be read as the reply to the next
+    /// request.
     pub fn is_clean(&mut self) -> bool {
         if self.tainted || !self.input.is_empty() {
             return false;
@@ -119,9 +120,9 @@
     pub async fn start(mut self, request: &Request) -> Result<IncomingReply, ExchangeError> {
         let mut codec = ClientCodec::default();
         let output = encode(&mut codec, request, self.address)?;
-        // A connection whose exchange is abandoned is reset, also if this process is killed. After an
-        // orderly close, the kernel could still deliver the written bytes when a network partition
-        // ends, and the endpoint would start work that is no longer needed.
+        // A connection whose exchange is abandoned is reset, also if this process is killed. After
+        // an orderly close, the kernel could still deliver the written bytes when a network
+        // partition ends, and the endpoint would start work that is no longer needed.
         self.stream.set_zero_linger().map_err(ExchangeError::NotSent)?;
         self.send(&output).await?;
         let head = loop {
@@ -151,9 +152,9 @@
         })
     }
 
-    /// Writes a request and concurrently waits for an early reply. An endpoint may reply before it has
-    /// read a long body. Further writes would then fail, or the rest of the body would be read as the
-    /// next request, so the rest is not sent and the connection is not reused.
+    /// Writes a request and concurrently waits for an early reply. An endpoint may reply before it
+    /// has read a long body. Further writes would then fail, or the rest of the body would be read
+    /// as the next request, so the rest is not sent and the connection is not reused.
     async fn send(&mut self, output: &[u8]) -> Result<(), ExchangeError> {
         let mut sent = 0;
         while sent < output.len() {
@@ -218,7 +219,8 @@
         }
     }
 
-    /// Reads the next chunk of a body that ends with its connection. A reset is an error, not its end.
+    /// Reads the next chunk of a body that ends with its connection. A reset is an error, not its
+    /// end.
     async fn next_raw(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         self.connection.tainted = true;
         if self.connection.input.is_empty() && self.connection.fill().await? == 0 {
--- a/components/http/src/message.rs
+++ b/components/http/src/message.rs
@@ -35,8 +35,8 @@
         self.get(name).and_then(|value| value.trim().parse().ok())
     }
 
-    /// Sets a header and replaces those of the same name. A name or value that HTTP does not allow is
-    /// omitted with a warning in the log, because the message could otherwise not be parsed.
+    /// Sets a header and replaces those of the same name. A name or value that HTTP does not allow
+    /// is omitted with a warning in the log, because the message could otherwise not be parsed.
     pub fn set(&mut self, name: &str, value: &str) {
         match parse(name, value) {
             Some((name, value)) => {
--- a/components/http/src/pool.rs
+++ b/components/http/src/pool.rs
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Closes expired connections and those to endpoint incarnations for which `keep` returns false.
+    /// Closes expired connections and those to endpoint incarnations for which `keep` returns
+    /// false.
     pub fn sweep(&mut self, keep: impl Fn(&str) -> bool) {
         let now = Instant::now();
         self.0.retain(|(_, incarnation), connections| {
--- a/components/http/src/server.rs
+++ b/components/http/src/server.rs
@@ -50,8 +50,8 @@
     pub max_head_bytes: usize,
     /// Maximum size of a body in bytes.
     pub max_body_bytes: usize,
-    /// Timeout from the first byte of a request to the end of its head, and between two reads of its
-    /// body.
+    /// Timeout from the first byte of a request to the end of its head, and between two reads of
+    /// its body.
     pub read_timeout: Duration,
     /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
@@ -72,6 +72,7 @@
 pub struct Server {
     bounds: Rc<Cell<Bounds>>,
     closing: watch::Sender<bool>,
+    /// Number of active requests.
     active: Rc<Cell<usize>>,
 }
 
@@ -87,8 +88,8 @@
         self.bounds.set(bounds);
     }
 
-    /// Starts the shutdown: connections are closed after their next reply, and idle ones after a grace
-    /// period.
+    /// Starts the shutdown: connections are closed after their next reply, and idle ones after a
+    /// grace period.
     pub fn close(&self) {
         self.closing.send_replace(true);
     }
@@ -99,8 +100,8 @@
         self.active.get()
     }
 
-    /// Accepts connections and answers their requests with `handler`. The handler's future is dropped
-    /// as soon as the caller closes its connection, which cancels its work.
+    /// Accepts connections and answers their requests with `handler`. The handler's future is
+    /// dropped as soon as the caller closes its connection, which cancels its work.
     pub async fn serve<H, F>(&self, listener: TcpListener, handler: H)
     where
         H: Fn(Request) -> F + Clone + 'static,
@@ -350,7 +351,8 @@
     ReadError::Refused(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
 }
 
-/// Returns when the caller closes or resets its connection. Pipelined bytes are buffered in `input`.
+/// Returns when the caller closes or resets its connection. Pipelined bytes are buffered in
+/// `input`.
 async fn wait_for_disconnect(stream: &mut TcpStream, input: &mut BytesMut) {
     loop {
         if input.len() >= MAX_PIPELINED_BYTES {
--- a/components/http/src/socket.rs
+++ b/components/http/src/socket.rs
@@ -18,15 +18,15 @@
 /// A few round trips take at most some milliseconds here, and lost packets are retransmitted after
 /// 0.2 s and 0.6 s, so a reachable peer acknowledges within two seconds.
 pub const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
-/// Idle time after which a connection is probed, and interval between two probes. An idle connection
-/// whose peer lost power is detected after about four of these intervals.
+/// Idle time after which a connection is probed, and interval between two probes. An idle
+/// connection whose peer lost power is detected after about four of these intervals.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of unanswered probes after which a connection is closed.
 const MAX_FAILED_PROBES: u32 = 3;
 /// Pause after the system failed to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Length of the queue of connections that wait to be accepted. If the queue is full, a client's SYN
-/// packet is retransmitted only after a second.
+/// Length of the queue of connections that wait to be accepted. If the queue is full, a client's
+/// SYN packet is retransmitted only after a second.
 const ACCEPT_BACKLOG: i32 = 1_024;
 
 /// Configures a connected socket: disables the delay of small writes, and enables the detection of
@@ -58,8 +58,8 @@
     Ok(stream)
 }
 
-/// Accepts and configures the next connection. An error of one connection does not affect others. If
-/// the system fails to accept, for instance because it has no file descriptors left, the call is
+/// Accepts and configures the next connection. An error of one connection does not affect others.
+/// If the system fails to accept, for instance because it has no file descriptors left, the call is
 /// retried, since the condition may be temporary.
 pub async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
--- a/components/http/tests/client.rs
+++ b/components/http/tests/client.rs
@@ -87,9 +87,9 @@
     assert!(connection.unwrap().is_clean());
 }
 
-/// Guards against a caller that receives the reply to another request. An endpoint sends bytes after a
-/// complete reply, immediately or after a pause. If the connection is reused, the next request reads
-/// these unsolicited bytes as its reply.
+/// Guards against a caller that receives the reply to another request. An endpoint sends bytes
+/// after a complete reply, immediately or after a pause. If the connection is reused, the next
+/// request reads these unsolicited bytes as its reply.
 #[actix_rt::test]
 async fn a_connection_with_unsolicited_bytes_is_not_reused() {
     let twice = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n";
@@ -117,9 +117,9 @@
     assert!(connection.is_none(), "the endpoint announced the close");
 }
 
-/// Guards against a partial reply that is returned as complete. The endpoint stops in the middle of a
-/// body of known length or of a chunked body, or resets a connection whose end marks the end of the
-/// body. The end of the connection must not be treated as the end of the reply.
+/// Guards against a partial reply that is returned as complete. The endpoint stops in the middle of
+/// a body of known length or of a chunked body, or resets a connection whose end marks the end of
+/// the body. The end of the connection must not be treated as the end of the reply.
 #[actix_rt::test]
 async fn an_incomplete_reply_is_an_error() {
     let short = Script::Close(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok");
@@ -143,9 +143,9 @@
     assert!(connection.is_none());
 }
 
-/// Guards against an endpoint that reads the rest of one body as the next request. It replies before
-/// it has read a long body, and keeps the connection open. The connection must not be reused before
-/// the whole body is sent.
+/// Guards against an endpoint that reads the rest of one body as the next request. It replies
+/// before it has read a long body, and keeps the connection open. The connection must not be reused
+/// before the whole body is sent.
 #[actix_rt::test]
 async fn a_connection_with_an_early_reply_is_not_reused() {
     let early = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 2\r\n\r\nno";
@@ -179,10 +179,10 @@
     assert!(pool.take(address, "i-1").is_none(), "the connection was removed from the pool");
 }
 
-/// Guards against an engine that starts a sample seconds after its run was stopped and its step ended.
-/// The request is written during a network partition; the run is stopped and its connection closed;
-/// the partition ends. After an orderly close, the kernel still delivers all written bytes. A reset
-/// discards them.
+/// Guards against an engine that starts a sample seconds after its run was stopped and its step
+/// ended. The request is written during a network partition; the run is stopped and its connection
+/// closed; the partition ends. After an orderly close, the kernel still delivers all written bytes.
+/// A reset discards them.
 #[actix_rt::test]
 async fn an_abandoned_request_is_not_delivered() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/components/http/tests/server.rs
+++ b/components/http/tests/server.rs
@@ -1,4 +1,5 @@
-//! The server on real sockets: its behaviour when callers disconnect early or send invalid requests.
+//! The server on real sockets: its behaviour when callers disconnect early or send invalid
+//! requests.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -56,9 +57,9 @@
 }
 
 /// Guards against an engine that continues to work for a caller that has disconnected. A request is
-/// read, its handler waits for an endpoint, and the caller closes before the first byte of the reply.
-/// A server that does not read its socket while a handler waits detects the close only when it
-/// writes.
+/// read, its handler waits for an endpoint, and the caller closes before the first byte of the
+/// reply. A server that does not read its socket while a handler waits detects the close only when
+/// it writes.
 #[actix_rt::test]
 async fn a_waiting_handler_is_cancelled_when_the_caller_disconnects() {
     let (started, dropped) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
@@ -101,9 +102,9 @@
     assert!(text.contains("x-target: /a?x=1"), "{text}");
 }
 
-/// Guards against a reset that the caller receives instead of the reason. The caller sends more than
-/// is allowed; the server replies and closes while bytes are unread. Closing a socket with unread
-/// bytes resets it, and the reset overtakes the reply.
+/// Guards against a reset that the caller receives instead of the reason. The caller sends more
+/// than is allowed; the server replies and closes while bytes are unread. Closing a socket with
+/// unread bytes resets it, and the reset overtakes the reply.
 #[actix_rt::test]
 async fn the_refusal_of_a_too_large_request_can_be_read() {
     let server = Rc::new(Server::default());
@@ -158,9 +159,9 @@
     assert!(text.starts_with("HTTP/1.1 400"), "{text}");
 }
 
-/// Guards against requests that are lost at a planned stop. The server is closed while a connection is
-/// idle, and its caller then sends a request. A server that closes idle connections immediately loses
-/// requests in flight.
+/// Guards against requests that are lost at a planned stop. The server is closed while a connection
+/// is idle, and its caller then sends a request. A server that closes idle connections immediately
+/// loses requests in flight.
 #[actix_rt::test]
 async fn a_request_just_after_the_close_is_answered_and_its_connection_closed() {
     let server = Rc::new(Server::default());
--- a/components/storage/src/atomic.rs
+++ b/components/storage/src/atomic.rs
@@ -57,12 +57,12 @@
     (disk.sync_folder)(folder).map_err(io_error("sync", folder))
 }
 
-/// Reads a file that [`write`] wrote. Returns none if it does not exist.
+/// Reads a file that [`write()`] wrote. Returns none if it does not exist.
 ///
 /// # Errors
 ///
-/// Returns [`StorageError::Corrupt`] if its content has changed, and [`StorageError::Format`] if its
-/// format is that of another release.
+/// Returns [`StorageError::Corrupt`] if its content has changed, and [`StorageError::Format`] if
+/// its format is that of another release.
 pub fn read<T: DeserializeOwned>(path: &Path, magic: &[u8; 8]) -> Result<Option<T>, StorageError> {
     let file_bytes = match fs::read(path) {
         Ok(file_bytes) => file_bytes,
--- a/components/storage/src/disk.rs
+++ b/components/storage/src/disk.rs
@@ -39,8 +39,8 @@
     }
 }
 
-/// Like [`io_error`], but converts the error of a full disk to [`StorageError::Full`]. This must not
-/// be used for a sync that fails because the disk is full: the data to be synced may be lost.
+/// Like [`io_error`], but converts the error of a full disk to [`StorageError::Full`]. This must
+/// not be used for a sync that fails because the disk is full: the data to be synced may be lost.
 pub(crate) fn write_error<'a>(
     action: &'static str,
     path: &'a Path,
--- a/components/storage/src/record.rs
+++ b/components/storage/src/record.rs
@@ -74,8 +74,8 @@
     Some(Record { synced: number(9), entry, length })
 }
 
-/// Returns whether some intact record after the offset `bad` proves that the segment had been synced
-/// beyond that offset.
+/// Returns whether some intact record after the offset `bad` proves that the segment had been
+/// synced beyond that offset.
 pub fn proves_synced(segment: &[u8], bad: usize) -> bool {
     let rest = bad + 1..segment.len().saturating_sub(HEADER_BYTES - 1);
     rest.into_iter().any(|at| {
--- a/components/storage/src/segment.rs
+++ b/components/storage/src/segment.rs
@@ -62,7 +62,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`StorageError::Io`], or [`StorageError::Full`], after which the file does not exist.
+    /// Returns [`StorageError::Io`], or [`StorageError::Full`], after which the file does not
+    /// exist.
     pub fn create(disk: &Disk, folder: &Path, first: u64) -> Result<Self, StorageError> {
         let path = path(folder, first);
         // In append mode, every write goes to the current end, also after the file was truncated.
@@ -162,7 +163,7 @@
         written
     }
 
-    /// Syncs the file, then appends a record of how far it is synced.
+    /// Syncs the file, then appends a sync mark, the record of how far the file is synced.
     ///
     /// # Errors
     ///
@@ -175,7 +176,7 @@
         let mut mark = Vec::new();
         record::encode_sync_mark(&mut mark, self.length);
         match self.write(disk, &mark) {
-            // The entries are synced nevertheless. The record only serves to distinguish damage
+            // The entries are synced nevertheless. The sync mark only serves to distinguish damage
             // from a torn write.
             Err(error) if error.is_full() => {}
             written => written?,
@@ -184,8 +185,8 @@
         Ok(())
     }
 
-    /// Syncs the file, including the last sync mark. Otherwise a power loss could tear that record in
-    /// a file that is no longer the last one, and the whole folder would be refused as damaged.
+    /// Syncs the file, including the last sync mark. Otherwise a power loss could tear that record
+    /// in a file that is no longer the last one, and the whole folder would be refused as damaged.
     ///
     /// # Errors
     ///
@@ -213,8 +214,8 @@
     }
 
     /// Appends bytes. If the disk is full, the part that was written is truncated again. Otherwise
-    /// the next record would follow an incomplete one, and the rest of the log would be treated as a
-    /// torn end.
+    /// the next record would follow an incomplete one, and the rest of the log would be treated as
+    /// a torn end.
     fn write(&mut self, disk: &Disk, bytes: &[u8]) -> Result<(), StorageError> {
         let written = (disk.write)(&mut self.file, bytes);
         let written = written.map_err(write_error("write", &self.path));
@@ -243,7 +244,7 @@
 ///
 /// # Errors
 ///
-/// [`StorageError::Corrupt`] if a record is damaged that had been synced.
+/// Returns [`StorageError::Corrupt`] if a record is damaged that had been synced.
 pub fn read(path: &Path, first: u64, last: bool) -> Result<Option<Read>, StorageError> {
     let file_bytes = fs::read(path).map_err(io_error("read", path))?;
     let corrupt = |offset, what| StorageError::Corrupt { path: path.to_owned(), offset, what };
--- a/components/storage/src/snapshot.rs
+++ b/components/storage/src/snapshot.rs
@@ -22,7 +22,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`StorageError::Io`]. If the new snapshot could not be written, the older one still exists.
+/// Returns [`StorageError::Io`]. If the new snapshot could not be written, the older one still
+/// exists.
 pub fn write(disk: &Disk, folder: &Path, snapshot: &Snapshot) -> Result<(), StorageError> {
     let new = path(folder, snapshot.index);
     atomic::write(disk, &new, MAGIC, snapshot)?;
@@ -34,8 +35,8 @@
     Ok(())
 }
 
-/// Reads the newest snapshot. If it is damaged, an older one cannot be used instead, because the log
-/// after the older one has been compacted.
+/// Reads the newest snapshot. If it is damaged, an older one cannot be used instead, because the
+/// log after the older one has been compacted.
 ///
 /// # Errors
 ///
--- a/components/storage/src/storage.rs
+++ b/components/storage/src/storage.rs
@@ -74,12 +74,14 @@
 
 /// The log, snapshots and hard state in one data folder.
 ///
-/// After the first operation that fails, all others fail with [`StorageError::Poisoned`].
+/// After the first operation that fails, all others fail with [`StorageError::Poisoned`], unless
+/// the failure was [`StorageError::Full`].
 pub struct Storage {
     folder: PathBuf,
     settings: StorageSettings,
     disk: Disk,
     segments: Vec<Segment>,
+    /// The last entry that the newest snapshot covers.
     covered: u64,
     failure: Option<Arc<StorageError>>,
     _lock: File,
@@ -148,14 +150,15 @@
         }
     }
 
-    /// Appends entries. If the log already contains the index of the first one, the log is truncated
-    /// before it: a new leader's entries replace those that were never committed.
+    /// Appends entries. If the log already contains the index of the first one, the log is
+    /// truncated before it: a new leader's entries replace those that were never committed.
     ///
     /// The entries are durable only after [`Storage::sync`].
     ///
     /// # Errors
     ///
-    /// Returns [`StorageError::Gap`] if an entry does not follow its predecessor; nothing is written.
+    /// Returns [`StorageError::Gap`] if an entry does not follow its predecessor; nothing is
+    /// written.
     pub fn append(&mut self, entries: &[Entry]) -> Result<(), StorageError> {
         self.check_usable()?;
         let Some(first) = entries.first() else { return Ok(()) };
@@ -179,7 +182,7 @@
     ///
     /// # Errors
     ///
-    /// [`StorageError`].
+    /// Returns [`StorageError`].
     pub fn truncate(&mut self, from: u64) -> Result<(), StorageError> {
         self.check_usable()?;
         if from > self.last_index() {
@@ -219,8 +222,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`StorageError`]. If the snapshot could not be written, the older snapshot and the log
-    /// still exist.
+    /// Returns [`StorageError`]. If the snapshot could not be written, the older snapshot and the
+    /// log still exist.
     pub fn save_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), StorageError> {
         self.check_usable()?;
         if snapshot.index <= self.covered {
@@ -233,6 +236,7 @@
         })
     }
 
+    /// Returns whether the log contains the last entry that the snapshot covers, with its epoch.
     fn log_matches(&self, snapshot: &Snapshot) -> bool {
         let epoch = self.segments.iter().find_map(|s| s.epoch(snapshot.index));
         epoch == Some(snapshot.epoch)
@@ -263,7 +267,8 @@
         let full = self.segments.last().is_none_or(|s| s.length >= self.settings.segment_bytes);
         if full {
             if let Some(segment) = self.segments.last_mut() {
-                // Only the last segment may have a torn end, so this one is synced completely first.
+                // Only the last segment may have a torn end, so this one is synced completely
+                // first.
                 segment.finish(&self.disk)?;
             }
             let log = self.folder.join(LOG_FOLDER);
@@ -273,6 +278,7 @@
         segment.append(&self.disk, entries)
     }
 
+    /// Removes the entries from `from` on.
     fn remove_from(&mut self, from: u64) -> Result<(), StorageError> {
         // The last segment is removed first, so that a crash in between leaves no gap.
         while let Some(segment) = self.segments.pop_if(|s| s.first >= from) {
@@ -284,6 +290,7 @@
         }
     }
 
+    /// Removes the segments that contain only entries before the retained ones.
     fn compact_log(&mut self) -> Result<(), StorageError> {
         let obsolete = self.covered.saturating_sub(self.settings.retained_entries);
         while self.segments.len() > 1 && self.segments[0].last_index() <= obsolete {
@@ -313,6 +320,7 @@
         }
     }
 
+    /// Runs an operation and records its failure, except for a full disk.
     fn run_operation(
         &mut self,
         operation: impl FnOnce(&mut Self) -> Result<(), StorageError>,
--- a/components/storage/tests/storage.rs
+++ b/components/storage/tests/storage.rs
@@ -260,8 +260,8 @@
 
 #[test]
 fn refuses_all_operations_after_a_failed_sync() {
-    // Guards against the loss of an acknowledged entry. A sync fails, the next one succeeds, and the
-    // entry is acknowledged. The kernel drops dirty pages after it failed to write them, so the
+    // Guards against the loss of an acknowledged entry. A sync fails, the next one succeeds, and
+    // the entry is acknowledged. The kernel drops dirty pages after it failed to write them, so the
     // second sync has nothing left to write and succeeds.
     let folder = tempfile::tempdir().unwrap();
     let failing = Arc::new(AtomicBool::new(false));
@@ -315,9 +315,9 @@
 
 #[test]
 fn loses_no_synced_entry_on_a_full_disk_and_continues_when_there_is_space() {
-    // Guards against lost entries on a full disk and against a process that stops repeatedly. A write
-    // fails in the middle with "no space left"; the process is restarted or continues. Only the
-    // incomplete record must be truncated, and a full disk must not count as a failure.
+    // Guards against lost entries on a full disk and against a process that stops repeatedly. A
+    // write fails in the middle with "no space left"; the process is restarted or continues. Only
+    // the incomplete record must be truncated, and a full disk must not count as a failure.
     for space in [0, 1, 20, 60, 100, 700] {
         for restarts in [true, false] {
             let folder = tempfile::tempdir().unwrap();
