--- a/components/control/src/orders/dispatch.rs
+++ b/components/control/src/orders/dispatch.rs
@@ -127,7 +127,7 @@
             inputs.view = view;
             if !same_epoch || found != inputs.samplers {
                 inputs.samplers = found;
-                events.push(Event::Members(inputs.samplers.offers()));
+                events.push(Event::Members(inputs.samplers.statuses()));
             }
         }
         if !same_epoch || lead.weights != inputs.weights {
--- a/components/control/src/orders/samplers.rs
+++ b/components/control/src/orders/samplers.rs
@@ -14,8 +14,8 @@
 
 impl Samplers {
     /// Returns what each sampler announces, for the planner.
-    pub fn offers(&self) -> Vec<SamplerStatus> {
-        self.0.values().map(|(offer, _)| offer.clone()).collect()
+    pub fn statuses(&self) -> Vec<SamplerStatus> {
+        self.0.values().map(|(status, _)| status.clone()).collect()
     }
 
     /// Returns the HTTP address of an endpoint's agent.
@@ -33,16 +33,17 @@
 pub fn samplers(members: &Members) -> Samplers {
     let mut found = Samplers::default();
     for member in members.present() {
-        let Some(offer) = offer(member) else { continue };
-        let held = found.0.get(&offer.endpoint).map(|(held, _)| (held.incarnation, held.sequence));
-        if held.is_none_or(|held| held < (offer.incarnation, offer.sequence)) {
-            found.0.insert(offer.endpoint.clone(), (offer, member.address.clone()));
+        let Some(status) = sampler_status(member) else { continue };
+        let known_order =
+            found.0.get(&status.endpoint).map(|(known, _)| (known.incarnation, known.sequence));
+        if known_order.is_none_or(|known| known < (status.incarnation, status.sequence)) {
+            found.0.insert(status.endpoint.clone(), (status, member.address.clone()));
         }
     }
     found
 }
 
-fn offer(member: &Member) -> Option<SamplerStatus> {
+fn sampler_status(member: &Member) -> Option<SamplerStatus> {
     let info = member.endpoint.as_ref().filter(|info| info.kind == EndpointKind::Engine)?;
     Some(SamplerStatus {
         endpoint: info.name.clone(),
--- a/components/control/tests/orders.rs
+++ b/components/control/tests/orders.rs
@@ -54,10 +54,10 @@
         agent("4", 1, service),
         gone,
     ];
-    let offers = samplers(&view(all)).offers();
-    let seen: Vec<_> = offers.iter().map(|o| (o.endpoint.0.as_str(), o.ready)).collect();
+    let statuses = samplers(&view(all)).statuses();
+    let seen: Vec<_> = statuses.iter().map(|s| (s.endpoint.0.as_str(), s.ready)).collect();
     assert_eq!(seen, [("a", true), ("b", false), ("c", false)]);
-    assert_eq!(offers[0].source.as_deref(), Some("http://a"));
+    assert_eq!(statuses[0].source.as_deref(), Some("http://a"));
 }
 
 /// Guards against a sampler that keeps old weights because the leader's orders to it get no reply.
