--- a/components/control/src/orders/offers.rs
+++ b/components/control/src/orders/samplers.rs
@@ -1,4 +1,4 @@
-//! The samplers, as the members show them.
+//! The samplers, as listed in the membership view.
 
 use std::collections::BTreeMap;
 
@@ -13,35 +13,37 @@
 pub struct Samplers(pub BTreeMap<Endpoint, (SamplerStatus, String)>);
 
 impl Samplers {
-    /// Lists what they offer.
-    pub fn offers(&self) -> Vec<SamplerStatus> {
-        self.0.values().map(|(offer, _)| offer.clone()).collect()
+    /// Returns what each sampler announces, for the planner.
+    pub fn statuses(&self) -> Vec<SamplerStatus> {
+        self.0.values().map(|(status, _)| status.clone()).collect()
     }
 
-    /// Tells where an endpoint's agent answers HTTP.
+    /// Returns the HTTP address of an endpoint's agent.
     pub fn address(&self, endpoint: &Endpoint) -> Option<&str> {
         self.0.get(endpoint).map(|(_, address)| address.as_str())
     }
 }
 
-/// Lists the model engines that are there, also those that do not work just now: they count as
-/// out of service.
+/// Returns the model engines that are present. Those that are unhealthy or draining are included
+/// as not ready.
 ///
-/// Two processes may announce the same endpoint for a while, when an agent was replaced by one of
-/// another name. The one that started last is believed, or orders would go to one that is gone.
+/// Two processes may announce the same endpoint for a while after an agent was replaced by one with
+/// another node name. The one that started last is used; otherwise orders could be sent to an agent
+/// that no longer exists.
 pub fn samplers(members: &Members) -> Samplers {
     let mut found = Samplers::default();
     for member in members.present() {
-        let Some(offer) = offer(member) else { continue };
-        let held = found.0.get(&offer.endpoint).map(|(held, _)| (held.incarnation, held.sequence));
-        if held.is_none_or(|held| held < (offer.incarnation, offer.sequence)) {
-            found.0.insert(offer.endpoint.clone(), (offer, member.address.clone()));
+        let Some(status) = sampler_status(member) else { continue };
+        let known_order =
+            found.0.get(&status.endpoint).map(|(known, _)| (known.incarnation, known.sequence));
+        if known_order.is_none_or(|known| known < (status.incarnation, status.sequence)) {
+            found.0.insert(status.endpoint.clone(), (status, member.address.clone()));
         }
     }
     found
 }
 
-fn offer(member: &Member) -> Option<SamplerStatus> {
+fn sampler_status(member: &Member) -> Option<SamplerStatus> {
     let info = member.endpoint.as_ref().filter(|info| info.kind == EndpointKind::Engine)?;
     Some(SamplerStatus {
         endpoint: info.name.clone(),
