--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -56,12 +56,12 @@
 impl Control {
     /// Handles a request.
     pub async fn answer(self: Rc<Self>, request: Request) -> Reply {
-        let call = match control::read(&request) {
+        let call = match control::parse_call(&request) {
             Ok(call) => call,
             Err(error) => {
                 let path = request.path();
                 tracing::info!(event = "control_unreadable", path, %error);
-                return control::refused(StatusCode::BAD_REQUEST, &error.to_string());
+                return control::error_reply(StatusCode::BAD_REQUEST, &error.to_string());
             }
         };
         self.handle(call).await
@@ -79,7 +79,7 @@
                 self.announce(Call::Announce(announcement)).await
             }
             ControlCall::Leave(id) => self.announce(Call::Leave(id)).await,
-            ControlCall::Configure(source) => match config::read(&source) {
+            ControlCall::Configure(source) => match config::parse(&source) {
                 Ok(config) => self.configure(config).await,
                 Err(fault) => refuse_config(None, &fault),
             },
@@ -88,7 +88,7 @@
                 self.call_leader(Call::Publish { model, version }).await
             }
             ControlCall::Retire(node) => self.call_leader(Call::Retire(node)).await,
-            ControlCall::Retired(node) => self.call_leader(Call::Retired(node)).await,
+            ControlCall::RetirementStatus(node) => self.call_leader(Call::Retired(node)).await,
         }
     }
 
@@ -110,7 +110,7 @@
     }
 
     fn acknowledge(&self) -> Reply {
-        control::heard(Some(&self.own.to_string()))
+        control::announcement_reply(Some(&self.own.to_string()))
     }
 
     /// Reports received announcements to the leader for as long as the process runs. What cannot be
@@ -128,9 +128,9 @@
     async fn announce(&self, call: Call) -> Reply {
         match self.link.call(call, ANNOUNCE_TIMEOUT).await {
             Ok(Answer::Heard) => self.acknowledge(),
-            Ok(Answer::Done) => control::done(),
-            Ok(Answer::Unknown) => control::refused(StatusCode::BAD_REQUEST, "unknown service"),
-            Ok(_) | Err(_) => control::refused(StatusCode::SERVICE_UNAVAILABLE, "no leader"),
+            Ok(Answer::Done) => control::done_reply(),
+            Ok(Answer::Unknown) => control::error_reply(StatusCode::BAD_REQUEST, "unknown service"),
+            Ok(_) | Err(_) => control::error_reply(StatusCode::SERVICE_UNAVAILABLE, "no leader"),
         }
     }
 
@@ -147,20 +147,23 @@
     async fn call_leader(&self, call: Call) -> Reply {
         let answer = self.link.call_until_answered(call, OPERATOR_TIMEOUT).await;
         match answer {
-            Ok(Answer::Done) => control::done(),
-            Ok(Answer::Config(Some(config))) => control::config(config.source.clone()),
-            Ok(Answer::Retired(completed)) => control::retired(completed),
-            Ok(Answer::Unknown) => control::refused(StatusCode::NOT_FOUND, "unknown VM"),
+            Ok(Answer::Done) => control::done_reply(),
+            Ok(Answer::Config(Some(config))) => control::config_reply(config.source.clone()),
+            Ok(Answer::Retired(completed)) => control::retirement_reply(completed),
+            Ok(Answer::Unknown) => control::error_reply(StatusCode::NOT_FOUND, "unknown VM"),
             Ok(Answer::TooFew) => {
-                control::refused(StatusCode::CONFLICT, "too few store VMs would be left")
+                control::error_reply(StatusCode::CONFLICT, "too few store VMs would be left")
             }
-            Ok(_) => control::refused(StatusCode::SERVICE_UNAVAILABLE, "not now"),
+            Ok(_) => control::error_reply(StatusCode::SERVICE_UNAVAILABLE, "not now"),
             Err(CallError::NoLeader) => {
-                control::refused(StatusCode::SERVICE_UNAVAILABLE, "no leader is known")
+                control::error_reply(StatusCode::SERVICE_UNAVAILABLE, "no leader is known")
             }
             Err(error) => {
                 tracing::info!(event = "control_unclear", %error);
-                control::refused(StatusCode::GATEWAY_TIMEOUT, "it is not known whether it was done")
+                control::error_reply(
+                    StatusCode::GATEWAY_TIMEOUT,
+                    "it is not known whether it was done",
+                )
             }
         }
     }
@@ -168,5 +171,5 @@
 
 fn refuse_config(version: Option<u64>, fault: &chicoryford_fleet::ConfigError) -> Reply {
     tracing::info!(event = "config_refused", version, %fault);
-    control::refused(StatusCode::BAD_REQUEST, &fault.to_string())
+    control::error_reply(StatusCode::BAD_REQUEST, &fault.to_string())
 }
--- a/components/node/src/entry.rs
+++ b/components/node/src/entry.rs
@@ -20,7 +20,7 @@
 use chicoryford_http::message::Method;
 use chicoryford_http::message::StatusCode;
 use chicoryford_platform as platform;
-use chicoryford_platform::plain;
+use chicoryford_platform::request;
 use chicoryford_platform::step;
 use chicoryford_types::Digest;
 use chicoryford_types::Millis;
@@ -100,12 +100,12 @@
                 NO_LEADER_RETRY_AFTER_MS,
             );
         };
-        if let Some(call) = step::read(&request) {
-            let access = config.workspaces.step_access(&config.routes, plain::key(&request));
+        if let Some(call) = step::parse_call(&request) {
+            let access = config.workspaces.step_access(&config.routes, request::key(&request));
             return match self.authorize(access, &request, &config) {
                 Ok(workspace) => {
                     let workspace = workspace.map(|workspace| workspace.name.as_str());
-                    self.handle_step_call(call.of(workspace)).await
+                    self.handle_step_call(call.in_workspace(workspace)).await
                 }
                 Err(refusal) => refusal,
             };
@@ -113,7 +113,7 @@
         let Some(route) = config.find(&request.host(), request.path()) else {
             return self.refuse_unknown_route(&request, &config);
         };
-        let access = config.workspaces.access(route, plain::key(&request));
+        let access = config.workspaces.access(route, request::key(&request));
         let workspace = match self.authorize(access, &request, &config) {
             Ok(workspace) => workspace,
             Err(refusal) => return refusal,
@@ -123,7 +123,7 @@
         }
         let name = workspace.map(|workspace| workspace.name.as_str());
         let has_keys = !config.workspaces.is_empty();
-        let request = if has_keys { plain::admitted(request, name) } else { request };
+        let request = if has_keys { request::with_workspace(request, name) } else { request };
         self.forward(&request, route, workspace, began).await
     }
 
@@ -148,8 +148,8 @@
                 Err(self.refuse(request, "the key may be a new one", NO_LEADER_RETRY_AFTER_MS))
             }
             Access::Unknown => {
-                let id = plain::attempt(request).unwrap_or_default();
-                let key = plain::key(request).map(|key| Digest::of(key.as_bytes()).to_string());
+                let id = request::attempt_id(request).unwrap_or_default();
+                let key = request::key(request).map(|key| Digest::of(key.as_bytes()).to_string());
                 tracing::info!(
                     event = "request_refused",
                     request = id,
@@ -182,7 +182,7 @@
                 NO_LEADER_RETRY_AFTER_MS,
             );
         }
-        let id = plain::attempt(request).unwrap_or_default();
+        let id = request::attempt_id(request).unwrap_or_default();
         tracing::info!(
             event = "request_refused",
             request = id,
@@ -194,7 +194,7 @@
     }
 
     fn refuse(&self, request: &Request, why: &str, after_ms: u64) -> Reply {
-        let id = plain::attempt(request).unwrap_or_default();
+        let id = request::attempt_id(request).unwrap_or_default();
         let silent_ms = self.link.silent_ms();
         tracing::info!(event = "request_refused", request = id, why, after_ms, silent_ms);
         platform::refusal(StatusCode::SERVICE_UNAVAILABLE, why, after_ms)
@@ -207,7 +207,7 @@
         workspace: Option<&Workspace>,
         began: Millis,
     ) -> Reply {
-        let requested_ms = plain::budget_ms(request);
+        let requested_ms = request::budget_ms(request);
         let limit_ms = requested_ms
             .unwrap_or(DEFAULT_BUDGET_MS)
             .min(route.timeout_ms.unwrap_or(DEFAULT_BUDGET_MS));
@@ -224,7 +224,7 @@
         metrics::REQUESTS.with_label_values(&[route.name.as_str(), label]).inc();
         let seconds = metrics::REQUEST_SECONDS.with_label_values(&[route.name.as_str()]);
         seconds.observe(ms as f64 / 1_000.0);
-        let id = plain::attempt(request).unwrap_or_default();
+        let id = request::attempt_id(request).unwrap_or_default();
         let (status, why) = match outcome {
             Outcome::Answered(reply) => {
                 if ms > route.target_ms || !reply.status.is_success() {
@@ -262,10 +262,10 @@
         route: &Route,
         workspace: Option<&Workspace>,
     ) -> Reply {
-        let read = match step::submission(request, route, workspace) {
+        let read = match step::parse_submission(request, route, workspace) {
             Ok(step) => Arc::new(step),
             Err(error) => {
-                let id = plain::attempt(request).unwrap_or_default();
+                let id = request::attempt_id(request).unwrap_or_default();
                 tracing::info!(event = "step_unreadable", step = id, %error);
                 return platform::failure(StatusCode::BAD_REQUEST, &error.to_string());
             }
@@ -273,7 +273,7 @@
         let answer =
             self.link.call_until_answered(Call::Submit(read.clone()), SUBMIT_TIMEOUT).await;
         let outcome = match &answer {
-            Ok(Answer::Done) => return step::accepted(),
+            Ok(Answer::Done) => return step::accepted_reply(),
             Ok(_) => "unfit answer".to_owned(),
             Err(error) => error.to_string(),
         };
@@ -300,7 +300,11 @@
         }
         let mut cache = self.result_cache.borrow_mut();
         let read = cache.get(step, after)?;
-        Some(step::listed(step::results(read.total as usize, after, read.results.into_iter())))
+        Some(step::results_reply(step::encode_results(
+            read.total as usize,
+            after,
+            read.results.into_iter(),
+        )))
     }
 
     /// Fetches the results from position `next` on and caches them, if a leader answers soon.
@@ -327,7 +331,7 @@
             }
         };
         let results = listed.iter().map(|(id, verdict)| (id.as_str(), verdict));
-        let reply = step::listed(step::results(total as usize, after, results));
+        let reply = step::results_reply(step::encode_results(total as usize, after, results));
         self.result_cache.borrow_mut().put(step, total, after, listed);
         Some(reply)
     }
@@ -371,14 +375,14 @@
             step::Call::End { step } => Call::End(step),
         };
         match (self.link.call_until_answered(request, wait + STEP_CALL_TIMEOUT).await, &call) {
-            (Ok(Answer::Done), _) => platform::control::done(),
+            (Ok(Answer::Done), _) => platform::control::done_reply(),
             (Ok(answer @ Answer::Results { .. }), step::Call::Read { step, after, .. }) => {
                 match self.reply_with_results(step, *after, answer).await {
                     Some(reply) => reply,
                     None => self.step_call_failed(&call),
                 }
             }
-            (Ok(Answer::Body(bytes)), _) => step::body(bytes),
+            (Ok(Answer::Body(bytes)), _) => step::body_reply(bytes),
             (Ok(Answer::Unknown), _) => {
                 tracing::info!(event = "step_unknown", call = ?call);
                 platform::failure(StatusCode::NOT_FOUND, "no such step")
--- a/components/node/src/forward/attempt.rs
+++ b/components/node/src/forward/attempt.rs
@@ -7,7 +7,7 @@
 use chicoryford_fleet::pick::Target;
 use chicoryford_http::ExchangeError;
 use chicoryford_http::Request;
-use chicoryford_platform::plain;
+use chicoryford_platform::request;
 use chicoryford_types::Millis;
 
 use super::Forwarder;
@@ -93,7 +93,7 @@
     /// Logs why the attempt failed.
     pub(super) fn log(&self, request: &Request, outcome: &str, error: &ExchangeError) {
         let ms = clock::now().since(self.began);
-        let request = plain::attempt(request).unwrap_or_default();
+        let request = request::attempt_id(request).unwrap_or_default();
         tracing::info!(event = "try_ended", request, endpoint = self.id, outcome, ms, %error);
     }
 }
--- a/components/node/src/forward/dispatch.rs
+++ b/components/node/src/forward/dispatch.rs
@@ -10,7 +10,7 @@
 use chicoryford_http::Reply;
 use chicoryford_http::Request;
 use chicoryford_http::message::StatusCode;
-use chicoryford_platform::plain;
+use chicoryford_platform::request;
 use chicoryford_types::Millis;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -266,7 +266,7 @@
         if good && ms <= target_ms {
             return;
         }
-        let request = plain::attempt(self.request).unwrap_or_default();
+        let request = request::attempt_id(self.request).unwrap_or_default();
         let tries: Vec<String> =
             self.attempt_log.borrow().iter().map(AttemptRecord::to_string).collect();
         let tries = tries.join("; ");
--- a/components/node/src/forward/mod.rs
+++ b/components/node/src/forward/mod.rs
@@ -21,8 +21,8 @@
 use chicoryford_http::Pool;
 use chicoryford_http::Reply;
 use chicoryford_http::Request;
-use chicoryford_platform::plain;
-use chicoryford_platform::plain::Meaning;
+use chicoryford_platform::request;
+use chicoryford_platform::request::ReplyKind;
 use chicoryford_types::Millis;
 
 use crate::clock;
@@ -217,10 +217,10 @@
         };
         // Connecting has taken some of the time.
         let left_ms = deadline.since(clock::now());
-        let forwarded = plain::forward(request, &target.id, left_ms);
+        let forwarded = request::forward(request, &target.id, left_ms);
         attempt.send();
         match self.exchange(connection, &forwarded, &target).await {
-            Ok((Meaning::Answer, reply)) => {
+            Ok((ReplyKind::Answer, reply)) => {
                 let ms = clock::now().since(began);
                 let failed = reply.status.is_server_error();
                 attempt.end(if failed {
@@ -230,15 +230,15 @@
                 });
                 AttemptResult::Answered(reply)
             }
-            Ok((Meaning::NotRun, _)) => {
+            Ok((ReplyKind::NotRun, _)) => {
                 attempt.end(AttemptOutcome::Refused);
                 AttemptResult::NotRun
             }
-            Ok((Meaning::Moved, _)) => {
+            Ok((ReplyKind::Moved, _)) => {
                 attempt.end(AttemptOutcome::Moved);
                 AttemptResult::NotRun
             }
-            Ok((Meaning::Foreign, _)) => {
+            Ok((ReplyKind::Mismatched, _)) => {
                 attempt.log(request, "foreign", &ExchangeError::Invalid("another request's reply"));
                 attempt.end(AttemptOutcome::Failed);
                 AttemptResult::Lost
@@ -260,11 +260,11 @@
         connection: Connection,
         request: &Request,
         target: &Target,
-    ) -> Result<(Meaning, Reply), ExchangeError> {
+    ) -> Result<(ReplyKind, Reply), ExchangeError> {
         let incoming = connection.start(request).await?;
-        let (status, attempt) = (incoming.status, plain::attempt(request));
-        let meaning = plain::meaning(status, &incoming.headers, attempt);
-        if meaning == Meaning::Foreign {
+        let (status, attempt) = (incoming.status, request::attempt_id(request));
+        let meaning = request::classify_reply(status, &incoming.headers, attempt);
+        if meaning == ReplyKind::Mismatched {
             return Ok((meaning, Reply::new(status, "")));
         }
         let (reply, connection) = incoming.read_all().await?;
--- a/components/node/src/leader/usage.rs
+++ b/components/node/src/leader/usage.rs
@@ -21,7 +21,7 @@
 use chicoryford_http::ExchangeError;
 use chicoryford_http::Request;
 use chicoryford_platform::duty;
-use chicoryford_platform::duty::Taken;
+use chicoryford_platform::duty::CallOutcome;
 use chicoryford_types::Millis;
 
 use crate::clock;
@@ -110,7 +110,7 @@
 
     /// Reports the next closed window to the platform. Returns the outcome of the call if one was
     /// made.
-    async fn report_usage(&self, platform: SocketAddr) -> Option<Taken> {
+    async fn report_usage(&self, platform: SocketAddr) -> Option<CallOutcome> {
         let (window, counts) = self.next_report()?;
         let (node, token) = (&self.context.settings.node, self.epoch.0);
         let held = self.context.replica.state().holding.clone();
@@ -125,14 +125,14 @@
             DutyAction::Call(left_ms) => left_ms,
         };
         let requests: u64 = counts.values().sum();
-        let request = duty::usage(&held?, window, &counts);
+        let request = duty::usage_request(&held?, window, &counts);
         let began = clock::now();
         let limit_ms = left_ms.min(CALL_TIMEOUT_MS);
         let calling = call(platform, &request, began + limit_ms);
         let answer = tokio::time::timeout(Duration::from_millis(limit_ms), calling).await;
         let taken = match &answer {
             Ok(Ok(taken)) => *taken,
-            Ok(Err(_)) | Err(_) => Taken::Unclear,
+            Ok(Err(_)) | Err(_) => CallOutcome::Unclear,
         };
         let error = match &answer {
             Ok(Err(error)) => error.to_string(),
@@ -142,7 +142,7 @@
         let ms = clock::now().since(began);
         metrics::DUTY_CALLS.with_label_values(&["usage", outcome_label(taken)]).inc();
         tracing::info!(event = "usage_reported", window, token, requests, ?taken, ms, error);
-        if matches!(taken, Taken::Done | Taken::Unfit) {
+        if matches!(taken, CallOutcome::Done | CallOutcome::Unfit) {
             self.usage.accepted.set(Some(window));
         }
         Some(taken)
@@ -155,13 +155,13 @@
     }
 }
 
-fn outcome_label(taken: Taken) -> &'static str {
+fn outcome_label(taken: CallOutcome) -> &'static str {
     match taken {
-        Taken::Done => "done",
-        Taken::Fenced => "fenced",
-        Taken::Busy => "busy",
-        Taken::Unfit => "unfit",
-        Taken::Unclear => "unclear",
+        CallOutcome::Done => "done",
+        CallOutcome::Fenced => "fenced",
+        CallOutcome::Busy => "busy",
+        CallOutcome::Unfit => "unfit",
+        CallOutcome::Unclear => "unclear",
     }
 }
 
@@ -173,14 +173,14 @@
     platform: SocketAddr,
     request: &Request,
     until: Millis,
-) -> Result<Taken, ExchangeError> {
+) -> Result<CallOutcome, ExchangeError> {
     let connection = Connection::open(platform, CONNECT_TIMEOUT).await?;
     if clock::now() >= until {
         return Err(ExchangeError::NotSent(std::io::Error::from(std::io::ErrorKind::TimedOut)));
     }
     let incoming = connection.start(request).await?;
     let (reply, _) = incoming.read_all().await?;
-    Ok(duty::taken(reply.status))
+    Ok(duty::call_outcome(reply.status))
 }
 
 /// Commits usage and closes windows for as long as this process leads.
@@ -205,12 +205,12 @@
         let Some(leader) = leader.upgrade() else { return };
         match leader.report_usage(platform).await {
             None => {}
-            Some(Taken::Done | Taken::Unfit) => pause = RETRY_PAUSE,
-            Some(Taken::Fenced) => {
+            Some(CallOutcome::Done | CallOutcome::Unfit) => pause = RETRY_PAUSE,
+            Some(CallOutcome::Fenced) => {
                 tracing::error!(event = "duty_lost", token = leader.epoch.0);
                 return;
             }
-            Some(Taken::Busy | Taken::Unclear) => {
+            Some(CallOutcome::Busy | CallOutcome::Unclear) => {
                 tokio::time::sleep(pause).await;
                 pause = (pause * 2).min(MAX_RETRY_PAUSE);
             }
--- a/components/node/src/orders.rs
+++ b/components/node/src/orders.rs
@@ -17,9 +17,9 @@
 use chicoryford_http::Reply;
 use chicoryford_http::Request;
 use chicoryford_platform::endpoint;
+use chicoryford_platform::endpoint::OrderOutcome;
 use chicoryford_platform::endpoint::Report;
-use chicoryford_platform::endpoint::Runs;
-use chicoryford_platform::endpoint::Taken;
+use chicoryford_platform::endpoint::RunPolicy;
 use chicoryford_platform::endpoint::VersionOrder;
 use chicoryford_types::Millis;
 use tokio::task::JoinHandle;
@@ -183,17 +183,17 @@
             return "lead lost";
         }
         match send_order(leader, load, address, &report, runs).await {
-            Taken::Started | Taken::Holds => {
+            OrderOutcome::Started | OrderOutcome::Holds => {
                 if await_loaded(leader, load).await {
                     return "done";
                 }
             }
-            Taken::Fenced => {
+            OrderOutcome::Fenced => {
                 leader.orders.borrow_mut().fenced = true;
                 return "fenced";
             }
-            Taken::Moved => return "endpoint moved",
-            Taken::Conflict | Taken::Unfit | Taken::Unclear => {
+            OrderOutcome::Moved => return "endpoint moved",
+            OrderOutcome::Conflict | OrderOutcome::Unfit | OrderOutcome::Unclear => {
                 tokio::time::sleep(RETRY_PAUSE).await
             }
         }
@@ -203,8 +203,12 @@
 
 /// Decides what happens to the engine's runs of the model. They continue under the new version, so
 /// that nothing waits for them, unless a sample must be made by a single version.
-fn runs_during_load(leader: &Rc<Leader>, load: &WeightLoad) -> Runs {
-    if leader.plan.borrow().needs_single_version(&load.model) { Runs::Finish } else { Runs::GoOn }
+fn runs_during_load(leader: &Rc<Leader>, load: &WeightLoad) -> RunPolicy {
+    if leader.plan.borrow().needs_single_version(&load.model) {
+        RunPolicy::Finish
+    } else {
+        RunPolicy::GoOn
+    }
 }
 
 fn address(leader: &Rc<Leader>, load: &WeightLoad) -> Option<SocketAddr> {
@@ -223,7 +227,7 @@
     if !reply.status.is_success() {
         return Err(ExchangeError::Invalid("no report"));
     }
-    endpoint::report(&reply.body)
+    endpoint::parse_report(&reply.body)
         .map_err(|_| ExchangeError::Invalid("a report that cannot be read"))
 }
 
@@ -238,24 +242,24 @@
     load: &WeightLoad,
     address: SocketAddr,
     report: &Report,
-    runs: Runs,
-) -> Taken {
+    runs: RunPolicy,
+) -> OrderOutcome {
     let order = VersionOrder {
         incarnation: &load.endpoint,
         model: &load.model,
         version: load.version,
-        runs,
+        run_policy: runs,
         holder: &leader.context.settings.node,
         fence: leader.epoch.0,
         sequence: report.sequence,
     };
     leader.context.followers.broadcast_to_replicas(&Update::Ordered(load.endpoint.clone()));
-    let request = endpoint::order(&order);
+    let request = endpoint::order_request(&order);
     let taken = match call(leader, load, address, &request).await {
-        Ok(reply) => endpoint::taken(reply.status),
+        Ok(reply) => endpoint::order_outcome(reply.status),
         Err(error) => {
             tracing::info!(event = "order_unanswered", endpoint = load.endpoint, %error);
-            Taken::Unclear
+            OrderOutcome::Unclear
         }
     };
     metrics::ORDERS.with_label_values(&[outcome_label(taken)]).inc();
@@ -272,15 +276,15 @@
     taken
 }
 
-fn outcome_label(taken: Taken) -> &'static str {
+fn outcome_label(taken: OrderOutcome) -> &'static str {
     match taken {
-        Taken::Started => "started",
-        Taken::Holds => "holds",
-        Taken::Conflict => "conflict",
-        Taken::Fenced => "fenced",
-        Taken::Unfit => "unfit",
-        Taken::Moved => "moved",
-        Taken::Unclear => "unclear",
+        OrderOutcome::Started => "started",
+        OrderOutcome::Holds => "holds",
+        OrderOutcome::Conflict => "conflict",
+        OrderOutcome::Fenced => "fenced",
+        OrderOutcome::Unfit => "unfit",
+        OrderOutcome::Moved => "moved",
+        OrderOutcome::Unclear => "unclear",
     }
 }
 
--- a/components/node/src/runner/execute.rs
+++ b/components/node/src/runner/execute.rs
@@ -13,11 +13,11 @@
 use chicoryford_http::ExchangeError;
 use chicoryford_http::IncomingReply;
 use chicoryford_http::Request;
-use chicoryford_platform::plain;
-use chicoryford_platform::plain::Meaning;
+use chicoryford_platform::request;
+use chicoryford_platform::request::ReplyKind;
 use chicoryford_platform::sample;
 use chicoryford_platform::sample::Event;
-use chicoryford_platform::sample::Run;
+use chicoryford_platform::sample::RunContext;
 
 use super::RunState;
 use super::Runner;
@@ -88,16 +88,19 @@
     let started = connection.start(&request);
     let mut incoming =
         tokio::time::timeout(EVENT_TIMEOUT, started).await.map_err(|_| timed_out())??;
-    let meaning = plain::meaning(incoming.status, &incoming.headers, plain::attempt(&request));
+    let meaning =
+        request::classify_reply(incoming.status, &incoming.headers, request::attempt_id(&request));
     let end = match (meaning, incoming.status.as_u16()) {
-        (Meaning::Answer, 200..=299) => return read_events(runner, job, state, incoming).await,
-        (Meaning::Answer, 422) => RunEnd::Unfit,
-        (Meaning::Answer, 500) => RunEnd::Failed,
+        (ReplyKind::Answer, 200..=299) => return read_events(runner, job, state, incoming).await,
+        (ReplyKind::Answer, 422) => RunEnd::Unfit,
+        (ReplyKind::Answer, 500) => RunEnd::Failed,
         // For example a timeout within the engine, which says nothing about the sample.
-        (Meaning::Answer, _) => RunEnd::Broken,
-        (Meaning::NotRun, _) => RunEnd::Full,
-        (Meaning::Moved, _) => RunEnd::Moved,
-        (Meaning::Foreign, _) => return Err(ExchangeError::Invalid("another request's reply")),
+        (ReplyKind::Answer, _) => RunEnd::Broken,
+        (ReplyKind::NotRun, _) => RunEnd::Full,
+        (ReplyKind::Moved, _) => RunEnd::Moved,
+        (ReplyKind::Mismatched, _) => {
+            return Err(ExchangeError::Invalid("another request's reply"));
+        }
     };
     let rest = async {
         while incoming.next().await?.is_some() {}
@@ -110,16 +113,16 @@
 }
 
 fn request(job: &Job, left_ms: u64) -> Request {
-    let run = Run {
+    let run = RunContext {
         host: &job.host,
         incarnation: &job.endpoint,
         version: job.version,
-        left_ms,
-        last: job.output.last_id.as_deref(),
+        budget_ms: left_ms,
+        last_event: job.output.last_id.as_deref(),
         urgency: URGENCY,
         workspace: job.workspace.as_deref(),
     };
-    sample::request(&job.sample, &run)
+    sample::run_request(&job.sample, &run)
 }
 
 fn timed_out() -> ExchangeError {
@@ -132,13 +135,13 @@
     state: &Rc<RunState>,
     mut incoming: IncomingReply,
 ) -> Result<Option<RunEnd>, ExchangeError> {
-    let mut version = sample::version(&incoming.headers).unwrap_or(job.version);
+    let mut version = sample::first_version(&incoming.headers).unwrap_or(job.version);
     let mut reader = SseReader::default();
     loop {
         let next = tokio::time::timeout(EVENT_TIMEOUT, incoming.next()).await;
         let Some(piece) = next.map_err(|_| timed_out())?? else { break };
         for fields in reader.feed(&piece) {
-            let event = sample::event(fields);
+            let event = sample::parse_event(fields);
             version = event.version.unwrap_or(version);
             if !append_event(job, &mut state.output.borrow_mut(), event, version) {
                 *state.output.borrow_mut() = SampleOutput::default();
