--- a/components/types/src/config.rs
+++ b/components/types/src/config.rs
@@ -1,4 +1,4 @@
-//! Accepted configuration as every process holds it, and the changes by which it moves on.
+//! The accepted configuration, which every process has a copy of, and the changes to it.
 
 use std::collections::BTreeMap;
 
@@ -20,25 +20,26 @@
 /// All accepted configuration at one position.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Config {
-    /// The position of the last change in it.
+    /// The position of the last change applied.
     pub at: Position,
-    /// The templates, each with its version number.
+    /// The template of each workspace, with its version number.
     pub templates: BTreeMap<Workspace, Versioned>,
-    /// Planned stops that are in force.
+    /// The planned stops that are in force.
     pub stops: BTreeMap<StopId, Stop>,
-    /// Contents that ran at an endpoint that crashed, and how often. They run apart until one of
-    /// them either finishes or crashes an endpoint by itself (docs/SUSPECTS.md).
+    /// Contents that were running at an endpoint when it crashed, with the number of such crashes.
+    /// A suspect runs in isolation until it either finishes or crashes an endpoint by itself
+    /// (docs/SUSPECTS.md).
     pub suspects: BTreeMap<Fingerprint, u32>,
-    /// Requests that are refused because they crash endpoints.
+    /// Contents that are refused because they crash endpoints.
     pub convictions: BTreeMap<Fingerprint, Conviction>,
     /// The newest published weights of each model.
     pub weights: BTreeMap<Model, Published>,
 }
 
-/// A template and the number of its version, which grows by one with each accepted change.
+/// A template with its version number, which increases by one with each accepted change.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Versioned {
-    /// Counts the template's accepted changes from one.
+    /// The number of accepted changes of the template; the first version is one.
     pub version: u64,
     /// The template.
     pub template: Template,
@@ -49,15 +50,15 @@
 pub struct Stop {
     /// What stops.
     pub target: StopTarget,
-    /// When work in progress may at last be given up, in milliseconds after the stop begins.
+    /// Milliseconds from the start of the stop after which work in progress may be given up.
     pub deadline_ms: u64,
-    /// Why, for people.
+    /// The reason, for display only.
     pub reason: String,
-    /// When it was accepted, for people.
+    /// When it was accepted, for display only.
     pub accepted: Unix,
 }
 
-/// What a planned stop stops.
+/// The target of a planned stop.
 #[derive(Clone, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StopTarget {
@@ -69,12 +70,12 @@
     DataCentre(DataCentre),
 }
 
-/// Why and how long a fingerprint is refused.
+/// Why a fingerprint is refused, and until when.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Conviction {
-    /// How many endpoints it crashed.
+    /// How many endpoints the content crashed.
     pub crashes: u32,
-    /// When it lapses, on the wall clock of the leader that accepted it.
+    /// When the conviction expires, by the wall clock of the leader that accepted it.
     pub until: Unix,
 }
 
@@ -83,9 +84,9 @@
 pub struct Published {
     /// The version.
     pub version: Version,
-    /// Where the weight store has them.
+    /// Where they are in the weight store.
     pub source: String,
-    /// When they were published, for people.
+    /// When they were published, for display only.
     pub accepted: Unix,
 }
 
@@ -98,41 +99,42 @@
     TemplateRemoved(Workspace),
     /// A stop was planned.
     Stop(StopId, Stop),
-    /// A stop was cancelled or is over.
+    /// A stop was cancelled or has ended.
     StopRemoved(StopId),
-    /// A fingerprint was in progress at an endpoint that crashed; this many crashes so far.
+    /// A fingerprint was in progress at an endpoint that crashed. The number counts its crashes so
+    /// far.
     Suspected(Fingerprint, u32),
-    /// A suspected fingerprint ran to its end.
+    /// A suspected fingerprint finished without a crash.
     Cleared(Fingerprint),
     /// A fingerprint was convicted.
     Convicted(Fingerprint, Conviction),
-    /// A fingerprint was pardoned, or its conviction lapsed.
+    /// A fingerprint was pardoned, or its conviction expired.
     Pardoned(Fingerprint),
     /// Weights were published.
     Weights(Model, Published),
 }
 
-/// What a follower that stands at `from` needs to stand at `to`.
+/// An update for a follower of the configuration.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum Delta {
-    /// The changes in between.
+    /// The changes between two positions.
     Changes {
-        /// The position they apply to.
+        /// The position that the follower must be at.
         from: Position,
-        /// The position they lead to.
+        /// The position that the follower is at after applying them.
         to: Position,
         /// The changes, each with its position.
         changes: Vec<(Position, Change)>,
     },
-    /// Everything, because the changes in between are no longer kept.
+    /// The whole configuration, because the changes in between are no longer stored.
     Snapshot(Box<Config>),
 }
 
 impl Config {
-    /// Applies one change, which must lie ahead of the present position.
+    /// Applies a change if its position is after the current one, and returns whether it did.
     ///
-    /// Returns whether it was applied: a change at or behind the present position is a repeat,
-    /// and applying it would take the configuration back.
+    /// A change at or before the current position is a duplicate; applying it would revert newer
+    /// changes.
     pub fn apply(&mut self, at: Position, change: Change) -> bool {
         if at <= self.at {
             return false;
--- a/components/types/src/digest.rs
+++ b/components/types/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of content, for compare-and-set and for byte-for-byte checks.
+//! Digests of content, for compare-and-set and for checks of equality byte by byte.
 
 use std::fmt;
 
@@ -10,14 +10,14 @@
 
 use crate::ids::Fingerprint;
 
-/// The SHA-256 of some content.
+/// The SHA-256 digest of some content.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
-    /// Takes the digest of `content`.
+    /// Computes the digest of `content`.
     pub fn of(content: &[u8]) -> Self {
         Self(Sha256::digest(content).into())
     }
@@ -33,8 +33,8 @@
 }
 
 impl Fingerprint {
-    /// Takes the fingerprint of a request's content, without its identifiers: a caller who sends
-    /// the same content again under a new id gets the same fingerprint.
+    /// Computes the fingerprint of a request's content. Identifiers are not part of the content, so
+    /// the same content sent again under a new id has the same fingerprint.
     pub fn of(content: &[u8]) -> Self {
         Self(xxh3_64(content))
     }
--- a/components/types/src/frame.rs
+++ b/components/types/src/frame.rs
@@ -1,7 +1,8 @@
-//! The frames in which an agent answers an attempt.
+//! The frames of an agent's answer to an attempt.
 //!
-//! A stream of frames is complete only with [`Event::Finished`], whose count of tokens must
-//! equal the sum of those before it. A stream that ends without it failed, whatever it carried.
+//! A stream of frames is complete only if it ends with [`Event::Finished`], whose number of tokens
+//! must equal the total of the preceding frames. A stream that ends without it has failed, whatever
+//! it contained.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -13,56 +14,57 @@
 use crate::outcome::Failure;
 use crate::request::StoredAnswer;
 
-/// One frame of an answer; it names its attempt, so that a crossed or late frame is dropped.
+/// One frame of an answer. It identifies its attempt, so that a late frame, or a frame of another
+/// attempt, can be dropped.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Frame {
-    /// The request that is answered.
+    /// The request that the frame answers.
     pub request: RequestId,
-    /// The attempt that is answered.
+    /// The attempt that the frame belongs to.
     pub attempt: Attempt,
-    /// Counts the attempt's frames from zero; a gap means that the stream is broken.
+    /// The sequence number within the attempt, from zero. A gap means that the stream is broken.
     pub seq: u32,
     /// What happened.
     pub event: Event,
 }
 
-/// What a frame tells.
+/// The content of a frame.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum Event {
-    /// The agent took the attempt. Until this arrives, the attempt may still be refused.
+    /// The agent accepted the attempt. Before this frame, the attempt may still be refused.
     Accepted,
-    /// Nothing new; the attempt still runs. Sent each second in which nothing else is.
+    /// A keep-alive: the attempt is still running. Sent in each second without another frame.
     Alive,
     /// The engine produced tokens.
     Tokens(Tokens),
-    /// A plain service answered in full.
+    /// The complete answer of a plain service.
     Answer(StoredAnswer),
-    /// The attempt ended well.
+    /// The attempt succeeded.
     Finished(Finish),
     /// The attempt failed.
     Failed(Failure),
 }
 
-/// Some tokens of a generation.
+/// A chunk of generated tokens.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Tokens {
     /// Their text.
     pub text: String,
-    /// How many there are.
+    /// The number of tokens.
     pub count: u32,
-    /// The weight version that the engine says produced them; none if it did not say.
+    /// The weight version that produced them, as reported by the engine; `None` if it did not.
     pub version: Option<Version>,
-    /// Their log-probabilities, one a token, if the engine gives them.
+    /// Their log-probabilities, one per token, if the engine provides them.
     pub logprobs: Vec<f32>,
 }
 
 /// The explicit end of an answer.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Finish {
-    /// The tokens that this attempt produced, earlier attempts not counted.
+    /// The number of tokens that this attempt produced, without earlier attempts.
     pub tokens: u32,
-    /// Why generation ended, in the words of the engine (`stop` or `length`).
+    /// Why generation ended, as reported by the engine (`stop` or `length`).
     pub reason: String,
-    /// The endpoint's load just now; spares a message of its own.
+    /// The endpoint's current load, which saves a separate message.
     pub load: Option<LoadReport>,
 }
--- a/components/types/src/ids.rs
+++ b/components/types/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things, each a type of its own so that they cannot be mixed up.
+//! Newtypes for names and numbers, so that different identifiers cannot be confused.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
         pub struct $name(pub String);
 
         impl $name {
-            /// Borrows the name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -43,7 +43,7 @@
         pub struct $name(pub $inner);
 
         impl $name {
-            /// Gives the number that follows this one.
+            /// Returns the next number.
             #[must_use]
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -59,89 +59,91 @@
 }
 
 name! {
-    /// Names a process of the system; unique over the deployment, set in the process's settings.
+    /// The name of a process, which is set in its settings and unique within the deployment.
     Node
 }
 name! {
-    /// Names a customer's area of work, to which a template applies.
+    /// The name of a workspace: the unit of a customer's work that a template applies to.
     Workspace
 }
 name! {
-    /// Names a model engine or a plain service that the system routes to.
+    /// The name of a model engine or plain service that requests are routed to.
     Endpoint
 }
 name! {
-    /// Names a model (or adapter) that samplers serve, or the service that a plain endpoint offers.
+    /// The name of a model (or adapter) that engines serve, or of the service of a plain endpoint.
     Model
 }
 name! {
-    /// Names a data centre.
+    /// The name of a data centre.
     DataCentre
 }
 name! {
-    /// Names a region, which holds several data centres.
+    /// The name of a region, which contains several data centres.
     Region
 }
 name! {
-    /// Names the holder of a token: a caller, a trainer, an operator or a process.
+    /// The name of a token's holder: a caller, a trainer, an operator or a process.
     Principal
 }
 name! {
-    /// Identifies a change that an operator submits, so that a resend gets the first answer.
+    /// The id of an operator's change, so that a resend gets the answer to the first submission.
     ChangeId
 }
 name! {
-    /// Identifies a planned stop.
+    /// The id of a planned stop.
     StopId
 }
 name! {
-    /// Identifies a call that may not be repeated. It reads `<issued, Unix ms>.<anything>`, so
-    /// that a key older than the window of docs/API.md can be refused instead of forgotten.
+    /// The idempotency key of a call that may not run more than once. Its form is `<issued, Unix
+    /// ms>.<anything>`, so that a key older than the window of docs/API.md is refused rather than
+    /// treated as new.
     IdempotencyKey
 }
 
 number! {
-    /// Counts elections of the control processes; it fences orders and leases.
+    /// The number of an election of the control processes, which fences orders and leases.
     Epoch, u64
 }
 number! {
-    /// Counts accepted changes of configuration.
+    /// The number of an accepted change of configuration.
     Revision, u64
 }
 number! {
-    /// Counts the weights that a trainer published for a model; greater is newer.
+    /// The version of a model's weights, as published by a trainer; greater is newer.
     Version, u64
 }
 number! {
-    /// Counts the tries of one request; each frame carries it, so that late frames are recognised.
+    /// The number of an attempt of a request. Each frame carries it, so that late ones are
+    /// detected.
     Attempt, u32
 }
 number! {
-    /// Counts a trainer's steps within its workspace.
+    /// The number of a trainer's step within its workspace.
     Step, u64
 }
 number! {
-    /// Counts the prompts of a step; a group holds the samples of one prompt.
+    /// The number of a group within its step. A group contains the samples of one prompt.
     Group, u32
 }
 number! {
-    /// Counts the samples within their group.
+    /// The number of a sample within its group.
     SampleNo, u32
 }
 number! {
-    /// Counts the batches handed to a trainer.
+    /// The number of a batch delivered to a trainer.
     Cursor, u64
 }
 number! {
-    /// Counts the starts of a process, as Unix milliseconds of the start, so it grows over restarts.
+    /// The start time of a process in Unix milliseconds, so that it increases with each restart.
     Incarnation, u64
 }
 number! {
-    /// Hash of a request's content, by which requests that crash endpoints are recognised.
+    /// The hash of a request's content, which identifies requests that crash endpoints.
     Fingerprint, u64
 }
 
-/// Identifies one request over its whole life; drawn at random by the entry that took it.
+/// The id of a request over all its attempts, generated at random by the entry that received it.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
--- a/components/types/src/keyring.rs
+++ b/components/types/src/keyring.rs
@@ -1,16 +1,17 @@
-//! Who holds which key, by the keys' digests.
+//! Lookup of the holders of API keys and tokens, by digest.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::digest::Digest;
 
-/// Holders of keys. Only digests are kept, so that no dump, log line or error can show a key.
+/// The holders of keys. Only digests are stored, so that no dump, log line or error can expose a
+/// key.
 ///
-/// A key is found by its digest's place in a sorted list. How far a comparison gets says nothing of
-/// how much of a guessed key was right, because the digests of two keys that differ in one letter
-/// have nothing in common; and the steps of the search are as many for an unknown key as for a
-/// known one, however many workspaces there are.
+/// A key is looked up by binary search over the sorted digests. The lookup time does not reveal how
+/// much of a guessed key is right: digests of keys that differ in one character are unrelated, and
+/// the search takes as many steps for an unknown key as for a known one, however many workspaces
+/// there are.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Keyring<T> {
     sorted: Vec<(Digest, T)>,
@@ -23,8 +24,8 @@
 }
 
 impl<T> Keyring<T> {
-    /// Makes a ring of digests and their holders. Of a digest that stands more than once, the first
-    /// holder counts.
+    /// Builds a keyring from digests and their holders. If a digest occurs more than once, its
+    /// first holder is used.
     pub fn new(pairs: impl IntoIterator<Item = (Digest, T)>) -> Self {
         let mut sorted: Vec<(Digest, T)> = pairs.into_iter().collect();
         sorted.sort_by_key(|(digest, _)| *digest);
@@ -32,10 +33,10 @@
         Self { sorted }
     }
 
-    /// Gives the holder of a key.
+    /// Returns the holder of a key.
     pub fn holder(&self, key: &str) -> Option<&T> {
         let digest = Digest::of(key.as_bytes());
-        let place = self.sorted.partition_point(|(known, _)| *known < digest);
-        self.sorted.get(place).filter(|(known, _)| *known == digest).map(|(_, holder)| holder)
+        let index = self.sorted.partition_point(|(known, _)| *known < digest);
+        self.sorted.get(index).filter(|(known, _)| *known == digest).map(|(_, holder)| holder)
     }
 }
--- a/components/types/src/lib.rs
+++ b/components/types/src/lib.rs
@@ -1,7 +1,7 @@
-//! The identifiers, messages and outcomes that all components share.
+//! Identifiers, messages and outcomes that all components share.
 //!
-//! Nothing here does I/O or reads a clock: the types are the contract between the roles, which
-//! docs/ARCHITECTURE.md describes, and every component may depend on them.
+//! These types are the contract between the roles that docs/ARCHITECTURE.md describes, and every
+//! component may depend on them. This crate performs no I/O and reads no clock.
 
 pub mod config;
 pub mod digest;
--- a/components/types/src/member.rs
+++ b/components/types/src/member.rs
@@ -1,4 +1,4 @@
-//! Processes as they announce themselves to each other.
+//! Processes, as they announce themselves to each other.
 
 use std::collections::BTreeMap;
 
@@ -12,67 +12,67 @@
 use crate::ids::Region;
 use crate::position::Position;
 
-/// The roles that a process has.
+/// The roles of a process.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Roles {
-    /// It serves callers and trainers.
+    /// The process serves callers and trainers.
     pub entry: bool,
-    /// It holds a replica of the control log.
+    /// The process has a replica of the control log.
     pub control: bool,
-    /// It stands beside an endpoint.
+    /// The process runs next to an endpoint and serves it.
     pub agent: bool,
 }
 
-/// What a process announces of itself.
+/// The announcement of a process.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Member {
-    /// The process.
+    /// The name of the process.
     pub node: Node,
-    /// Grows with each restart, so that a restarted process is not taken for the old one.
+    /// Increases with each restart, so that a restarted process is not mistaken for the old one.
     pub incarnation: Incarnation,
-    /// Where it answers HTTP.
+    /// The address of its HTTP server.
     pub address: String,
-    /// Where it takes gossip, by UDP.
+    /// The UDP address at which it receives gossip.
     pub gossip: String,
-    /// Where it stands.
+    /// The region in which it runs.
     pub region: Region,
-    /// Where it stands.
+    /// The data centre in which it runs.
     pub data_centre: DataCentre,
-    /// What it does.
+    /// Its roles.
     pub roles: Roles,
-    /// The endpoint beside it, if it is an agent.
+    /// The endpoint that it serves, if it is an agent.
     pub endpoint: Option<EndpointInfo>,
-    /// The configuration that it has in force.
+    /// The position of the configuration that it has in force.
     pub position: Position,
-    /// Counts its announcements within the incarnation; the greatest holds.
+    /// The number of the announcement within the incarnation. The greatest is the valid one.
     pub announced: u64,
 }
 
-/// How the others see a process.
+/// The state of a process as seen by the other processes.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
-    /// It answers.
+    /// It responds to probes.
     #[default]
     Alive,
-    /// It did not answer, directly or through others; it may yet refute this.
+    /// It did not respond to direct or indirect probes, but can still refute the suspicion.
     Suspect,
     /// It did not refute the suspicion in time.
     Dead,
-    /// It said that it leaves.
+    /// It announced that it is leaving.
     Left,
 }
 
 /// A member and its standing.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Known {
-    /// What it announced.
+    /// Its latest announcement.
     pub member: Member,
-    /// How it stands.
+    /// Its state.
     pub standing: Standing,
 }
 
-/// Everyone that this process knows, at one moment.
+/// A snapshot of all members that this process has a record of.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Members {
     /// The members by name.
@@ -80,7 +80,7 @@
 }
 
 impl Members {
-    /// Gives those that stand well enough to be sent work: alive, or suspected but not yet dead.
+    /// Returns the members that may be sent work: those that are alive or suspected, but not dead.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
         self.known.values().filter(|k| k.standing <= Standing::Suspect).map(|k| &k.member)
     }
--- a/components/types/src/order.rs
+++ b/components/types/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders that the leader of the control processes gives to agents.
+//! Orders from the leader of the control processes to agents.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,26 +9,26 @@
 use crate::ids::Node;
 use crate::ids::Version;
 
-/// An order, fenced by the epoch of the leader who gives it.
+/// An order, fenced by the epoch of the leader that issues it.
 ///
-/// The agent refuses an epoch lower than one it has seen. It does so itself because some
-/// engines ignore the number, and a leader that was replaced could otherwise undo newer orders.
+/// The agent refuses an order whose epoch is lower than one that it has seen. It checks this itself
+/// because some engines ignore the epoch, and a replaced leader could otherwise undo newer orders.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Order {
-    /// The epoch of the leader who gives the order.
+    /// The epoch of the leader that issues the order.
     pub epoch: Epoch,
-    /// Counts the orders of the epoch, so that a repeated order is recognised.
+    /// The number of the order within the epoch, so that a repeated order is recognized.
     pub number: u64,
-    /// The incarnation of the agent that it is meant for; every other one refuses it. A restarted
-    /// agent has forgotten which orders of the epoch were overtaken, so a delayed older one that
-    /// reaches it would be carried out.
+    /// The incarnation of the agent that the order is intended for; any other one refuses it. A
+    /// restarted agent has no record of which orders of the epoch were superseded, so it would
+    /// otherwise carry out a delayed older one.
     #[serde(default)]
     pub agent: Incarnation,
     /// What to do.
     pub action: OrderAction,
 }
 
-/// What an order asks for.
+/// The action that an order requests.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum OrderAction {
     /// Load a version of a model's weights.
@@ -37,39 +37,41 @@
         model: Model,
         /// The version.
         version: Version,
-        /// Where to fetch it, best first: addresses of the weight store or of holders.
+        /// Where to fetch it, best source first: addresses of the weight store or of endpoints that
+        /// have the version.
         sources: Vec<String>,
     },
-    /// Change the endpoint's role, in the engine's words.
+    /// Change the endpoint's role. The name of the role is defined by the engine.
     Role(String),
-    /// Take no new work from now on.
+    /// Accept no new work from now on.
     Drain,
-    /// Take new work again.
+    /// Accept new work again.
     Resume,
 }
 
-/// How an order went.
+/// An agent's reply to an order.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum OrderReply {
-    /// The order is carried out; the endpoint itself confirmed it.
+    /// The order was carried out, as confirmed by the endpoint itself.
     Done,
-    /// The order is being carried out; ask again by sending it again.
+    /// The order is being carried out. Send it again to query the result.
     Busy,
-    /// The order was refused because a leader of this newer epoch gave orders.
+    /// The order was refused because a leader of this newer epoch has issued orders.
     Fenced(Epoch),
-    /// The endpoint could not carry it out, and still runs what it ran.
+    /// The endpoint could not carry out the order, and its state is unchanged.
     Failed(String),
 }
 
-/// What a control process answers to the question for the highest epoch that it knows.
+/// The answer of a control process to a query for the highest epoch that it has seen.
 ///
-/// An agent that restarted asks before its first order. It needs answers from a majority of the
-/// voters: its view of the members may still lack some, and a majority of those few it knows
-/// could consist of processes that were cut off.
+/// A restarted agent sends the query before it accepts its first order. It needs answers from a
+/// majority of the voters listed here rather than of the members that it has discovered: its view
+/// may still be incomplete, and a majority of that could consist of processes that are partitioned
+/// from the rest.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct EpochAnswer {
-    /// The highest epoch that the process has voted in or heard of.
+    /// The highest epoch that the process has voted in or received.
     pub epoch: Epoch,
-    /// The voters of the log, as the process knows them.
+    /// The voters of the control log, in the view of the process.
     pub voters: Vec<Node>,
 }
--- a/components/types/src/outcome.rs
+++ b/components/types/src/outcome.rs
@@ -1,28 +1,28 @@
-//! What became of a request, and the stable codes by which callers tell failures apart.
+//! The outcome of a request, and stable codes that identify failures to callers.
 
 use serde::Deserialize;
 use serde::Serialize;
 use thiserror::Error;
 
-/// What became of a request, from the caller's point of view.
+/// The outcome of a request, from the caller's point of view.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The request ran, and its whole answer was given.
+    /// The request ran, and its complete answer was delivered.
     Ran,
-    /// The request did not run and will not; sending it again is safe.
+    /// The request did not run and will not run; a retry is safe.
     NotRun,
-    /// The request may have run; only a repeatable one may be sent again.
+    /// The request may have run; only a repeatable request may be retried.
     Unknown,
 }
 
-/// The stable code of a failure, as docs/API.md lists them.
+/// The stable code of a failure; docs/API.md lists them.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
     /// The request is malformed.
     BadRequest,
-    /// The body or a header exceeds its bound.
+    /// The body or a header exceeds its limit.
     TooLarge,
     /// The token is missing or wrong.
     Unauthenticated,
@@ -30,45 +30,45 @@
     Forbidden,
     /// No such workspace, template, stop, step or route exists.
     NotFound,
-    /// Another change or step came first; the details show it.
+    /// The request conflicts with an earlier change or step, which the details show.
     Conflict,
-    /// The workspace is at its limit; come back after the time given.
+    /// The workspace has reached its limit; retry after the given time.
     LimitReached,
-    /// No answer could come before the deadline.
+    /// No answer is possible before the deadline.
     DeadlineTooClose,
-    /// Too much work waits; come back after the time given.
+    /// Too much work is queued; retry after the given time.
     Overloaded,
-    /// No endpoint that could serve the request is known to work.
+    /// No available endpoint can serve the request.
     NoEndpoint,
-    /// The endpoint is leaving and takes no new work.
+    /// The endpoint is shutting down and accepts no new work.
     Draining,
-    /// The request's content crashed endpoints and is refused.
+    /// The request is refused because its content crashed endpoints.
     Convicted,
     /// The idempotency key is older than the window, or malformed.
     KeyExpired,
-    /// The same key came with different content.
+    /// The idempotency key was already used with different content.
     KeyReused,
-    /// A first request with this key may have run.
+    /// An earlier request with this idempotency key may have run.
     DuplicateUnknown,
-    /// The sample can no longer be fresh enough.
+    /// The sample can no longer meet the freshness bound.
     Stale,
-    /// All processes that held a sample of the batch are gone; acknowledge it to go on.
+    /// All processes that stored a sample of the batch are lost; acknowledge the batch to continue.
     SampleLost,
     /// The endpoint failed while the request ran.
     EndpointFailed,
     /// The deadline passed while the request ran.
     DeadlinePassed,
-    /// The order's epoch is older than one seen before.
+    /// The epoch of the order is older than one that was seen before.
     Fenced,
-    /// The control processes have no leader, or cannot be reached, just now.
+    /// The control processes currently have no leader or cannot be reached.
     NoQuorum,
-    /// This process cannot write its data folder.
+    /// This process cannot write to its data folder.
     StorageFailed,
-    /// A fault of the system itself.
+    /// An internal error.
     Internal,
 }
 
-/// A failure as it travels to a caller, operator or other process.
+/// A failure, as it is sent to a caller, an operator or another process.
 #[derive(Clone, Debug, Eq, Error, PartialEq, Deserialize, Serialize)]
 #[error("{code:?} ({outcome:?}): {detail}")]
 pub struct Failure {
@@ -76,25 +76,25 @@
     pub code: Code,
     /// Whether the request ran.
     pub outcome: Outcome,
-    /// A sentence for people; programs use the code.
+    /// A message for people; programs use the code.
     pub detail: String,
-    /// When to come back, in milliseconds from now, if that may help.
+    /// After how many milliseconds to retry, if a retry may succeed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_ms: Option<u64>,
 }
 
 impl Failure {
-    /// Makes a failure of a request that certainly did not run.
+    /// Returns a failure of a request that certainly did not run.
     pub fn not_run(code: Code, detail: impl Into<String>) -> Self {
         Self { code, outcome: Outcome::NotRun, detail: detail.into(), retry_ms: None }
     }
 
-    /// Makes a failure of a request that may have run.
+    /// Returns a failure of a request that may have run.
     pub fn unknown(code: Code, detail: impl Into<String>) -> Self {
         Self { code, outcome: Outcome::Unknown, detail: detail.into(), retry_ms: None }
     }
 
-    /// Tells the receiver when to come back.
+    /// Sets the time after which the receiver may retry.
     #[must_use]
     pub fn retry_after(self, ms: u64) -> Self {
         Self { retry_ms: Some(ms), ..self }
@@ -102,7 +102,7 @@
 }
 
 impl Code {
-    /// Gives the HTTP status with which the code travels.
+    /// Returns the HTTP status of replies with this code.
     pub fn status(self) -> u16 {
         match self {
             Self::BadRequest | Self::KeyExpired => 400,
--- a/components/types/src/position.rs
+++ b/components/types/src/position.rs
@@ -1,4 +1,4 @@
-//! Where a process stands in the history of accepted configuration.
+//! Positions in the history of accepted configuration.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 use crate::ids::Epoch;
 use crate::ids::Revision;
 
-/// An epoch and a revision, ordered by epoch first; a process never goes to a lower position.
+/// An epoch and a revision, ordered by epoch first. The position of a process never decreases.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
--- a/components/types/src/request.rs
+++ b/components/types/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests as entries hand them to agents.
+//! Requests, as entries send them to agents.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -13,13 +13,13 @@
 use crate::ids::Version;
 use crate::ids::Workspace;
 
-/// How urgent a request is; a lower rank yields to a higher one under load.
+/// The priority class of a request. Under load, lower classes yield to higher ones.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Trainers' samples: yield first, but never starve.
+    /// Trainers' samples: they yield first, but never starve.
     Batch,
     /// Ordinary callers.
     #[default]
@@ -28,7 +28,7 @@
     Urgent,
 }
 
-/// What an attempt asks of its endpoint.
+/// The work of an attempt at its endpoint.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum Task {
     /// Generate tokens.
@@ -37,29 +37,29 @@
     Call(ServiceCall),
 }
 
-/// A generation: a prompt, and the tokens that an earlier attempt already produced.
+/// A generation: a prompt, and the tokens that earlier attempts already produced.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Generation {
-    /// The prompt, as the engine takes it.
+    /// The prompt, in the form that the engine accepts.
     pub prompt: String,
-    /// At most this many tokens in all, those of earlier attempts included.
+    /// The maximum number of tokens in total, including those of earlier attempts.
     pub max_tokens: u32,
-    /// The sampling seed. An attempt is continued elsewhere only with the same seed.
+    /// The sampling seed. A generation is resumed at another endpoint only with the same seed.
     pub seed: u64,
     /// The sampling temperature, in thousandths.
     pub temperature: u32,
-    /// Text produced by earlier attempts, to be continued.
+    /// The text produced by earlier attempts, which this attempt continues.
     pub prefix: String,
     /// The number of tokens in `prefix`.
     pub done: u32,
-    /// Whether log-probabilities are wanted.
+    /// Whether to return log-probabilities.
     pub logprobs: bool,
 }
 
 /// A call of a plain service.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct ServiceCall {
-    /// The path below the service's address.
+    /// The path, relative to the service's address.
     pub path: String,
     /// The body's media type.
     pub media: String,
@@ -72,65 +72,69 @@
 pub struct Work {
     /// The request.
     pub request: RequestId,
-    /// Which try of it this is; an agent runs each (request, attempt) at most once.
+    /// The number of the attempt. An agent runs each (request, attempt) at most once.
     pub attempt: Attempt,
-    /// The incarnation of the agent that is to run it. A restarted agent has forgotten which
-    /// attempts it revoked, so it refuses calls that may not be repeated and name another one.
+    /// The incarnation of the agent that the attempt is intended for. A restarted agent has lost
+    /// the record of the attempts that it revoked, so it refuses calls that may not be repeated if
+    /// they are intended for another incarnation.
     #[serde(default)]
     pub incarnation: Incarnation,
     /// The workspace on whose behalf it runs.
     pub workspace: Workspace,
     /// The model or service.
     pub model: Model,
-    /// How urgent it is.
+    /// The priority class.
     pub class: Class,
-    /// Milliseconds left until the answer is worthless, counted when the frame is sent.
+    /// Milliseconds until the deadline, measured when the attempt is sent.
     pub budget_ms: u64,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// The claim's key, for a request that may not be repeated.
+    /// The idempotency key of the claim, for a request that may not be repeated.
     pub key: Option<IdempotencyKey>,
     /// The oldest weight version that may produce tokens.
     pub floor: Option<Version>,
-    /// Hash of the content.
+    /// The hash of the content.
     pub fingerprint: Fingerprint,
-    /// Whether the content is suspected of crashing endpoints; an agent runs one such at a time.
+    /// Whether the content is suspected of crashing endpoints. An agent runs only one suspect at a
+    /// time.
     pub suspect: bool,
-    /// What to do.
+    /// The work to run.
     pub task: Task,
 }
 
-/// Asks an agent what became of an attempt (`/agent/v1/attempt`); answered by [`AttemptState`].
+/// A query for the state of an attempt at an agent (`/agent/v1/attempt`). The answer is an
+/// [`AttemptState`].
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct AttemptQuestion {
     /// The request.
     pub request: RequestId,
     /// The attempt.
     pub attempt: Attempt,
-    /// The incarnation of the agent to which the attempt was sent. Another incarnation cannot
-    /// know what became of it, and answers [`AttemptState::Unknown`].
+    /// The incarnation of the agent to which the attempt was sent. Another incarnation has no
+    /// record of it and answers [`AttemptState::Unknown`].
     pub incarnation: Incarnation,
-    /// Whether the attempt is to be stopped if it waits or runs. A call that may not be
-    /// repeated is not stopped once it runs, because its effect could no longer be known.
+    /// Whether to stop the attempt if it is queued or running. A running call that may not be
+    /// repeated is not stopped, because it would then be unknown whether it took effect.
     pub cancel: bool,
 }
 
-/// What an agent knows of an attempt, asked for over a new connection when one went silent.
+/// The state of an attempt at an agent, which is queried over a new connection when the connection
+/// of the attempt becomes silent.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum AttemptState {
-    /// The agent had not seen the attempt, and will refuse it from now on: "not run" is true.
+    /// The agent had not received the attempt and will refuse it from now on, so it did not run.
     Revoked,
-    /// The attempt runs; it was told to stop if the question said so.
+    /// The attempt is running. It was signalled to stop if the query requested that.
     Running,
-    /// The attempt ran to its end; the stored answer follows.
+    /// The attempt completed with this answer, which the agent stored.
     Done(StoredAnswer),
-    /// The attempt was refused before it reached the endpoint: "not run" is true.
+    /// The attempt was refused before it reached the endpoint, so it did not run.
     Refused,
-    /// The attempt reached the endpoint, and how it ended is not known.
+    /// The attempt reached the endpoint, but its result is unknown.
     Unknown,
 }
 
-/// The answer of a plain service, stored for resends.
+/// The answer of a plain service, stored so that resends of the request get the same answer.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct StoredAnswer {
     /// The HTTP status.
--- a/components/types/src/sample.rs
+++ b/components/types/src/sample.rs
@@ -1,4 +1,4 @@
-//! Samples as trainers receive them.
+//! Samples, as trainers receive them.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,24 +8,24 @@
 use crate::ids::Step;
 use crate::ids::Version;
 
-/// A run of tokens that one weight version produced.
+/// A contiguous range of tokens that one weight version produced.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Span {
-    /// The first token of the run, counted from zero.
+    /// The index of the first token.
     pub from: u32,
-    /// The token after the last.
+    /// The index after the last token.
     pub to: u32,
     /// The version, as the engine reported it with the tokens.
     pub version: Version,
 }
 
 impl Span {
-    /// Gives the oldest version that produced any of the tokens.
+    /// Returns the oldest version that produced any of the tokens.
     pub fn oldest(spans: &[Self]) -> Option<Version> {
         spans.iter().map(|span| span.version).min()
     }
 
-    /// Tells whether the spans name a version for each of `tokens`, without gap or overlap.
+    /// Returns whether the spans cover `tokens` tokens in order, without gaps or overlaps.
     pub fn cover(spans: &[Self], tokens: u32) -> bool {
         let mut next = 0;
         for span in spans {
@@ -51,25 +51,25 @@
     pub text: String,
     /// How many tokens the text has.
     pub tokens: u32,
-    /// Which versions produced which tokens; the spans cover all tokens without gap or overlap.
+    /// Which version produced which tokens. The spans cover all tokens without gaps or overlaps.
     pub spans: Vec<Span>,
-    /// Log-probabilities, one a token, or none if an engine did not give them.
+    /// Log-probabilities, one per token; empty if an engine did not provide them.
     pub logprobs: Vec<f32>,
-    /// How many attempts it took.
+    /// The number of attempts that were needed.
     pub attempts: u32,
-    /// The scoring service's score, where the template asks for one.
+    /// The score from the scoring service, if the template specifies one.
     pub score: Option<f64>,
-    /// Milliseconds from the opening of the step to the end of the sample.
+    /// Milliseconds from the start of the step to the completion of the sample.
     pub age_ms: u64,
 }
 
 impl Sample {
-    /// Gives the oldest version that produced any of the tokens.
+    /// Returns the oldest version that produced any of the tokens.
     pub fn oldest(&self) -> Option<Version> {
         Span::oldest(&self.spans)
     }
 
-    /// Tells whether the spans cover all tokens without gap or overlap.
+    /// Returns whether the spans cover all tokens without gaps or overlaps.
     pub fn is_attributed(&self) -> bool {
         Span::cover(&self.spans, self.tokens)
     }
--- a/components/types/src/template.rs
+++ b/components/types/src/template.rs
@@ -1,4 +1,4 @@
-//! Templates: what operators say of a workspace.
+//! Templates: the operators' configuration of workspaces.
 
 use std::collections::BTreeMap;
 
@@ -11,33 +11,33 @@
 use crate::ids::Workspace;
 use crate::request::Class;
 
-/// The template of one workspace. Fields that are left out take their defaults.
+/// The template of a workspace. Omitted fields have their default values.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Template {
-    /// The workspace that the template describes.
+    /// The workspace that the template applies to.
     pub workspace: Workspace,
-    /// A name for people.
+    /// A display name.
     pub title: String,
-    /// Models and services that the workspace may use.
+    /// The models and services that the workspace may use.
     pub models: Vec<Model>,
-    /// Callers that may send requests to the workspace, each with its class.
+    /// The callers that may send requests to the workspace, each with its priority class.
     pub callers: BTreeMap<Principal, Class>,
-    /// Trainers that may open steps.
+    /// The trainers that may open steps.
     pub trainers: Vec<Principal>,
-    /// How fresh samples must be.
+    /// The freshness bound on samples.
     pub freshness: Freshness,
-    /// Bounds on what the workspace may use at once.
+    /// The limits on the workspace's concurrent use.
     pub limits: Limits,
-    /// How often requests are tried again.
+    /// The limits on retries.
     pub retries: Retries,
-    /// Whether requests may run more than once unless they say otherwise.
+    /// Whether requests may run more than once, unless they specify otherwise.
     pub repeatable: bool,
-    /// The service that scores samples before they are delivered, if any.
+    /// The service that scores samples before delivery, if any.
     pub scorer: Option<Model>,
-    /// The workspace's share of batch capacity against other trainers.
+    /// The weight of the workspace when batch capacity is shared between trainers.
     pub weight: u32,
-    /// The deadline of a request that names none, in milliseconds.
+    /// The default deadline of a request, in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -61,21 +61,22 @@
 }
 
 impl Template {
-    /// Takes the digest of the template's content, for compare-and-set.
+    /// Computes the digest of the template's content, for compare-and-set.
     ///
     /// # Panics
     ///
-    /// Never: a template has no content that JSON cannot carry.
+    /// Never: every template can be represented as JSON.
     pub fn digest(&self) -> Digest {
-        Digest::of(&serde_json::to_vec(self).expect("a template is plain data"))
+        Digest::of(&serde_json::to_vec(self).expect("a template can be serialized"))
     }
 }
 
-/// How fresh samples must be.
+/// The freshness bound on samples.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Freshness {
-    /// A sample's oldest version may lag the trainer's newest by at most this many versions.
+    /// The maximum number of versions by which a sample's oldest version may lag the trainer's
+    /// newest.
     pub versions: u64,
 }
 
@@ -85,15 +86,15 @@
     }
 }
 
-/// Bounds on what a workspace may use at once, over all entries together.
+/// The limits on a workspace's concurrent use, over all entries in total.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: u32,
     /// Requests in progress.
     pub running: u32,
-    /// Tokens that one request may ask for.
+    /// The maximum number of tokens of one request.
     pub tokens: u32,
 }
 
@@ -103,13 +104,13 @@
     }
 }
 
-/// How often requests are tried again.
+/// The limits on retries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Retries {
-    /// Attempts of one request at most, the first included.
+    /// The maximum number of attempts of a request, including the first.
     pub attempts: u32,
-    /// Retries as a share of successes, in percent.
+    /// The maximum number of retries, as a percentage of successful requests.
     pub percent: u32,
 }
 
--- a/components/types/src/time.rs
+++ b/components/types/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the decisions see it: numbers that are handed in, never read from a clock.
+//! Timestamps. The decision logic receives them as arguments and never reads a clock.
 
 use std::ops::Add;
 
@@ -7,7 +7,7 @@
 
 /// A reading of a process's monotonic clock, in milliseconds since an arbitrary start.
 ///
-/// Readings of two processes cannot be compared; durations travel between processes instead.
+/// Readings of different processes are not comparable; processes exchange durations instead.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
@@ -15,7 +15,7 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// Gives the milliseconds from `earlier` to this reading, zero if it lies ahead.
+    /// Returns the milliseconds from `earlier` to this reading, or zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
@@ -29,9 +29,9 @@
     }
 }
 
-/// A reading of the wall clock in milliseconds since 1970, for people and for idempotency keys.
+/// A reading of the wall clock in milliseconds since 1970, for display and for idempotency keys.
 ///
-/// No lease, timeout or order of events depends on it, because VMs' wall clocks disagree.
+/// No lease, timeout or order of events depends on it, because the wall clocks of VMs differ.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize,
 )]
