--- a/src/bin/chicoryfordd.rs
+++ b/src/bin/chicoryfordd.rs
@@ -1,4 +1,4 @@
-//! The daemon: reads its settings and runs the roles that they name.
+//! The daemon, which runs the roles that its settings specify.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -8,8 +8,8 @@
 use chicoryford_settings::Settings;
 use clap::Parser;
 
-/// The usual exit code for a usage error; settings that cannot be used count as one.
-const USAGE: u8 = 2;
+/// The conventional exit code of a usage error, which is also used for invalid settings.
+const USAGE_EXIT_CODE: u8 = 2;
 
 /// Runs the roles of a chicoryford process: entry, control, agent, in any combination.
 ///
@@ -34,39 +34,39 @@
     match (&args.node, &args.settings) {
         (Some(path), _) => run_node(path, args.check),
         (None, Some(path)) => run_roles(path, args.check),
-        (None, None) => ExitCode::from(USAGE),
+        (None, None) => ExitCode::from(USAGE_EXIT_CODE),
     }
 }
 
 fn run_roles(path: &Path, check: bool) -> ExitCode {
     let settings = match load(path, check) {
         Ok(settings) => settings,
-        Err(error) => return unusable(&error),
+        Err(error) => return report_invalid(&error),
     };
     if check {
-        return usable(path);
+        return report_valid(path);
     }
-    finish(chicoryford_daemon::run(settings))
+    exit_code(chicoryford_daemon::run(settings))
 }
 
 fn run_node(path: &Path, check: bool) -> ExitCode {
     let settings = match load_node(path, check) {
         Ok(settings) => settings,
-        Err(error) => return unusable(&error),
+        Err(error) => return report_invalid(&error),
     };
     if check {
-        return usable(path);
+        return report_valid(path);
     }
     let logs = match logs::start_stdout(&settings.log) {
         Ok(logs) => logs,
-        Err(error) => return unusable(&eyre::Report::from(error)),
+        Err(error) => return report_invalid(&eyre::Report::from(error)),
     };
-    let code = finish(chicoryford_node::run(path, settings));
+    let code = exit_code(chicoryford_node::run(path, settings));
     drop(logs);
     code
 }
 
-fn finish<E>(result: Result<(), E>) -> ExitCode
+fn exit_code<E>(result: Result<(), E>) -> ExitCode
 where
     E: std::error::Error + Send + Sync + 'static,
 {
@@ -81,12 +81,12 @@
     }
 }
 
-fn unusable(error: &eyre::Report) -> ExitCode {
+fn report_invalid(error: &eyre::Report) -> ExitCode {
     eprintln!("{error:#}");
-    ExitCode::from(USAGE)
+    ExitCode::from(USAGE_EXIT_CODE)
 }
 
-fn usable(path: &Path) -> ExitCode {
+fn report_valid(path: &Path) -> ExitCode {
     println!("{}: the settings can be used", path.display());
     ExitCode::SUCCESS
 }
--- a/src/change.rs
+++ b/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes: their ids, and the wait until they are in force everywhere.
+//! Submission of changes: change ids, and the wait until a change is in force everywhere.
 
 use std::io::IsTerminal;
 use std::time::Duration;
@@ -19,34 +19,34 @@
 use crate::output::Format;
 use crate::output::View;
 
-const LOOK: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What became of a change.
+/// The result of a change.
 #[derive(Clone, Debug, Serialize)]
 pub struct Done {
     /// What changed.
     pub what: String,
     /// The change's id.
     pub change: String,
-    /// Where it was accepted.
+    /// The position at which it was accepted.
     pub position: Option<Position>,
-    /// The template's version, if it has one.
+    /// The new version of the template; zero if the change is not one of a template.
     pub version: u64,
-    /// Whether it is in force everywhere; none if nobody waited for that.
+    /// Whether it is in force everywhere; `None` if the command did not wait for that.
     pub everywhere: Option<bool>,
 }
 
-/// Gives the id of the change: the one to send again, or a new one.
+/// Returns the id of the change: the one given for a resend, or a new random one.
 pub fn id(args: &ChangeArgs) -> ChangeId {
-    let drawn = || format!("{}.{:016x}", chicoryford_kernel::unix().0, rand::random::<u64>());
-    ChangeId(args.change.clone().unwrap_or_else(drawn))
+    let generate = || format!("{}.{:016x}", chicoryford_kernel::unix().0, rand::random::<u64>());
+    ChangeId(args.change.clone().unwrap_or_else(generate))
 }
 
-/// Submits a change, and waits until it is in force everywhere if that is asked for.
+/// Submits a change and, if requested, waits until it is in force everywhere.
 ///
 /// # Errors
 ///
-/// [`CmdError`] if it was refused, no answer came, or the wait was too short.
+/// Returns [`CmdError`] if the change was refused, no answer was received, or the wait timed out.
 pub async fn submit(
     to: &Connection,
     what: String,
@@ -68,11 +68,11 @@
     Ok(done)
 }
 
-/// Submits one change and prints what became of it.
+/// Submits a change and prints its result.
 ///
 /// # Errors
 ///
-/// As [`submit`].
+/// Returns the errors of [`submit`].
 pub async fn run(
     to: &Connection,
     what: String,
@@ -86,47 +86,48 @@
     Ok(())
 }
 
-/// Waits until every process that is present has `at` in force.
+/// Waits until all processes that are present have `at` in force.
 ///
 /// # Errors
 ///
-/// [`CmdError::TimedOut`] if some process is behind after `seconds`.
+/// Returns [`CmdError::TimedOut`] if a process is still behind after `seconds`.
 pub async fn wait(to: &Connection, at: Position, seconds: u64) -> Result<(), CmdError> {
-    let begun = Instant::now();
-    let bar = bar(&format!("until {at} is in force everywhere"));
+    let started = Instant::now();
+    let bar = progress_bar(&format!("until {at} is in force everywhere"));
     loop {
-        // The change is accepted already: a process that does not answer now must not end the
-        // wait with an error that reads as if the change had not run.
-        let told = to.in_force(at).await;
-        if told.as_ref().is_ok_and(|told| told.everywhere) {
+        // The change is already accepted. If a process does not answer now, the wait must not end
+        // with an error that suggests that the change did not run.
+        let status = to.in_force(at).await;
+        if status.as_ref().is_ok_and(|status| status.everywhere) {
             bar.finish_and_clear();
             return Ok(());
         }
-        if let Ok(told) = &told {
-            bar.set_length(told.processes as u64);
-            bar.set_position(told.processes.saturating_sub(told.behind) as u64);
+        if let Ok(status) = &status {
+            bar.set_length(status.processes as u64);
+            bar.set_position(status.processes.saturating_sub(status.behind) as u64);
         }
-        if begun.elapsed() >= Duration::from_secs(seconds) {
+        if started.elapsed() >= Duration::from_secs(seconds) {
             bar.finish_and_clear();
-            let behind = told.map_or_else(Behind::Unknown, Behind::Known);
+            let behind = status.map_or_else(Behind::Unknown, Behind::Known);
             return Err(CmdError::TimedOut { seconds, behind: Box::new(behind) });
         }
-        actix_rt::time::sleep(LOOK).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Makes a bar that shows only on a terminal, so that logs of scripts stay clean.
-pub fn bar(message: &str) -> ProgressBar {
+/// Creates a progress bar. It is hidden unless stderr is a terminal, to keep the logs of scripts
+/// clean.
+pub fn progress_bar(message: &str) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
     let style = ProgressStyle::with_template("{spinner} {msg} {pos}/{len} {elapsed}");
     let bar = ProgressBar::new(0);
     bar.set_message(message.to_owned());
-    bar.with_style(style.expect("the template is well formed"))
+    bar.with_style(style.expect("the template is valid"))
 }
 
-/// Prints changes.
+/// Prints the results of changes.
 pub fn print(done: &[Done], format: Format) {
     let row = |done: &Done| {
         let position = done.position.map_or("-".to_owned(), |at| at.to_string());
@@ -134,6 +135,6 @@
         let version = if done.version == 0 { "-".to_owned() } else { done.version.to_string() };
         vec![done.what.clone(), version, position, everywhere, done.change.clone()]
     };
-    let head = ["what", "version", "position", "everywhere", "change"];
-    View::new(&done, &head, done.iter().map(row).collect()).print(format);
+    let header = ["what", "version", "position", "everywhere", "change"];
+    View::new(&done, &header, done.iter().map(row).collect()).print(format);
 }
--- a/src/cmd/base.rs
+++ b/src/cmd/base.rs
@@ -1,4 +1,4 @@
-//! The base of a change: the version and content from which an operator's file was made.
+//! The base of a change: the version and content that an operator's file was derived from.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,25 +11,25 @@
 use crate::connect::Connection;
 use crate::error::CmdError;
 
-/// The comment by which a file tells the version that it was made from.
+/// The prefix of the comment in which a file names its base version.
 pub const BASE_MARK: &str = "# base ";
 
-/// The base as a file or the command line names it.
+/// The base, as named in a file or on the command line.
 ///
-/// A file names the content as well. Deployments that were founded anew count their versions from
-/// one again: by the number alone a file from before could replace a content that its author
-/// never saw.
+/// A file also names the digest of the content. A deployment that was set up again restarts its
+/// version numbers at one, so with the number alone an older file could replace content that its
+/// author has never seen.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Mark {
-    /// The version; zero for none.
+    /// The version; zero if there is none.
     pub version: u64,
-    /// The digest of its content as it is printed, if it is named.
+    /// The digest of its content in printed form, if given.
     pub digest: Option<String>,
 }
 
-/// A comment does not name a base.
+/// A base could not be parsed.
 #[derive(Debug, thiserror::Error)]
-#[error("a base is a version, and the digest of its content")]
+#[error("a base consists of a version and the digest of its content")]
 pub struct MarkError;
 
 impl FromStr for Mark {
@@ -50,31 +50,31 @@
 }
 
 impl Mark {
-    /// Names the version in force.
+    /// Returns the mark of the version in force.
     pub fn of(current: Option<&Versioned>) -> Self {
         let digest = current.map(|held| held.template.digest().to_string());
         Self { version: current.map_or(0, |held| held.version), digest }
     }
 
-    fn names(&self, held: &Versioned) -> bool {
+    fn matches(&self, held: &Versioned) -> bool {
         let content = held.template.digest().to_string();
-        held.version == self.version && self.digest.as_ref().is_none_or(|named| *named == content)
+        held.version == self.version && self.digest.as_ref().is_none_or(|digest| *digest == content)
     }
 
-    /// Finds what the mark names: the version in force, or one of those kept, so that a conflict
-    /// shows just what was changed after it. A base that is found nowhere is sent without its
-    /// content, and is refused as a conflict.
+    /// Finds the version that the mark refers to: the one in force or an earlier one that is still
+    /// stored, so that a conflict shows only the changes since then. A base that is not found is
+    /// sent without the digest of its content and is refused as a conflict.
     ///
     /// # Errors
     ///
-    /// [`CmdError`] if no process answers.
+    /// Returns [`CmdError`] if no process answers.
     pub async fn find(
         &self,
         to: &Connection,
         workspace: &Workspace,
         current: Option<&Versioned>,
     ) -> Result<Base, CmdError> {
-        if let Some(held) = current.filter(|held| self.names(held)) {
+        if let Some(held) = current.filter(|held| self.matches(held)) {
             return Ok(in_force(Some(held)));
         }
         let kept = match versions(to, workspace.as_str()).await {
@@ -82,13 +82,14 @@
             Err(CmdError::Missing { .. } | CmdError::Refused(_)) => Vec::new(),
             Err(error) => return Err(error),
         };
-        let named = kept.iter().map(|(_, _, held)| held).find(|held| self.names(held));
+        let found = kept.iter().map(|(_, _, held)| held).find(|held| self.matches(held));
         let unknown = Base { version: self.version, ..Base::default() };
-        Ok(named.map_or(unknown, |held| in_force(Some(held))))
+        Ok(found.map_or(unknown, |held| in_force(Some(held))))
     }
 }
 
-/// Gives a version as the base of a change; none if the workspace has no template.
+/// Returns the base of a change for the version in force, or the default if the workspace has no
+/// template.
 pub fn in_force(current: Option<&Versioned>) -> Base {
     current.map_or(Base::default(), |held| Base {
         version: held.version,
--- a/src/cmd/completions.rs
+++ b/src/cmd/completions.rs
@@ -6,11 +6,11 @@
 use crate::cli::Cli;
 use crate::error::CmdError;
 
-/// Prints the completion script of a shell.
+/// Prints the completion script for a shell.
 ///
 /// # Errors
 ///
-/// Never; the type is that of all commands.
+/// Never; the return type is the same for all commands.
 pub fn run(shell: Shell) -> Result<(), CmdError> {
     let mut command = Cli::command();
     clap_complete::generate(shell, &mut command, "chicoryford", &mut std::io::stdout());
--- a/src/cmd/control.rs
+++ b/src/cmd/control.rs
@@ -11,11 +11,11 @@
 use crate::output::Format;
 use crate::output::yaml;
 
-/// Shows or changes the control processes.
+/// Prints or changes the state of the control processes.
 ///
 /// # Errors
 ///
-/// [`CmdError`] if the change was refused or no process answers.
+/// Returns [`CmdError`] if the change was refused or no process answers.
 pub async fn run(
     to: &Connection,
     command: &ControlCommand,
@@ -24,7 +24,7 @@
     let name = |text: &String| Node::from(text.as_str());
     let action = match command {
         ControlCommand::Status => {
-            show(&to.get(paths::CONTROL_STATUS).await?, format);
+            print(&to.get(paths::CONTROL_STATUS).await?, format);
             return Ok(());
         }
         ControlCommand::Add { node, replica } => {
@@ -37,11 +37,11 @@
         }
         ControlCommand::HandOver { node } => Action::HandOver(node.as_ref().map(name)),
     };
-    show(&to.post(paths::CONTROL_STATUS, &action).await?, format);
+    print(&to.post(paths::CONTROL_STATUS, &action).await?, format);
     Ok(())
 }
 
-fn show(status: &Value, format: Format) {
+fn print(status: &Value, format: Format) {
     match format {
         Format::Json => println!("{status:#}"),
         Format::Table | Format::Yaml => print!("{}", yaml(status)),
--- a/src/cmd/dump.rs
+++ b/src/cmd/dump.rs
@@ -9,15 +9,15 @@
 use crate::output::Format;
 use crate::output::yaml;
 
-/// Prints the state dump of a process, found by its name or its address.
+/// Prints the state dump of the process with this name or address.
 ///
 /// # Errors
 ///
-/// [`CmdError`] if no process has that name or it does not answer.
+/// Returns [`CmdError`] if no process has this name, or if it does not answer.
 pub async fn run(to: &Connection, process: &str, format: Format) -> Result<(), CmdError> {
     let address = match process.parse::<SocketAddr>() {
         Ok(_) => process.to_owned(),
-        Err(_) => find(to, process).await?,
+        Err(_) => find_address(to, process).await?,
     };
     let dump = to.dump(&address).await?;
     match format {
@@ -27,7 +27,7 @@
     Ok(())
 }
 
-async fn find(to: &Connection, process: &str) -> Result<String, CmdError> {
+async fn find_address(to: &Connection, process: &str) -> Result<String, CmdError> {
     let members = to.members().await?;
     let known = members.known.get(&Node::from(process));
     let missing = || CmdError::Missing { kind: "process", name: process.to_owned() };
--- a/src/cmd/endpoints.rs
+++ b/src/cmd/endpoints.rs
@@ -9,20 +9,20 @@
 use crate::output::Format;
 use crate::output::View;
 
-const HEAD: [&str; 8] =
+const HEADER: [&str; 8] =
     ["endpoint", "kind", "models", "slots", "state", "data centre", "agent", "standing"];
 
-/// Lists the endpoints that announced themselves.
+/// Prints the endpoints that announced themselves.
 ///
 /// # Errors
 ///
-/// [`CmdError`] if no process answers.
+/// Returns [`CmdError`] if no process answers.
 pub async fn run(to: &Connection, format: Format) -> Result<(), CmdError> {
     let members = to.members().await?;
     let with_endpoint = members.known.values().filter(|k| k.member.endpoint.is_some());
     let known: Vec<&Known> = with_endpoint.collect();
     let rows = known.iter().filter_map(|k| row(k)).collect();
-    View::new(&known, &HEAD, rows).print(format);
+    View::new(&known, &HEADER, rows).print(format);
     Ok(())
 }
 
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one file each.
+//! The subcommands, with one module each.
 
 mod base;
 mod completions;
@@ -17,11 +17,11 @@
 use crate::connect::Connection;
 use crate::error::CmdError;
 
-/// Carries out a command line.
+/// Runs the command of a command line.
 ///
 /// # Errors
 ///
-/// [`CmdError`], which knows its exit code.
+/// Returns [`CmdError`], which determines the exit code.
 pub async fn run(cli: &Cli) -> Result<(), CmdError> {
     let connect = || Connection::new(&cli.reach);
     match &cli.command {
--- a/src/cmd/pardon.rs
+++ b/src/cmd/pardon.rs
@@ -9,11 +9,11 @@
 use crate::error::CmdError;
 use crate::output::Format;
 
-/// Lets a convicted content run again.
+/// Removes the conviction of a content, so that it may run again.
 ///
 /// # Errors
 ///
-/// [`CmdError`] if the fingerprint is no number or the change was not accepted.
+/// Returns [`CmdError`] if the fingerprint is not a number or the change was not accepted.
 pub async fn run(
     to: &Connection,
     text: &str,
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -13,9 +13,9 @@
 use crate::output::Format;
 use crate::output::View;
 
-const HEAD: [&str; 5] = ["process", "roles", "data centre", "address", "standing"];
+const HEADER: [&str; 5] = ["process", "roles", "data centre", "address", "standing"];
 
-/// What `status` shows.
+/// The output of `status`.
 #[derive(Debug, Serialize)]
 struct Status {
     position: Position,
@@ -23,19 +23,19 @@
     members: Members,
 }
 
-/// Shows the processes, the leader and the configuration in force.
+/// Prints the processes, the leader and the position of the configuration in force.
 ///
 /// # Errors
 ///
-/// [`CmdError`] if no process answers.
+/// Returns [`CmdError`] if no process answers.
 pub async fn run(to: &Connection, format: Format) -> Result<(), CmdError> {
     let position = to.config().await?.at;
     let members = to.members().await?;
-    // Status must show what it can when the control processes are down.
+    // The rest of the status is still printed when the control processes are unavailable.
     let control = to.get(paths::CONTROL_STATUS).await.unwrap_or(Value::Null);
     let status = Status { position, control, members };
     let rows = status.members.known.values().map(row).collect();
-    View::new(&status, &HEAD, rows).print(format);
+    View::new(&status, &HEADER, rows).print(format);
     if format == Format::Table {
         let leader = status.control["leader"].as_str().unwrap_or("none known");
         println!("\nposition {position}, leader {leader}");
--- a/src/cmd/stop.rs
+++ b/src/cmd/stop.rs
@@ -19,27 +19,27 @@
 use crate::output::Format;
 use crate::output::View;
 
-/// A stop and what it waits for.
+/// A stop and the processes that it waits for.
 #[derive(Debug, Serialize)]
-struct Standing {
+struct StopStatus {
     id: StopId,
     stop: Stop,
-    waits: Vec<Waits>,
+    waits: Vec<PendingProcess>,
 }
 
-/// A process that a stop names, and what it still has in progress.
+/// A process that a stop affects, and the amount of work that it still has in progress.
 #[derive(Debug, Serialize)]
-struct Waits {
+struct PendingProcess {
     node: Node,
     draining: bool,
     in_progress: Option<u64>,
 }
 
-/// Plans, cancels or shows stops.
+/// Plans, cancels or prints stops.
 ///
 /// # Errors
 ///
-/// [`CmdError`] if the change was not accepted or no process answers.
+/// Returns [`CmdError`] if the change was not accepted or no process answers.
 pub async fn run(to: &Connection, command: &StopCommand, format: Format) -> Result<(), CmdError> {
     match command {
         StopCommand::Status { id } => status(to, id.as_deref(), format).await,
@@ -50,11 +50,11 @@
         }
         StopCommand::Plan { target, deadline, reason, id, change: args } => {
             let change = change::id(args);
-            // Without a name of its own a stop is named by its change, so that a resend that
-            // gives the change's id names the same stop.
+            // Without a given name, the stop is named after its change, so that a resend with the
+            // same change id refers to the same stop.
             let id = StopId(id.clone().unwrap_or_else(|| format!("stop-{change}")));
             let stop = Stop {
-                target: aim(target),
+                target: stop_target(target),
                 deadline_ms: deadline * 1_000,
                 reason: reason.clone(),
                 accepted: chicoryford_types::Unix(0),
@@ -68,7 +68,7 @@
     }
 }
 
-fn aim(target: &Target) -> StopTarget {
+fn stop_target(target: &Target) -> StopTarget {
     let name = |text: &Option<String>| text.clone().unwrap_or_default();
     if target.endpoint.is_some() {
         StopTarget::Endpoint(Endpoint(name(&target.endpoint)))
@@ -81,29 +81,33 @@
 
 async fn status(to: &Connection, id: Option<&str>, format: Format) -> Result<(), CmdError> {
     let (config, members) = (to.config().await?, to.members().await?);
-    let mut standings = Vec::new();
+    let mut statuses = Vec::new();
     for (stop_id, stop) in config.stops {
         if id.is_none_or(|id| stop_id.as_str() == id) {
-            let waits = waits(to, &members, &stop.target).await;
-            standings.push(Standing { id: stop_id, stop, waits });
+            let waits = pending_processes(to, &members, &stop.target).await;
+            statuses.push(StopStatus { id: stop_id, stop, waits });
         }
     }
-    if let (Some(id), true) = (id, standings.is_empty()) {
+    if let (Some(id), true) = (id, statuses.is_empty()) {
         return Err(CmdError::Missing { kind: "stop", name: id.to_owned() });
     }
-    let rows = standings.iter().map(row).collect();
-    View::new(&standings, &["stop", "target", "reason", "waits for"], rows).print(format);
+    let rows = statuses.iter().map(row).collect();
+    View::new(&statuses, &["stop", "target", "reason", "waits for"], rows).print(format);
     Ok(())
 }
 
-/// Asks each process that the stop names what it has in progress.
-async fn waits(to: &Connection, members: &Members, target: &StopTarget) -> Vec<Waits> {
+/// Queries each process that the stop affects for the amount of its work in progress.
+async fn pending_processes(
+    to: &Connection,
+    members: &Members,
+    target: &StopTarget,
+) -> Vec<PendingProcess> {
     let mut waits = Vec::new();
     for member in members.present().filter(|member| is_target(member, target)) {
         let draining = member.endpoint.as_ref().is_some_and(|info| info.draining);
         let dump = to.dump(&member.address).await.ok();
         let in_progress = dump.and_then(|dump| dump["process"]["in_progress"].as_u64());
-        waits.push(Waits { node: member.node.clone(), draining, in_progress });
+        waits.push(PendingProcess { node: member.node.clone(), draining, in_progress });
     }
     waits
 }
@@ -116,20 +120,20 @@
     }
 }
 
-fn row(standing: &Standing) -> Vec<String> {
-    let waits = standing.waits.iter().map(|waits| match waits.in_progress {
+fn row(status: &StopStatus) -> Vec<String> {
+    let waits = status.waits.iter().map(|waits| match waits.in_progress {
         Some(count) => format!("{}: {count} in progress", waits.node),
         None => format!("{}: no answer", waits.node),
     });
     vec![
-        standing.id.to_string(),
-        target(&standing.stop.target),
-        standing.stop.reason.clone(),
+        status.id.to_string(),
+        describe_target(&status.stop.target),
+        status.stop.reason.clone(),
         waits.collect::<Vec<_>>().join(", "),
     ]
 }
 
-fn target(target: &StopTarget) -> String {
+fn describe_target(target: &StopTarget) -> String {
     match target {
         StopTarget::Endpoint(name) => format!("endpoint {name}"),
         StopTarget::Node(node) => format!("process {node}"),
--- a/src/cmd/template.rs
+++ b/src/cmd/template.rs
@@ -28,12 +28,12 @@
 use crate::output::View;
 use crate::output::yaml;
 
-/// Checks, applies, reads or compares templates. `connect` is called only by what needs it, so
-/// that a file can be checked without a system.
+/// Checks, applies, reads or compares templates. `connect` is called only by the commands that need
+/// a connection, so that a file can be checked without a running system.
 ///
 /// # Errors
 ///
-/// [`CmdError`], which knows its exit code.
+/// Returns [`CmdError`], which determines the exit code.
 pub async fn run(
     command: &TemplateCommand,
     connect: impl Fn() -> Result<Connection, CmdError>,
@@ -66,15 +66,15 @@
     Ok(())
 }
 
-/// Applies the templates of a file, in their order; stops at the first that is refused.
+/// Applies the templates of a file in order, and stops at the first one that is refused.
 ///
 /// # Errors
 ///
-/// [`CmdError`], which knows its exit code.
+/// Returns [`CmdError`], which determines the exit code.
 pub async fn apply(to: &Connection, args: &ApplyArgs, format: Format) -> Result<(), CmdError> {
     let templates = load_templates(&args.file)?;
     let text = std::fs::read_to_string(&args.file).unwrap_or_default();
-    let marks = marks(&text, templates.len());
+    let marks = parse_marks(&text, templates.len());
     let config = to.config().await?;
     let mut all = Vec::new();
     for (index, template) in templates.into_iter().enumerate() {
@@ -82,7 +82,7 @@
         match apply_one(to, &config, template, args, marked, index).await {
             Ok(done) => all.push(done),
             Err(error) => {
-                // What was accepted before stays accepted, and must be known.
+                // The earlier templates remain accepted, so their results must be printed.
                 if !all.is_empty() {
                     change::print(&all, format);
                 }
@@ -104,43 +104,43 @@
 ) -> Result<Done, CmdError> {
     let what = format!("template {}", template.workspace);
     let current = config.templates.get(&template.workspace);
-    let same = current.is_some_and(|held| held.template == template);
-    if same && args.change.change.is_none() {
+    let is_unchanged = current.is_some_and(|held| held.template == template);
+    if is_unchanged && args.change.change.is_none() {
         let version = current.map_or(0, |held| held.version);
         let what = format!("{what} (unchanged)");
         let position = Some(config.at);
         return Ok(Done { what, change: "-".to_owned(), position, version, everywhere: None });
     }
-    let given = args.base.map(|version| Mark { version, digest: None });
-    let base = match given.or(marked) {
+    let base_arg = args.base.map(|version| Mark { version, digest: None });
+    let base = match base_arg.or(marked) {
         Some(mark) => mark.find(to, &template.workspace, current).await?,
         None => base::in_force(current),
     };
     let mut id = change::id(&args.change);
     if index > 0 && args.change.change.is_some() {
-        // A file with several templates is several changes; each needs an id of its own, and
-        // the same one on a resend.
+        // Each template of a file is a separate change. Each needs its own id, which must be the
+        // same on a resend.
         id.0 = format!("{}-{index}", id.0);
     }
     let command = Command::Apply { change: id.clone(), template: Box::new(template), base };
     change::submit(to, what, &id, &command, &args.change).await
 }
 
-/// Reads the comments by which the documents of a file tell their base versions.
-fn marks(text: &str, count: usize) -> Vec<Option<Mark>> {
+/// Parses the comments that name the base versions of the documents of a file.
+fn parse_marks(text: &str, count: usize) -> Vec<Option<Mark>> {
     let mut marks = Vec::new();
     let mut mark = None;
-    let mut filled = false;
+    let mut has_content = false;
     for line in text.lines() {
         if line.trim_end() == "---" {
-            if filled {
+            if has_content {
                 marks.push(mark.take());
             }
-            filled = false;
+            has_content = false;
         } else if let Some(rest) = line.strip_prefix(BASE_MARK) {
             mark = rest.parse().ok();
         } else if !line.trim().is_empty() && !line.starts_with('#') {
-            filled = true;
+            has_content = true;
         }
     }
     marks.push(mark);
@@ -157,18 +157,18 @@
 ) -> Result<(), CmdError> {
     let missing = || CmdError::Missing { kind: "template", name: workspace.to_owned() };
     let current = config.templates.get(&Workspace::from(workspace));
-    let wanted = match version {
+    let selected = match version {
         Some(version) if current.is_none_or(|held| held.version != version) => {
             let kept = versions(to, workspace).await?.into_iter();
             kept.map(|(_, _, held)| held).find(|held| held.version == version)
         }
         _ => current.cloned(),
     };
-    let wanted = wanted.ok_or_else(missing)?;
+    let selected = selected.ok_or_else(missing)?;
     match format {
-        Format::Json => View::new(&wanted, &[], Vec::new()).print(format),
+        Format::Json => View::new(&selected, &[], Vec::new()).print(format),
         Format::Table | Format::Yaml => {
-            print!("{BASE_MARK}{}\n{}", Mark::of(current), yaml(&wanted.template));
+            print!("{BASE_MARK}{}\n{}", Mark::of(current), yaml(&selected.template));
         }
     }
     Ok(())
@@ -187,8 +187,8 @@
         ]
     };
     let rows = config.templates.values().map(row).collect();
-    let head = ["workspace", "version", "models", "freshness", "title"];
-    View::new(&config.templates, &head, rows).print(format);
+    let header = ["workspace", "version", "models", "freshness", "title"];
+    View::new(&config.templates, &header, rows).print(format);
     Ok(())
 }
 
@@ -212,11 +212,11 @@
     if differs && exit_code { Err(CmdError::Differs) } else { Ok(()) }
 }
 
-/// A version that is kept: where and when it was accepted, and its content.
-pub type Kept = (Position, Unix, Versioned);
+/// A stored version: the position and time at which it was accepted, and its content.
+pub type StoredVersion = (Position, Unix, Versioned);
 
-/// Asks for the versions of a template that are kept.
-pub async fn versions(to: &Connection, workspace: &str) -> Result<Vec<Kept>, CmdError> {
+/// Reads the stored versions of a template.
+pub async fn versions(to: &Connection, workspace: &str) -> Result<Vec<StoredVersion>, CmdError> {
     let command = Command::History { workspace: Workspace::from(workspace) };
     match to.command(&command, None).await? {
         Reply::History(versions) => Ok(versions),
@@ -226,7 +226,7 @@
 
 async fn history(to: &Connection, workspace: &str, format: Format) -> Result<(), CmdError> {
     let versions = versions(to, workspace).await?;
-    let row = |(at, accepted, held): &Kept| {
+    let row = |(at, accepted, held): &StoredVersion| {
         vec![
             held.version.to_string(),
             at.to_string(),
@@ -235,8 +235,8 @@
         ]
     };
     let rows = versions.iter().map(row).collect();
-    let head = ["version", "position", "accepted (unix ms)", "digest"];
-    View::new(&versions, &head, rows).print(format);
+    let header = ["version", "position", "accepted (unix ms)", "digest"];
+    View::new(&versions, &header, rows).print(format);
     Ok(())
 }
 
@@ -264,7 +264,7 @@
     change::run(to, what, args, format, |change| Command::Remove { change, workspace, base }).await
 }
 
-/// Gives a workspace with what is in force for it.
+/// Returns a workspace with the base of a change to its template.
 async fn in_force(to: &Connection, workspace: &str) -> Result<(Workspace, Base), CmdError> {
     let config = to.config().await?;
     let workspace = Workspace::from(workspace);
--- a/src/cmd/weights.rs
+++ b/src/cmd/weights.rs
@@ -17,22 +17,22 @@
 use crate::output::Format;
 use crate::output::View;
 
-/// What runs which version of a model.
+/// The versions of a model that endpoints run.
 #[derive(Debug, Serialize)]
-struct Spread {
+struct Distribution {
     model: Model,
     newest: Version,
     source: String,
     endpoints: BTreeMap<Version, u32>,
-    /// What the leader of the control processes says; none if it was not reached.
+    /// The progress reported by the leader of the control processes; `None` if it was not reached.
     progress: Option<Progress>,
 }
 
-/// Publishes weights or shows how far they have come.
+/// Publishes weights, or prints the progress of their distribution.
 ///
 /// # Errors
 ///
-/// [`CmdError`] if the change was not accepted or no process answers.
+/// Returns [`CmdError`] if the change was not accepted or no process answers.
 pub async fn run(
     to: &Connection,
     command: &WeightsCommand,
@@ -56,14 +56,14 @@
 async fn status(to: &Connection, format: Format) -> Result<(), CmdError> {
     let (config, members) = (to.config().await?, to.members().await?);
     let progress = progress(to, &members).await;
-    let spreads = spreads(&config, &members, &progress);
-    let rows = spreads.iter().map(row).collect();
-    let head = ["model", "newest", "source", "endpoints", "loading", "took", "troubles"];
-    View::new(&spreads, &head, rows).print(format);
+    let distributions = distributions(&config, &members, &progress);
+    let rows = distributions.iter().map(row).collect();
+    let header = ["model", "newest", "source", "endpoints", "loading", "took", "troubles"];
+    View::new(&distributions, &header, rows).print(format);
     Ok(())
 }
 
-/// Asks the control processes until the one that leads has answered; only it knows the progress.
+/// Queries the control processes in turn until the leader answers; only it tracks the progress.
 async fn progress(to: &Connection, members: &Members) -> Vec<Progress> {
     for member in members.present().filter(|member| member.roles.control) {
         let Ok(status) = to.control(&member.address).await else { continue };
@@ -74,18 +74,19 @@
     Vec::new()
 }
 
-fn spreads(config: &Config, members: &Members, progress: &[Progress]) -> Vec<Spread> {
-    let spread = |(model, published): (&Model, &chicoryford_types::config::Published)| Spread {
-        model: model.clone(),
-        newest: published.version,
-        source: published.source.clone(),
-        endpoints: count(members, model),
-        progress: progress.iter().find(|known| known.model == *model).cloned(),
-    };
-    config.weights.iter().map(spread).collect()
+fn distributions(config: &Config, members: &Members, progress: &[Progress]) -> Vec<Distribution> {
+    let distribution =
+        |(model, published): (&Model, &chicoryford_types::config::Published)| Distribution {
+            model: model.clone(),
+            newest: published.version,
+            source: published.source.clone(),
+            endpoints: count_endpoints(members, model),
+            progress: progress.iter().find(|known| known.model == *model).cloned(),
+        };
+    config.weights.iter().map(distribution).collect()
 }
 
-fn count(members: &Members, model: &Model) -> BTreeMap<Version, u32> {
+fn count_endpoints(members: &Members, model: &Model) -> BTreeMap<Version, u32> {
     let mut counts = BTreeMap::new();
     let endpoints = members.present().filter_map(|member| member.endpoint.as_ref());
     for version in endpoints.filter_map(|info| info.models.get(model)) {
@@ -94,20 +95,20 @@
     counts
 }
 
-fn row(spread: &Spread) -> Vec<String> {
-    let counts = spread.endpoints.iter().map(|(version, n)| format!("{n} at {version}"));
+fn row(distribution: &Distribution) -> Vec<String> {
+    let counts = distribution.endpoints.iter().map(|(version, n)| format!("{n} at {version}"));
     vec![
-        spread.model.to_string(),
-        spread.newest.to_string(),
-        spread.source.clone(),
+        distribution.model.to_string(),
+        distribution.newest.to_string(),
+        distribution.source.clone(),
         counts.collect::<Vec<_>>().join(", "),
-        spread.progress.as_ref().map(|known| known.loading.to_string()).unwrap_or_default(),
-        spread.progress.as_ref().map(took).unwrap_or_default(),
-        spread.progress.as_ref().map(troubles).unwrap_or_default(),
+        distribution.progress.as_ref().map(|known| known.loading.to_string()).unwrap_or_default(),
+        distribution.progress.as_ref().map(duration).unwrap_or_default(),
+        distribution.progress.as_ref().map(troubles).unwrap_or_default(),
     ]
 }
 
-fn took(progress: &Progress) -> String {
+fn duration(progress: &Progress) -> String {
     progress.took_ms.map_or("in progress".to_owned(), |ms| format!("{:.1} s", ms as f64 / 1_000.0))
 }
 
--- a/src/connect.rs
+++ b/src/connect.rs
@@ -1,5 +1,5 @@
-//! Reaches the system: tries each address in turn, and sends the same change again when its
-//! answer was lost.
+//! The connection to the system. It tries each address in turn, and resends a change whose answer
+//! was lost.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -29,24 +29,24 @@
 
 use crate::cli::Reach;
 use crate::error::CmdError;
-use crate::error::may_come_back;
+use crate::error::is_transient;
 
-/// The time of one try: long enough for an election among the control processes.
-const TRY: Duration = Duration::from_secs(5);
-const PAUSE: Duration = Duration::from_millis(200);
-const ANSWER_BOUND: usize = 64 << 20;
+/// The timeout of one request: long enough for an election among the control processes.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
 /// The client's own settings.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClientSettings {
-    /// Entry or control processes, tried in turn.
+    /// The addresses of entry or control processes, which are tried in turn.
     pub addresses: Vec<String>,
     /// The file whose first line is the operator's token.
     pub token: Option<PathBuf>,
-    /// The PEM file of roots to trust; HTTPS is spoken if it is given.
+    /// The PEM file of trusted root certificates; if present, HTTPS is used.
     pub roots: Option<PathBuf>,
-    /// How long to go on trying, in milliseconds.
+    /// How long to retry, in milliseconds.
     pub timeout_ms: u64,
 }
 
@@ -57,12 +57,12 @@
 }
 
 impl ClientSettings {
-    /// Puts flags, environment and file together.
+    /// Combines the flags, the environment and the settings file.
     ///
     /// # Errors
     ///
-    /// [`CmdError`] if the file cannot be used or no address is known.
-    pub fn gather(reach: &Reach) -> Result<Self, CmdError> {
+    /// Returns [`CmdError`] if the file is invalid or no address is given.
+    pub fn resolve(reach: &Reach) -> Result<Self, CmdError> {
         let mut settings = match &reach.client {
             Some(file) => Self::read(file)?,
             None => Self::default(),
@@ -92,187 +92,192 @@
     }
 }
 
-/// The way to the system.
+/// A connection to the system.
 pub struct Connection {
     client: Client,
     addresses: Vec<String>,
     timeout: Duration,
 }
 
-/// What one try gave.
-enum Tried {
+/// The result of one request.
+enum RequestResult {
     Answer(u16, Vec<u8>),
     NotSent(String),
     Lost(String),
 }
 
 impl Connection {
-    /// Prepares to reach the system; nothing is sent yet.
+    /// Prepares a connection to the system. Nothing is sent yet.
     ///
     /// # Errors
     ///
-    /// [`CmdError`] if the token or the roots cannot be used.
+    /// Returns [`CmdError`] if the token or the root certificates are invalid.
     pub fn new(reach: &Reach) -> Result<Self, CmdError> {
-        let settings = ClientSettings::gather(reach)?;
+        let settings = ClientSettings::resolve(reach)?;
         let token = settings.token.as_deref().map(read_token).transpose()?;
         let roots = settings.roots.as_deref().map(tls::client).transpose()?;
         let timeout = Duration::from_millis(settings.timeout_ms);
         Ok(Self { client: Client::new(token, roots), addresses: settings.addresses, timeout })
     }
 
-    /// Asks for something that changes nothing.
+    /// Sends a read-only request.
     ///
     /// # Errors
     ///
-    /// [`CmdError`] if no address gave an answer of that shape in time.
+    /// Returns [`CmdError`] if no address gave an answer of the expected format in time.
     pub async fn get<T: DeserializeOwned>(&self, path: &'static str) -> Result<T, CmdError> {
-        let body = self.ask(path, None, None).await?;
-        shape(path, &body)
+        let body = self.request(path, None, None).await?;
+        parse(path, &body)
     }
 
-    /// Asks for the configuration that the answering process has in force.
+    /// Reads the configuration that the answering process has in force.
     ///
     /// # Errors
     ///
-    /// As [`Connection::get`].
+    /// Returns the errors of [`Connection::get`].
     pub async fn config(&self) -> Result<Config, CmdError> {
         self.get(paths::CONFIG).await
     }
 
-    /// Asks the control processes for the configuration that holds every change accepted before.
+    /// Reads from the control processes the configuration with every change accepted so far.
     ///
     /// # Errors
     ///
-    /// As [`Connection::get`]; above all if no majority of them confirms who leads.
+    /// Returns the errors of [`Connection::get`], in particular if no majority of the control
+    /// processes confirms the leader.
     pub async fn current(&self) -> Result<Config, CmdError> {
         self.get(paths::CURRENT).await
     }
 
-    /// Asks for the members that the answering process knows.
+    /// Reads the members that the answering process has a record of.
     ///
     /// # Errors
     ///
-    /// As [`Connection::get`].
+    /// Returns the errors of [`Connection::get`].
     pub async fn members(&self) -> Result<Members, CmdError> {
         self.get(paths::MEMBERS).await
     }
 
-    /// Submits a command. It is sent again after a lost answer: its change id makes that safe.
+    /// Submits a command. It is resent if the answer was lost, which the change id makes safe.
     ///
     /// # Errors
     ///
-    /// [`CmdError`] if it was refused or no answer came.
+    /// Returns [`CmdError`] if it was refused or no answer was received.
     pub async fn command(
         &self,
         command: &Command,
         change: Option<&str>,
     ) -> Result<Reply, CmdError> {
-        let body = serde_json::to_vec(command).expect("commands are plain data");
-        let answer = self.ask(paths::OPERATE, Some(body), change).await?;
-        match shape(paths::OPERATE, &answer)? {
+        let body = serde_json::to_vec(command).expect("commands can be serialized");
+        let answer = self.request(paths::OPERATE, Some(body), change).await?;
+        match parse(paths::OPERATE, &answer)? {
             Reply::Refused(refusal) => Err(CmdError::Refused(Box::new(refusal))),
             Reply::Failed(failure) => Err(CmdError::Failure(failure)),
             reply => Ok(reply),
         }
     }
 
-    /// Orders something of the control processes.
+    /// Sends an action to the control processes.
     ///
     /// # Errors
     ///
-    /// [`CmdError`] if it was refused or no answer came.
+    /// Returns [`CmdError`] if it was refused or no answer was received.
     pub async fn post<Q: Serialize>(
         &self,
         path: &'static str,
-        question: &Q,
+        action: &Q,
     ) -> Result<Value, CmdError> {
-        let body = serde_json::to_vec(question).expect("orders are plain data");
-        let answer = self.ask(path, Some(body), None).await?;
-        shape(path, &answer)
+        let body = serde_json::to_vec(action).expect("actions can be serialized");
+        let answer = self.request(path, Some(body), None).await?;
+        parse(path, &answer)
     }
 
-    /// Asks how the control process at `address` stands.
+    /// Reads the status of the control process at `address`.
     ///
     /// # Errors
     ///
-    /// As [`Connection::get`].
+    /// Returns the errors of [`Connection::get`].
     pub async fn control(&self, address: &str) -> Result<Status, CmdError> {
-        self.only(address).get(paths::CONTROL_STATUS).await
+        self.to_one(address).get(paths::CONTROL_STATUS).await
     }
 
-    /// Reads the dump of the process at `address`.
+    /// Reads the state dump of the process at `address`.
     ///
     /// # Errors
     ///
-    /// As [`Connection::get`].
+    /// Returns the errors of [`Connection::get`].
     pub async fn dump(&self, address: &str) -> Result<Value, CmdError> {
-        self.only(address).get(paths::DUMP).await
+        self.to_one(address).get(paths::DUMP).await
     }
 
-    /// Asks whether configuration up to `at` is in force everywhere. The process that answers
-    /// asks all control processes, so that one answer covers everybody.
+    /// Queries whether the configuration up to `at` is in force everywhere. The answering process
+    /// queries all control processes, so that one answer covers all processes.
     ///
     /// # Errors
     ///
-    /// As [`Connection::get`].
+    /// Returns the errors of [`Connection::get`].
     pub async fn in_force(&self, at: Position) -> Result<InForce, CmdError> {
-        let body = self.ask(&format!("{}?at={at}", paths::IN_FORCE), None, None).await?;
-        shape(paths::IN_FORCE, &body)
+        let body = self.request(&format!("{}?at={at}", paths::IN_FORCE), None, None).await?;
+        parse(paths::IN_FORCE, &body)
     }
 
-    /// The way to one process, which is tried once: the caller has others, or asks again.
-    fn only(&self, address: &str) -> Self {
+    /// Returns a connection to a single process, without retries: the callers have other processes
+    /// to query, or retry themselves.
+    fn to_one(&self, address: &str) -> Self {
         let addresses = vec![address.to_owned()];
         Self { client: self.client.clone(), addresses, timeout: Duration::ZERO }
     }
 
-    /// Goes through the addresses until one answers, or the time is over.
-    async fn ask(
+    /// Tries the addresses in turn until one answers or the timeout expires.
+    async fn request(
         &self,
         path: &str,
         body: Option<Vec<u8>>,
         change: Option<&str>,
     ) -> Result<Vec<u8>, CmdError> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut lost = None;
         loop {
             let mut last = CmdError::NoAddress;
             for address in &self.addresses {
-                match self.once(address, path, body.clone()).await {
-                    Tried::Answer(status, answer) if status < 400 => return Ok(answer),
-                    Tried::Answer(status, answer) => match self.refused(path, status, &answer) {
-                        Ok(()) => return Ok(answer),
-                        Err(CmdError::Failure(failure)) if may_come_back(&failure) => {
-                            last = CmdError::Failure(failure);
+                match self.send_once(address, path, body.clone()).await {
+                    RequestResult::Answer(status, answer) if status < 400 => return Ok(answer),
+                    RequestResult::Answer(status, answer) => {
+                        match self.check_error_answer(path, status, &answer) {
+                            Ok(()) => return Ok(answer),
+                            Err(CmdError::Failure(failure)) if is_transient(&failure) => {
+                                last = CmdError::Failure(failure);
+                            }
+                            Err(CmdError::Failure(failure)) if is_unknown(&failure) => {
+                                lost = Some(failure.to_string());
+                            }
+                            // A refusal of the resend says nothing about the request whose answer was
+                            // lost.
+                            Err(CmdError::Failure(failure)) if lost.is_some() => {
+                                lost = Some(failure.to_string());
+                            }
+                            Err(error) => return Err(error),
                         }
-                        Err(CmdError::Failure(failure)) if is_unknown(&failure) => {
-                            lost = Some(failure.to_string());
-                        }
-                        // A refusal of the resend says nothing of the try whose answer was lost.
-                        Err(CmdError::Failure(failure)) if lost.is_some() => {
-                            lost = Some(failure.to_string());
-                        }
-                        Err(error) => return Err(error),
-                    },
-                    Tried::NotSent(detail) => last = CmdError::Unreachable(detail),
-                    Tried::Lost(detail) => lost = Some(detail),
+                    }
+                    RequestResult::NotSent(detail) => last = CmdError::Unreachable(detail),
+                    RequestResult::Lost(detail) => lost = Some(detail),
                 }
             }
-            if begun.elapsed() >= self.timeout {
+            if started.elapsed() >= self.timeout {
                 let change = change.map(str::to_owned);
                 return Err(lost.map_or(last, |detail| CmdError::Lost { detail, change }));
             }
-            actix_rt::time::sleep(PAUSE).await;
+            actix_rt::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    async fn once(&self, address: &str, path: &str, body: Option<Vec<u8>>) -> Tried {
+    async fn send_once(&self, address: &str, path: &str, body: Option<Vec<u8>>) -> RequestResult {
         let url = self.client.url(address, path);
         let request = match &body {
             Some(_) => self.client.post(&url).content_type(JSON),
             None => self.client.get(&url),
         };
-        let request = request.timeout(TRY);
+        let request = request.timeout(REQUEST_TIMEOUT);
         let sent = match body {
             Some(body) => request.send_body(body).await,
             None => request.send().await,
@@ -281,22 +286,24 @@
             Ok(response) => response,
             Err(error) => {
                 return match send_error(&url, &error) {
-                    error @ CallError::NotSent { .. } => Tried::NotSent(error.to_string()),
-                    error => Tried::Lost(error.to_string()),
+                    error @ CallError::NotSent { .. } => RequestResult::NotSent(error.to_string()),
+                    error => RequestResult::Lost(error.to_string()),
                 };
             }
         };
         let status = response.status().as_u16();
-        match actix_rt::time::timeout(TRY, response.body().limit(ANSWER_BOUND)).await {
-            Ok(Ok(answer)) => Tried::Answer(status, answer.to_vec()),
-            Ok(Err(error)) => Tried::Lost(format!("{url}: {error}")),
-            Err(_) => Tried::Lost(format!("{url}: timeout")),
+        match actix_rt::time::timeout(REQUEST_TIMEOUT, response.body().limit(MAX_ANSWER_BYTES))
+            .await
+        {
+            Ok(Ok(answer)) => RequestResult::Answer(status, answer.to_vec()),
+            Ok(Err(error)) => RequestResult::Lost(format!("{url}: {error}")),
+            Err(_) => RequestResult::Lost(format!("{url}: timeout")),
         }
     }
 
-    /// Reads an answer with an error status: a reply of its own shape passes, since a refused
-    /// command is answered in full; anything else is a failure.
-    fn refused(&self, path: &str, status: u16, answer: &[u8]) -> Result<(), CmdError> {
+    /// Checks an answer with an error status. A refused command is answered with a complete
+    /// [`Reply`], which is accepted here; any other answer is returned as an error.
+    fn check_error_answer(&self, path: &str, status: u16, answer: &[u8]) -> Result<(), CmdError> {
         if path == paths::OPERATE && serde_json::from_slice::<Reply>(answer).is_ok() {
             return Ok(());
         }
@@ -311,6 +318,6 @@
     failure.outcome == Outcome::Unknown
 }
 
-fn shape<T: DeserializeOwned>(path: &'static str, body: &[u8]) -> Result<T, CmdError> {
+fn parse<T: DeserializeOwned>(path: &'static str, body: &[u8]) -> Result<T, CmdError> {
     serde_json::from_slice(body).map_err(|e| CmdError::Shape { path, detail: e.to_string() })
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,4 +1,4 @@
-//! How a command of the client ends, and with which exit code.
+//! Errors of the client's commands, with their exit codes.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,13 +12,13 @@
 use chicoryford_wire::tls::TlsError;
 use thiserror::Error;
 
-/// A command did not end well.
+/// A command failed.
 #[derive(Debug, Error)]
 pub enum CmdError {
-    /// A file of templates or settings cannot be used.
+    /// A file of templates or settings is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The client's own settings cannot be used.
+    /// The client's own settings are invalid.
     #[error("{}: {source}", .file.display())]
     Client {
         /// The file.
@@ -29,28 +29,28 @@
     /// The client's own settings cannot be read.
     #[error("{}: cannot be read", .0.display())]
     ReadClient(PathBuf, #[source] std::io::Error),
-    /// A log cannot be read.
+    /// A log file cannot be read.
     #[error("{}: cannot be read", .0.display())]
     ReadLog(PathBuf, #[source] std::io::Error),
     /// No address was given.
     #[error("no address: give --address, CHICORYFORD_ADDRESS or a client settings file")]
     NoAddress,
-    /// The token file cannot be used.
+    /// The token file is invalid.
     #[error(transparent)]
     Token(#[from] KeyError),
-    /// The roots cannot be used.
+    /// The root certificates are invalid.
     #[error(transparent)]
     Tls(#[from] TlsError),
-    /// A fingerprint is no number.
-    #[error("{0:?} is no fingerprint: give it decimal, or with 0x in hexadecimal")]
+    /// A fingerprint is not a number.
+    #[error("{0:?} is not a fingerprint: use a decimal number, or a hexadecimal one with 0x")]
     Fingerprint(String),
-    /// No address took a connection.
+    /// No address accepted a connection.
     #[error("no process could be reached: {0}")]
     Unreachable(String),
-    /// The request was sent, but no answer came.
-    #[error("the answer was lost: {detail}{}", resend(.change.as_deref()))]
+    /// The request was sent, but no answer was received.
+    #[error("the answer was lost: {detail}{}", resend_hint(.change.as_deref()))]
     Lost {
-        /// What the library said.
+        /// The error message of the HTTP library.
         detail: String,
         /// The id with which to send the change again.
         change: Option<String>,
@@ -59,75 +59,77 @@
     #[error(transparent)]
     Failure(#[from] Failure),
     /// The change was refused.
-    #[error("{}", refusal(.0))]
+    #[error("{}", describe_refusal(.0))]
     Refused(Box<Refusal>),
-    /// The answer has another shape than this client knows.
-    #[error("{path} answered in a shape that this client does not know: {detail}")]
+    /// The answer has an unexpected format.
+    #[error("{path} answered in an unexpected format: {detail}")]
     Shape {
-        /// What was asked.
+        /// The path of the request.
         path: &'static str,
         /// What is wrong.
         detail: String,
     },
-    /// Nothing has that name.
+    /// No object has this name.
     #[error("no {kind} is named {name:?}")]
     Missing {
-        /// What was looked for.
+        /// The kind of object.
         kind: &'static str,
         /// The name.
         name: String,
     },
-    /// The wait was too short.
-    #[error("not everywhere within {seconds} s; {}", lag(.behind))]
+    /// The change was not in force everywhere within the time to wait.
+    #[error("not everywhere within {seconds} s; {}", describe_lag(.behind))]
     TimedOut {
         /// How long the client waited.
         seconds: u64,
-        /// What the last look showed.
+        /// The processes that were behind at the last poll.
         behind: Box<Behind>,
     },
-    /// The difference that `--exit-code` asks about.
+    /// There are differences, and `--exit-code` was given.
     #[error("there are differences")]
     Differs,
 }
 
-/// Who was behind when the wait for a change ended.
+/// The processes that were behind when the wait for a change ended.
 #[derive(Debug)]
 pub enum Behind {
-    /// What the control processes told.
+    /// The answer of the control processes.
     Known(InForce),
-    /// Nobody could be asked.
+    /// No process could be queried.
     Unknown(CmdError),
 }
 
-/// Names those behind. Of many, the answer names just some: their count is what tells an operator
-/// a slow process from a region that is cut off.
-fn lag(behind: &Behind) -> String {
-    let told = match behind {
-        Behind::Known(told) => told,
-        Behind::Unknown(error) => return format!("nobody could be asked: {error}"),
+/// Describes the processes that are behind. The answer names only some of many; their number lets
+/// an operator distinguish a slow process from a partitioned region.
+fn describe_lag(behind: &Behind) -> String {
+    let status = match behind {
+        Behind::Known(status) => status,
+        Behind::Unknown(error) => return format!("no process could be queried: {error}"),
     };
-    let names: Vec<&str> = told.lagging.iter().map(|node| node.as_str()).collect();
-    let unnamed = told.behind.saturating_sub(names.len());
+    let names: Vec<&str> = status.lagging.iter().map(|node| node.as_str()).collect();
+    let unnamed = status.behind.saturating_sub(names.len());
     let more = if unnamed > 0 { format!(" and {unnamed} more") } else { String::new() };
-    let (count, all) = (told.behind, told.processes);
+    let (count, all) = (status.behind, status.processes);
     format!("{count} of {all} processes are behind: {}{more}", names.join(", "))
 }
 
-fn resend(change: Option<&str>) -> String {
+fn resend_hint(change: Option<&str>) -> String {
     change.map(|id| format!("; send it again with --change {id}")).unwrap_or_default()
 }
 
-fn refusal(refusal: &Refusal) -> String {
+fn describe_refusal(refusal: &Refusal) -> String {
     match refusal {
         Refusal::Conflict { current, diff } => {
             let version = current.as_ref().map_or(0, |c| c.version);
             format!("conflict: version {version} is in force; it differs from your base:\n{diff}")
         }
-        Refusal::Missing => "refused: nothing has that name or version".to_owned(),
-        Refusal::IdReused => "refused: the change id was used for another change".to_owned(),
-        Refusal::IdExpired => "refused: the change id is too old to tell a resend".to_owned(),
-        Refusal::NotNewer(newest) => format!("refused: version {newest} is published already"),
-        Refusal::Full => "refused: too many of these are kept already".to_owned(),
+        Refusal::Missing => "refused: no object has this name or version".to_owned(),
+        Refusal::IdReused => {
+            "refused: the change id was already used for another change".to_owned()
+        }
+        Refusal::IdExpired => "refused: the change id is too old to detect a resend".to_owned(),
+        Refusal::NotNewer(newest) => format!("refused: version {newest} is already published"),
+        Refusal::Full => "refused: the maximum number of these is already stored".to_owned(),
         other => format!("refused: {other:?}"),
     }
 }
@@ -143,7 +145,7 @@
 }
 
 impl CmdError {
-    /// Gives the exit code, as `--help` lists them.
+    /// Returns the exit code; `--help` lists them.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             Self::Settings(_)
@@ -159,7 +161,7 @@
                 _ => exit::FAILED,
             },
             Self::Unreachable(_) => exit::NOT_RUN,
-            Self::Failure(failure) if may_come_back(failure) => exit::NOT_RUN,
+            Self::Failure(failure) if is_transient(failure) => exit::NOT_RUN,
             Self::Failure(failure) if failure.outcome == Outcome::Unknown => exit::UNKNOWN,
             Self::Lost { .. } => exit::UNKNOWN,
             Self::TimedOut { .. } => exit::TIMED_OUT,
@@ -170,7 +172,8 @@
     }
 }
 
-/// Tells whether a failure is of the moment, so that another process or time may do better.
-pub fn may_come_back(failure: &Failure) -> bool {
+/// Returns whether a failure is transient, so that a retry, possibly at another process, may
+/// succeed.
+pub fn is_transient(failure: &Failure) -> bool {
     failure.outcome == Outcome::NotRun && failure.code.status() == 503
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' client; `--help` says what it can do.
+//! The operators' command-line client. `--help` lists its commands.
 
 mod change;
 mod cli;
