--- a/components/wire/src/call.rs
+++ b/components/wire/src/call.rs
@@ -1,4 +1,4 @@
-//! A request as a route's handler gets it.
+//! Requests, as the handlers of routes receive them.
 
 use std::net::SocketAddr;
 
@@ -11,10 +11,10 @@
 
 use crate::keys::Identity;
 
-/// A request, whole.
+/// A complete request.
 #[derive(Debug)]
 pub struct Call {
-    /// Who sent it; none only on routes that are open to all.
+    /// The authenticated sender; `None` only on routes that require no token.
     pub identity: Option<Identity>,
     /// The HTTP method.
     pub method: Method,
@@ -26,31 +26,31 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// Where it came from.
+    /// The address of the sender.
     pub peer: Option<SocketAddr>,
 }
 
 impl Call {
-    /// Gives a header as text.
+    /// Returns the value of a header, if it is text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// A failure with [`Code::BadRequest`] that says where the JSON is wrong.
+    /// Returns a failure with [`Code::BadRequest`] that describes the position of the error.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Failure> {
         serde_json::from_slice(&self.body)
             .map_err(|error| Failure::not_run(Code::BadRequest, format!("malformed JSON: {error}")))
     }
 
-    /// Reads the body as MessagePack.
+    /// Parses the body as MessagePack.
     ///
     /// # Errors
     ///
-    /// A failure with [`Code::BadRequest`].
+    /// Returns a failure with [`Code::BadRequest`].
     pub fn msgpack<T: DeserializeOwned>(&self) -> Result<T, Failure> {
         rmp_serde::from_slice(&self.body).map_err(|error| {
             Failure::not_run(Code::BadRequest, format!("malformed MessagePack: {error}"))
--- a/components/wire/src/client.rs
+++ b/components/wire/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client with which processes call each other and endpoints.
+//! The HTTP client that processes use to call each other and endpoints.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,28 +21,28 @@
 
 use crate::reply::MSGPACK;
 
-/// Bound on an answer that is read whole.
-const ANSWER_BOUND: usize = 64 << 20;
-const CONNECT: Duration = Duration::from_secs(2);
-const KEPT: Duration = Duration::from_secs(30);
+/// The maximum size of an answer that is buffered.
+const MAX_ANSWER_BYTES: usize = 64 << 20;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+const KEEP_ALIVE: Duration = Duration::from_secs(30);
 
-/// A call did not give an answer, or gave a failure.
+/// A call failed, or its answer is a failure.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum CallError {
-    /// No connection came about, so no byte of the call left this process.
+    /// No connection was established, so no byte of the call was sent.
     #[error("{url}: no connection: {detail}")]
     NotSent {
-        /// What was called.
+        /// The URL of the call.
         url: String,
-        /// What the library said.
+        /// The error message of the HTTP library.
         detail: String,
     },
-    /// The call may have arrived; no whole answer came.
-    #[error("{url}: no whole answer: {detail}")]
+    /// The call may have been received, but no complete answer was.
+    #[error("{url}: no complete answer: {detail}")]
     Lost {
-        /// What was called.
+        /// The URL of the call.
         url: String,
-        /// What the library said.
+        /// The error message of the HTTP library.
         detail: String,
     },
     /// The other side answered with a failure.
@@ -51,7 +51,7 @@
 }
 
 impl CallError {
-    /// Gives the failure that a caller of this process should see.
+    /// Converts the error to the failure that is reported to a caller of this process.
     pub fn into_failure(self) -> Failure {
         match self {
             Self::Failure(failure) => failure,
@@ -61,27 +61,28 @@
     }
 }
 
-/// What a process needs to call others, offered to all its duties under [`CALLER`]. A [`Client`]
-/// stays on one thread, so each thread makes its own from this.
+/// The credentials with which a process calls others. It is available to all of the process's
+/// duties under [`CALLER`]. A [`Client`] cannot leave its thread, so each thread creates its own
+/// from this.
 #[derive(Clone, Default)]
 pub struct Caller {
-    /// The token by which this process presents itself.
+    /// The token that authenticates this process.
     pub token: Option<String>,
-    /// How to speak HTTPS; none for plain HTTP.
+    /// The TLS configuration for HTTPS; `None` for plain HTTP.
     pub tls: Option<Arc<ClientConfig>>,
 }
 
-/// The name under which a process's [`Caller`] is offered.
+/// The name under which the [`Caller`] of a process is available.
 pub const CALLER: &str = "caller";
 
 impl Caller {
-    /// Makes a client for this thread.
+    /// Creates a client for this thread.
     pub fn client(&self) -> Client {
         Client::new(self.token.clone(), self.tls.clone())
     }
 }
 
-/// A client of one thread. It keeps connections open; [`Client::fresh`] gives one that does not.
+/// A client of one thread. It reuses connections; [`Client::fresh`] returns one that does not.
 #[derive(Clone)]
 pub struct Client {
     awc: awc::Client,
@@ -90,33 +91,35 @@
 }
 
 impl Client {
-    /// Makes a client that presents `token` and, given `tls`, speaks HTTPS.
+    /// Creates a client that sends `token` and uses HTTPS if `tls` is given.
     pub fn new(token: Option<String>, tls: Option<Arc<ClientConfig>>) -> Self {
-        Self { awc: build(tls.clone(), KEPT), token, tls }
+        Self { awc: build(tls.clone(), KEEP_ALIVE), token, tls }
     }
 
-    /// Makes a client with the same token whose calls open new connections.
+    /// Creates a client with the same token that opens a new connection for each call.
     ///
-    /// A connection that something between the two ends lost track of stays silent for ever
-    /// while new ones work; only a new one can tell whether the other side lives.
+    /// If a device between the two ends has dropped the state of a connection, that connection
+    /// stays silent for ever while new ones work. Only a new connection shows whether the other
+    /// side is alive.
     #[must_use]
     pub fn fresh(&self) -> Self {
         let awc = build(self.tls.clone(), Duration::ZERO);
         Self { awc, token: self.token.clone(), tls: self.tls.clone() }
     }
 
-    /// Gives the address of a path on another process.
+    /// Returns the URL of a path on another process.
     pub fn url(&self, address: &str, path: &str) -> String {
         let scheme = if self.tls.is_some() { "https" } else { "http" };
         format!("{scheme}://{address}{path}")
     }
 
-    /// Starts a request with this client's token, for callers that read the answer as a stream.
+    /// Builds a POST request with this client's token, for callers that read the answer as a
+    /// stream.
     pub fn post(&self, url: &str) -> awc::ClientRequest {
         self.with_token(self.awc.post(url))
     }
 
-    /// Starts a GET with this client's token.
+    /// Builds a GET request with this client's token.
     pub fn get(&self, url: &str) -> awc::ClientRequest {
         self.with_token(self.awc.get(url))
     }
@@ -128,16 +131,17 @@
         }
     }
 
-    /// Calls another process of the system with MessagePack and reads its whole answer.
+    /// Calls another process of the system with MessagePack and reads its complete answer.
     ///
     /// # Errors
     ///
-    /// [`CallError`], which tells whether the call can have arrived.
+    /// Returns [`CallError`], which distinguishes calls that were not sent from those that may have
+    /// been received.
     pub async fn call<Q, A>(
         &self,
         address: &str,
         path: &str,
-        question: &Q,
+        request: &Q,
         timeout: Duration,
     ) -> Result<A, CallError>
     where
@@ -145,7 +149,7 @@
         A: DeserializeOwned,
     {
         let url = self.url(address, path);
-        let body = rmp_serde::to_vec_named(question).expect("questions are plain data");
+        let body = rmp_serde::to_vec_named(request).expect("requests can be serialized");
         let exchange = self.exchange(&url, body, timeout);
         let (status, answer) = actix_rt::time::timeout(timeout, exchange)
             .await
@@ -166,18 +170,18 @@
         let request = self.post(url).content_type(MSGPACK).timeout(timeout);
         let mut response = request.send_body(body).await.map_err(|e| send_error(url, &e))?;
         let status = response.status().as_u16();
-        let answer = response.body().limit(ANSWER_BOUND).await;
+        let answer = response.body().limit(MAX_ANSWER_BYTES).await;
         let answer =
             answer.map_err(|e| CallError::Lost { url: url.to_owned(), detail: e.to_string() })?;
         Ok((status, answer))
     }
 }
 
-/// Tells whether a request that failed can have left this process.
+/// Classifies the error of a request by whether the request can have been sent.
 ///
-/// The library reports a connection that closed after the request was sent as an error of the
-/// connection, beside those that mean that none came about. Taken for one of these, a call that
-/// ran at an endpoint that then crashed would be reported as "not run", and run twice.
+/// The library reports a connection that closed after the request was sent as a connect error, like
+/// those that mean that no connection was established. If it were treated as one of these, a call
+/// that ran at an endpoint which then crashed would be reported as "not run", and run twice.
 pub fn send_error(url: &str, error: &SendRequestError) -> CallError {
     let (url, detail) = (url.to_owned(), error.to_string());
     match error {
@@ -191,7 +195,7 @@
     }
 }
 
-/// Reads the failure in the body of an answer, whether MessagePack or JSON.
+/// Parses the failure in the body of an answer, in MessagePack or JSON.
 pub fn read_failure(url: &str, status: u16, body: &[u8]) -> CallError {
     if let Ok(failure) = rmp_serde::from_slice::<Failure>(body) {
         return CallError::Failure(failure);
@@ -209,14 +213,14 @@
     CallError::Lost { url: url.to_owned(), detail: format!("HTTP status {status}") }
 }
 
-fn build(tls: Option<Arc<ClientConfig>>, kept: Duration) -> awc::Client {
+fn build(tls: Option<Arc<ClientConfig>>, keep_alive: Duration) -> awc::Client {
     let tcp = tcp::Connector::default().service();
     let connect = fn_service(move |info: ConnectInfo<Uri>| {
         let connecting = tcp.call(info);
         async move {
             let connection = connecting.await?;
-            // Frames are small. With Nagle's algorithm one that follows another waits until the
-            // other side has acknowledged the first, which it may put off for 40 ms.
+            // Frames are small. With Nagle's algorithm, a frame is held back until the other side
+            // has acknowledged the previous one, which it may delay by 40 ms.
             if let Err(error) = connection.io_ref().set_nodelay(true) {
                 tracing::debug!(event = "nodelay_refused", %error);
             }
@@ -224,7 +228,7 @@
         }
     });
     let connector = Connector::new().connector(connect);
-    let connector = connector.timeout(CONNECT).limit(0).conn_keep_alive(kept);
+    let connector = connector.timeout(CONNECT_TIMEOUT).limit(0).conn_keep_alive(keep_alive);
     let connector = match tls {
         Some(tls) => connector.rustls_0_23(tls),
         None => connector,
--- a/components/wire/src/framing.rs
+++ b/components/wire/src/framing.rs
@@ -1,4 +1,4 @@
-//! Frames within a streamed body: four bytes of length, big-endian, then MessagePack.
+//! Frames of a streamed body: a length of four bytes, big-endian, followed by MessagePack.
 
 use bytes::Buf;
 use bytes::BufMut;
@@ -8,69 +8,70 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Bound on one frame; a longer length means that the stream is garbled.
-const FRAME_BOUND: usize = 16 << 20;
-const HEADER: usize = 4;
+/// The maximum size of a frame. A greater length means that the stream is corrupt.
+const MAX_FRAME_BYTES: usize = 16 << 20;
+const HEADER_BYTES: usize = 4;
 
-/// A stream is not made of frames.
+/// A stream does not consist of valid frames.
 #[derive(Debug, Error)]
 pub enum FramingError {
-    /// A frame claims to be longer than any may be.
-    #[error("a frame of {0} bytes exceeds the bound")]
+    /// The length of a frame exceeds the maximum.
+    #[error("a frame of {0} bytes exceeds the maximum")]
     TooLong(usize),
-    /// A frame's content is not what it should be.
-    #[error("a frame cannot be read")]
+    /// The content of a frame cannot be decoded.
+    #[error("a frame cannot be decoded")]
     Content(#[from] rmp_serde::decode::Error),
 }
 
-/// Encodes one frame.
+/// Encodes a frame.
 pub fn encode<T: Serialize>(item: &T) -> Bytes {
-    pack(&rmp_serde::to_vec_named(item).expect("frames are plain data"))
+    frame_body(&rmp_serde::to_vec_named(item).expect("frames can be serialized"))
 }
 
-/// Encodes one frame without the names of fields, for what is sent all the time. A decoder reads
-/// both; new fields of such a type may only be added at its end, with a default.
+/// Encodes a frame without field names, for frequent messages. The decoder accepts both forms. New
+/// fields of a type that is sent in this form may only be added at its end, with a default.
 pub fn encode_compact<T: Serialize>(item: &T) -> Bytes {
-    pack(&rmp_serde::to_vec(item).expect("frames are plain data"))
+    frame_body(&rmp_serde::to_vec(item).expect("frames can be serialized"))
 }
 
-fn pack(body: &[u8]) -> Bytes {
-    let mut frame = BytesMut::with_capacity(HEADER + body.len());
+fn frame_body(body: &[u8]) -> Bytes {
+    let mut frame = BytesMut::with_capacity(HEADER_BYTES + body.len());
     frame.put_u32(body.len() as u32);
     frame.put_slice(body);
     frame.freeze()
 }
 
-/// Collects the chunks of a stream and gives back the frames in it.
+/// Decodes the frames of a stream from its chunks.
 #[derive(Default)]
 pub struct Decoder {
     pending: BytesMut,
 }
 
 impl Decoder {
-    /// Adds a chunk as it came from the connection; chunks and frames need not coincide.
+    /// Adds a chunk as received from the connection. Chunks and frames need not be aligned.
     pub fn push(&mut self, chunk: &[u8]) {
         self.pending.extend_from_slice(chunk);
     }
 
-    /// Takes the next whole frame, or none until more chunks come.
+    /// Removes and returns the next complete frame, or `None` if more chunks are needed.
     ///
     /// # Errors
     ///
-    /// [`FramingError`] if the stream is garbled; it cannot be read further.
+    /// Returns [`FramingError`] if the stream is corrupt. It cannot be read any further.
     pub fn take<T: DeserializeOwned>(&mut self) -> Result<Option<T>, FramingError> {
-        if self.pending.len() < HEADER {
+        if self.pending.len() < HEADER_BYTES {
             return Ok(None);
         }
-        let length = u32::from_be_bytes(self.pending[..HEADER].try_into().expect("four bytes"));
+        let length =
+            u32::from_be_bytes(self.pending[..HEADER_BYTES].try_into().expect("four bytes"));
         let length = length as usize;
-        if length > FRAME_BOUND {
+        if length > MAX_FRAME_BYTES {
             return Err(FramingError::TooLong(length));
         }
-        if self.pending.len() < HEADER + length {
+        if self.pending.len() < HEADER_BYTES + length {
             return Ok(None);
         }
-        self.pending.advance(HEADER);
+        self.pending.advance(HEADER_BYTES);
         let body = self.pending.split_to(length);
         Ok(Some(rmp_serde::from_slice(&body)?))
     }
--- a/components/wire/src/keys.rs
+++ b/components/wire/src/keys.rs
@@ -1,8 +1,8 @@
-//! Tokens from key files.
+//! Authentication by the tokens of a key file.
 //!
-//! A key file has one key a line: kind, principal, token, separated by spaces; `#` starts a
-//! comment. The file is read again when it changes, so that tokens rotate without a restart:
-//! list the old and the new token side by side, then remove the old one.
+//! A key file has one key per line: kind, principal and token, separated by spaces; `#` starts a
+//! comment. The file is reloaded when it changes, so that tokens can be rotated without a restart:
+//! first add the new token next to the old one, later remove the old one.
 
 use std::fs;
 use std::path::Path;
@@ -17,94 +17,95 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// What the holder of a token is.
+/// The kind of a token's holder.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Sends requests to workspaces whose template names it.
+    /// A caller, which sends requests to workspaces whose template lists it.
     Caller,
-    /// Opens steps in workspaces whose template names it.
+    /// A trainer, which opens steps in workspaces whose template lists it.
     Trainer,
-    /// Changes configuration and reads dumps.
+    /// An operator, which changes configuration and reads dumps.
     Operator,
-    /// Is a process of the system.
+    /// A process of the system.
     Process,
 }
 
-/// Who sent a request.
+/// The sender of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Identity {
-    /// What it is.
+    /// The kind of the sender.
     pub kind: Kind,
-    /// Its name.
+    /// The name of the sender.
     pub principal: Principal,
 }
 
-/// A key file could not be used.
+/// A key file could not be loaded.
 #[derive(Debug, Error)]
 pub enum KeyError {
     /// The file could not be read.
     #[error("cannot read key file {}", .0.display())]
     Read(PathBuf, #[source] std::io::Error),
-    /// A line is malformed. The line's text is not shown, because it may hold a token.
+    /// A line is malformed. The error does not contain the line because it may include a token.
     #[error("{}:{line}: a key reads `<caller|trainer|operator|process> <name> <token>`", .path.display())]
     Line {
         /// The file.
         path: PathBuf,
-        /// The line, counted from one.
+        /// The line number, counted from one.
         line: usize,
     },
 }
 
-/// The keys of a process. Only digests of tokens are kept, so that no dump can show a token.
+/// The keys of a process. Only digests of tokens are stored, so that no dump can expose a token.
 #[derive(Default)]
 pub struct Keys {
     path: Option<PathBuf>,
-    held: RwLock<Held>,
+    loaded: RwLock<Loaded>,
 }
 
 #[derive(Default)]
-struct Held {
-    read: Option<SystemTime>,
+struct Loaded {
+    modified: Option<SystemTime>,
     keys: Keyring<Identity>,
 }
 
 impl Keys {
-    /// Reads a key file.
+    /// Loads a key file.
     ///
     /// # Errors
     ///
-    /// [`KeyError`] if the file cannot be read or has a malformed line.
+    /// Returns [`KeyError`] if the file cannot be read or has a malformed line.
     pub fn load(path: &Path) -> Result<Self, KeyError> {
-        let keys = Self { path: Some(path.to_owned()), held: RwLock::default() };
+        let keys = Self { path: Some(path.to_owned()), loaded: RwLock::default() };
         keys.refresh()?;
         Ok(keys)
     }
 
-    /// Reads the file again if it has changed; on an error the keys read before stay in force.
+    /// Reloads the file if it has changed, and returns whether it did. On an error, the previous
+    /// keys remain valid.
     ///
     /// # Errors
     ///
-    /// [`KeyError`] if the file cannot be read or has a malformed line.
+    /// Returns [`KeyError`] if the file cannot be read or has a malformed line.
     pub fn refresh(&self) -> Result<bool, KeyError> {
         let Some(path) = &self.path else { return Ok(false) };
         let read_error = |error| KeyError::Read(path.clone(), error);
-        let changed = fs::metadata(path).and_then(|meta| meta.modified()).map_err(read_error)?;
-        if self.held.read().expect("readers do not panic").read == Some(changed) {
+        let modified = fs::metadata(path).and_then(|meta| meta.modified()).map_err(read_error)?;
+        if self.loaded.read().expect("readers do not panic").modified == Some(modified) {
             return Ok(false);
         }
         let text = fs::read_to_string(path).map_err(read_error)?;
         let keys = Keyring::new(parse(path, &text)?);
-        let mut held = self.held.write().expect("readers do not panic");
-        *held = Held { read: Some(changed), keys };
+        let mut loaded = self.loaded.write().expect("readers do not panic");
+        *loaded = Loaded { modified: Some(modified), keys };
         Ok(true)
     }
 
-    /// Finds whose token this is. The time taken tells nothing of how much of a guess was right
-    /// ([`Keyring`]).
+    /// Returns the holder of a token. The time that this takes does not reveal how much of a
+    /// guessed token is right; see [`Keyring`].
     pub fn identify(&self, token: &str) -> Option<Identity> {
-        let held = self.held.read().expect("readers do not panic");
-        held.keys.holder(token).cloned()
+        let loaded = self.loaded.read().expect("readers do not panic");
+        loaded.keys.holder(token).cloned()
     }
 }
 
@@ -137,11 +138,11 @@
     rest.is_none().then(|| (Digest::of(token.as_bytes()), Identity { kind, principal }))
 }
 
-/// Reads the token with which a process or client presents itself: the first line of a file.
+/// Reads the token that authenticates a process or client, which is the first line of a file.
 ///
 /// # Errors
 ///
-/// [`KeyError::Read`] if the file cannot be read.
+/// Returns [`KeyError::Read`] if the file cannot be read.
 pub fn read_token(path: &Path) -> Result<String, KeyError> {
     let text = fs::read_to_string(path).map_err(|e| KeyError::Read(path.to_owned(), e))?;
     Ok(text.lines().next().unwrap_or_default().trim().to_owned())
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,7 +1,8 @@
-//! HTTP between processes, callers and operators: server, client, keys, TLS.
+//! HTTP between processes, callers and operators: server, client, keys and TLS.
 //!
-//! Between the system's own processes bodies are MessagePack by `rmp-serde`; towards callers and
-//! operators they are JSON. All bodies, headers and connections are bounded (docs/API.md).
+//! Bodies between the system's own processes are MessagePack (`rmp-serde`); those exchanged with
+//! callers and operators are JSON. The sizes of bodies and headers and the number of connections
+//! are limited (docs/API.md).
 
 pub mod call;
 pub mod client;
--- a/components/wire/src/progress.rs
+++ b/components/wire/src/progress.rs
@@ -1,4 +1,4 @@
-//! Counts requests in progress, so that a graceful shutdown knows when nothing is left to cut.
+//! A count of the requests in progress, which a graceful shutdown waits for.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -14,27 +14,27 @@
 
 use crate::reply::Reply;
 
-/// The name under which a process's [`Progress`] is offered.
+/// The name under which the [`Progress`] of a process is available.
 pub const PROGRESS: &str = "progress";
 
-/// Counts what a process has in progress. A role that does work outside of HTTP requests holds a
-/// [`Guard`] for each piece.
+/// Counts the work that a process has in progress. A role that works outside of HTTP requests holds
+/// a [`Guard`] for each task.
 #[derive(Clone, Debug, Default)]
 pub struct Progress(Arc<AtomicUsize>);
 
-/// One piece of work in progress; dropping it ends the piece.
+/// A task in progress, which ends when the guard is dropped.
 #[derive(Debug)]
 pub struct Guard(Arc<AtomicUsize>);
 
 impl Progress {
-    /// Counts one more piece of work until the guard is dropped.
+    /// Counts one more task until the guard is dropped.
     #[must_use]
     pub fn begin(&self) -> Guard {
         self.0.fetch_add(1, Ordering::SeqCst);
         Guard(self.0.clone())
     }
 
-    /// Tells how many pieces are in progress.
+    /// Returns the number of tasks in progress.
     pub fn count(&self) -> usize {
         self.0.load(Ordering::SeqCst)
     }
@@ -46,20 +46,20 @@
     }
 }
 
-/// Keeps `guard` until the last byte of the answer's body is on its way or the client is gone.
+/// Holds `guard` until the last byte of the answer's body is sent or the client has disconnected.
 ///
-/// A streamed answer begins long before it ends: counting only the handler would let a shutdown
-/// cut the stream in the middle.
+/// A streamed answer continues after its handler has returned. If only the handler were counted, a
+/// shutdown could cut off the stream.
 pub fn hold(reply: Reply, guard: Guard) -> Reply {
-    reply.map_body(|_, body| BoxBody::new(Held { body, _guard: guard }))
+    reply.map_body(|_, body| BoxBody::new(GuardedBody { body, _guard: guard }))
 }
 
-struct Held {
+struct GuardedBody {
     body: BoxBody,
     _guard: Guard,
 }
 
-impl MessageBody for Held {
+impl MessageBody for GuardedBody {
     type Error = <BoxBody as MessageBody>::Error;
 
     fn size(&self) -> BodySize {
--- a/components/wire/src/reply.rs
+++ b/components/wire/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of a process's HTTP server.
+//! Replies of the HTTP server of a process.
 
 use actix_http::Response;
 use actix_http::StatusCode;
@@ -11,17 +11,17 @@
 use futures_util::Stream;
 use serde::Serialize;
 
-/// An answer.
+/// A reply.
 pub type Reply = Response<BoxBody>;
 
-/// Media type of MessagePack bodies.
+/// The media type of MessagePack bodies.
 pub const MSGPACK: &str = "application/msgpack";
-/// Media type of JSON bodies.
+/// The media type of JSON bodies.
 pub const JSON: &str = "application/json";
-/// Media type of server-sent events.
+/// The media type of server-sent events.
 pub const EVENTS: &str = "text/event-stream";
 
-/// Answers with a body of the given media type.
+/// Builds a reply with a body of the given media type.
 pub fn bytes(status: u16, media: &str, body: impl Into<Bytes>) -> Reply {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut reply = Response::with_body(status, BoxBody::new(body.into()));
@@ -31,33 +31,33 @@
     reply
 }
 
-/// Answers with JSON.
+/// Builds a JSON reply.
 pub fn json<T: Serialize + ?Sized>(status: u16, body: &T) -> Reply {
-    bytes(status, JSON, serde_json::to_vec(body).expect("answers are plain data"))
+    bytes(status, JSON, serde_json::to_vec(body).expect("replies can be serialized"))
 }
 
-/// Answers with MessagePack.
+/// Builds a MessagePack reply.
 pub fn msgpack<T: Serialize + ?Sized>(body: &T) -> Reply {
-    bytes(200, MSGPACK, rmp_serde::to_vec_named(body).expect("answers are plain data"))
+    bytes(200, MSGPACK, rmp_serde::to_vec_named(body).expect("replies can be serialized"))
 }
 
-/// Answers a process with a failure; its client gets it as `CallError::Failure`.
+/// Builds a failure reply to a process, whose client returns it as `CallError::Failure`.
 pub fn peer_failure(failure: &Failure) -> Reply {
-    let body = rmp_serde::to_vec_named(failure).expect("failures are plain data");
+    let body = rmp_serde::to_vec_named(failure).expect("failures can be serialized");
     let mut reply = bytes(failure.code.status(), MSGPACK, body);
-    retry_header(&mut reply, failure);
+    set_retry_after(&mut reply, failure);
     reply
 }
 
-/// Answers a caller or operator with a failure, in the shape that completions clients read:
+/// Builds a failure reply to a caller or operator, in the format of the completions API:
 /// `{"error": {"code", "outcome", "message", "retry_ms"}}`.
 pub fn failure(failure: &Failure) -> Reply {
     let mut reply = json(failure.code.status(), &failure_json(failure));
-    retry_header(&mut reply, failure);
+    set_retry_after(&mut reply, failure);
     reply
 }
 
-/// Gives a failure in the shape that completions clients read.
+/// Returns a failure in the format of the completions API.
 pub fn failure_json(failure: &Failure) -> serde_json::Value {
     serde_json::json!({"error": {
         "type": "chicoryford",
@@ -68,7 +68,7 @@
     }})
 }
 
-/// Answers with a stream whose length is not known beforehand.
+/// Builds a reply with a stream of unknown length.
 pub fn stream<S, E>(media: &'static str, body: S) -> Reply
 where
     S: Stream<Item = Result<Bytes, E>> + 'static,
@@ -79,7 +79,7 @@
     reply
 }
 
-fn retry_header(reply: &mut Reply, failure: &Failure) {
+fn set_retry_after(reply: &mut Reply, failure: &Failure) {
     if let Some(ms) = failure.retry_ms {
         let value = HeaderValue::from(ms.div_ceil(1_000));
         reply.headers_mut().insert(header::RETRY_AFTER, value);
--- a/components/wire/src/routes.rs
+++ b/components/wire/src/routes.rs
@@ -1,4 +1,4 @@
-//! What a process answers, by path, and who may ask for it.
+//! The routes of a process's HTTP server, and the kinds of senders that may use them.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -11,17 +11,17 @@
 use crate::progress::Progress;
 use crate::reply::Reply;
 
-/// Answers the requests of a route.
+/// The handler of a route.
 pub(crate) type Handler = Rc<dyn Fn(Call) -> LocalBoxFuture<'static, Reply>>;
 
-/// One path, or all paths below it.
+/// A path, or all paths below it, with its handler.
 pub(crate) struct Route {
     prefix: &'static str,
     pub(crate) kinds: &'static [Kind],
     pub(crate) handler: Handler,
 }
 
-/// What a server answers, by path. Each worker thread builds its own.
+/// The routes of a server. Each worker thread builds its own.
 #[derive(Default)]
 pub struct Routes {
     routes: Vec<Route>,
@@ -29,8 +29,9 @@
 }
 
 impl Routes {
-    /// Adds a route. A `prefix` that ends with `/` takes all paths below it, any other just
-    /// itself. `kinds` lists who may use it; an empty list opens it to all.
+    /// Adds a route. A `prefix` that ends with `/` matches all paths below it; any other one
+    /// matches only itself. `kinds` lists the kinds of senders that may use the route; an empty
+    /// list means that no token is required.
     pub fn add<F, Fut>(&mut self, prefix: &'static str, kinds: &'static [Kind], handler: F)
     where
         F: Fn(Call) -> Fut + 'static,
@@ -40,8 +41,8 @@
         self.routes.push(Route { prefix, kinds, handler });
     }
 
-    /// Counts requests below `prefixes` as work in progress until their answers have left. Long
-    /// polls between processes are not work: they would hold up every shutdown.
+    /// Counts requests below `prefixes` as work in progress until their replies are sent. Long
+    /// polls between processes must not be counted, because they would delay every shutdown.
     pub fn count(&mut self, prefixes: &'static [&'static str], progress: Progress) {
         self.counted = Some((prefixes, progress));
     }
@@ -52,8 +53,8 @@
 
     pub(crate) fn guard(&self, path: &str) -> Option<progress::Guard> {
         let (prefixes, progress) = self.counted.as_ref()?;
-        let counts = prefixes.iter().any(|prefix| matches(prefix, path));
-        counts.then(|| progress.begin())
+        let is_counted = prefixes.iter().any(|prefix| matches(prefix, path));
+        is_counted.then(|| progress.begin())
     }
 }
 
--- a/components/wire/src/server.rs
+++ b/components/wire/src/server.rs
@@ -1,4 +1,5 @@
-//! The HTTP server of a process: bounds, tokens and bodies, before a route's handler is called.
+//! The HTTP server of a process. It applies limits, checks tokens and reads bodies before it calls
+//! the handler of a route.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -30,19 +31,20 @@
 use crate::reply::Reply;
 use crate::routes::Routes;
 
-/// How a server is bounded.
+/// The limits of a server.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    /// Bytes of a body.
+    /// The maximum size of a body, in bytes.
     pub body: usize,
-    /// Connections open at once, over all workers.
+    /// The maximum number of open connections, over all workers.
     pub connections: usize,
-    /// Time in which a client must send its headers, and again its body. A client that opens a
-    /// connection and sends nothing, or a byte a second, would otherwise hold it for ever.
+    /// The timeout for receiving the headers of a request, and again for its body. A client that
+    /// opens a connection and sends nothing, or one byte per second, would otherwise occupy it for
+    /// ever.
     pub read: Duration,
-    /// Time after which an idle connection is closed.
+    /// The time after which an idle connection is closed.
     pub idle: Duration,
-    /// Threads that serve.
+    /// The number of worker threads.
     pub workers: usize,
 }
 
@@ -61,29 +63,29 @@
 /// The server could not be started.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The address could not be bound.
+    /// Binding the address failed.
     #[error("cannot listen on {0}")]
     Bind(SocketAddr, #[source] std::io::Error),
-    /// The server could not be set up.
+    /// Setting up the server failed.
     #[error("cannot start the HTTP server")]
     Start(#[source] std::io::Error),
 }
 
 /// A running server.
 pub struct Running {
-    /// Where it listens; tells the port where the settings said zero.
+    /// The address that it listens on, with the actual port if the settings specify port zero.
     pub address: SocketAddr,
-    /// Stops it.
+    /// A handle to stop the server.
     pub handle: ServerHandle,
 }
 
-/// Starts a server within the caller's actix system.
+/// Starts a server in the caller's actix system.
 ///
-/// `routes` runs once on each worker thread.
+/// `routes` is called once on each worker thread.
 ///
 /// # Errors
 ///
-/// [`ServeError`] if the address cannot be bound.
+/// Returns [`ServeError`] if the address cannot be bound.
 pub fn serve<F>(
     address: SocketAddr,
     bounds: &Bounds,
@@ -97,20 +99,20 @@
     serve_on(listen(address)?, bounds, keys, tls, routes)
 }
 
-/// Binds an address, so that a process knows its port before it tells others of it.
+/// Binds an address, so that a process can determine its port before it announces the address.
 ///
 /// # Errors
 ///
-/// [`ServeError::Bind`] if the address cannot be bound.
+/// Returns [`ServeError::Bind`] if the address cannot be bound.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, ServeError> {
     TcpListener::bind(address).map_err(|e| ServeError::Bind(address, e))
 }
 
-/// Starts a server like [`serve`], on an address that is bound already.
+/// Starts a server like [`serve`], on an address that is already bound.
 ///
 /// # Errors
 ///
-/// [`ServeError`] if the server cannot be set up.
+/// Returns [`ServeError`] if the server cannot be set up.
 pub fn serve_on<F>(
     listener: TcpListener,
     bounds: &Bounds,
@@ -143,9 +145,9 @@
     Ok(Running { address, handle })
 }
 
-type Answered = Result<Reply, actix_http::Error>;
+type ReplyResult = Result<Reply, actix_http::Error>;
 
-// The type names what actix-http asks of a service; an alias would need as many words.
+// The type lists the bounds that actix-http requires of a service; an alias would not be shorter.
 #[allow(clippy::type_complexity)]
 fn service<T>(
     bounds: Bounds,
@@ -163,7 +165,7 @@
             Request,
             Response = Reply,
             Error = actix_http::Error,
-            Future = LocalBoxFuture<'static, Answered>,
+            Future = LocalBoxFuture<'static, ReplyResult>,
         > + 'static,
     > + 'static,
     actix_http::body::BoxBody,
@@ -172,12 +174,12 @@
     T: actix_codec::AsyncRead + actix_codec::AsyncWrite + Unpin + 'static,
 {
     let routes = Rc::new(routes);
-    let (body, read) = (bounds.body, bounds.read);
+    let (max_body, timeout) = (bounds.body, bounds.read);
     let handler = actix_service::fn_service(move |request: Request| {
         let (routes, keys) = (routes.clone(), keys.clone());
-        let answer: LocalBoxFuture<'static, Answered> =
-            Box::pin(async move { Ok(answer(request, &routes, &keys, body, read).await) });
-        answer
+        let reply: LocalBoxFuture<'static, ReplyResult> =
+            Box::pin(async move { Ok(handle(request, &routes, &keys, max_body, timeout).await) });
+        reply
     });
     HttpService::build()
         .tcp_nodelay(true)
@@ -186,12 +188,12 @@
         .finish(handler)
 }
 
-async fn answer(
+async fn handle(
     mut request: Request,
     routes: &Routes,
     keys: &Keys,
-    body: usize,
-    read: Duration,
+    max_body: usize,
+    timeout: Duration,
 ) -> Reply {
     let path = request.path().to_owned();
     let Some(route) = routes.find(&path) else {
@@ -204,15 +206,15 @@
     let guard = routes.guard(&path);
     let query = request.uri().query().unwrap_or_default().to_owned();
     let declared = declared_length(request.headers());
-    if declared.is_some_and(|length| length > body) {
-        return reply::failure(&too_large(body));
+    if declared.is_some_and(|length| length > max_body) {
+        return reply::failure(&too_large(max_body));
     }
-    let collected = collect(&mut request, body);
-    let body = match actix_rt::time::timeout(read, collected).await {
+    let collected = read_body(&mut request, max_body);
+    let body = match actix_rt::time::timeout(timeout, collected).await {
         Ok(Ok(bytes)) => bytes,
         Ok(Err(failure)) => return reply::failure(&failure),
         Err(_) => {
-            let detail = format!("the body did not arrive within {} s", read.as_secs());
+            let detail = format!("the body did not arrive within {} s", timeout.as_secs());
             return reply::failure(&Failure::not_run(Code::BadRequest, detail));
         }
     };
@@ -258,21 +260,21 @@
     headers.get(header::CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-fn too_large(bound: usize) -> Failure {
-    Failure::not_run(Code::TooLarge, format!("the body exceeds {bound} bytes"))
+fn too_large(max_body: usize) -> Failure {
+    Failure::not_run(Code::TooLarge, format!("the body exceeds {max_body} bytes"))
 }
 
-async fn collect(request: &mut Request, bound: usize) -> Result<Bytes, Failure> {
+async fn read_body(request: &mut Request, max_body: usize) -> Result<Bytes, Failure> {
     let mut payload = request.take_payload();
-    let mut whole = BytesMut::new();
+    let mut body = BytesMut::new();
     while let Some(chunk) = payload.next().await {
         let chunk = chunk.map_err(|error| {
-            Failure::not_run(Code::BadRequest, format!("the body broke off: {error}"))
+            Failure::not_run(Code::BadRequest, format!("the body was cut off: {error}"))
         })?;
-        if whole.len() + chunk.len() > bound {
-            return Err(too_large(bound));
+        if body.len() + chunk.len() > max_body {
+            return Err(too_large(max_body));
         }
-        whole.extend_from_slice(&chunk);
+        body.extend_from_slice(&chunk);
     }
-    Ok(whole.freeze())
+    Ok(body.freeze())
 }
--- a/components/wire/src/tls.rs
+++ b/components/wire/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS settings by `rustls`.
+//! TLS configuration with `rustls`.
 
 use std::fs::File;
 use std::io::BufReader;
@@ -19,11 +19,11 @@
     /// A file could not be read.
     #[error("cannot read {}", .0.display())]
     Read(PathBuf, #[source] std::io::Error),
-    /// A file holds no private key.
-    #[error("{} holds no private key", .0.display())]
+    /// A file contains no private key.
+    #[error("{} contains no private key", .0.display())]
     NoKey(PathBuf),
-    /// The certificate, key or root is not usable.
-    #[error("the certificate, key or root is not usable")]
+    /// The certificate, key or root certificate is invalid.
+    #[error("the certificate, key or root certificate is invalid")]
     Unusable(#[from] rustls::Error),
 }
 
@@ -42,11 +42,12 @@
         .ok_or_else(|| TlsError::NoKey(path.to_owned()))
 }
 
-/// Makes the server's side from a certificate chain and its key, both PEM.
+/// Builds the server configuration from a certificate chain and its private key, both in PEM
+/// format.
 ///
 /// # Errors
 ///
-/// [`TlsError`] if a file cannot be read or used.
+/// Returns [`TlsError`] if a file cannot be read or is invalid.
 pub fn server(chain: &Path, key: &Path) -> Result<Arc<ServerConfig>, TlsError> {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ServerConfig::builder_with_provider(provider)
@@ -56,20 +57,20 @@
     Ok(Arc::new(config))
 }
 
-/// Makes the client's side, which trusts the roots of a PEM file and no others.
+/// Builds a client configuration that trusts only the root certificates in a PEM file.
 ///
 /// # Errors
 ///
-/// [`TlsError`] if the file cannot be read or used.
+/// Returns [`TlsError`] if the file cannot be read or is invalid.
 pub fn client(roots: &Path) -> Result<Arc<ClientConfig>, TlsError> {
-    let mut store = RootCertStore::empty();
+    let mut root_store = RootCertStore::empty();
     for root in certificates(roots)? {
-        store.add(root)?;
+        root_store.add(root)?;
     }
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ClientConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()?
-        .with_root_certificates(store)
+        .with_root_certificates(root_store)
         .with_no_client_auth();
     Ok(Arc::new(config))
 }
--- a/components/wire/tests/keys.rs
+++ b/components/wire/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Key files: rotation and malformed lines.
+//! Key files: rotation of tokens, and errors on malformed lines.
 
 use std::fs;
 use std::time::SystemTime;
@@ -7,7 +7,7 @@
 use chicoryford_wire::Keys;
 
 #[test]
-fn can_rotate_tokens_without_restart() {
+fn can_rotate_tokens_without_a_restart() {
     let file = tempfile::NamedTempFile::new().unwrap();
     fs::write(file.path(), "caller desk old-token\n").unwrap();
     let keys = Keys::load(file.path()).unwrap();
--- a/components/wire/tests/server.rs
+++ b/components/wire/tests/server.rs
@@ -1,4 +1,4 @@
-//! A server and a client over loopback: answers, failures, bounds.
+//! A server and a client over the loopback interface: replies, failures and limits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use chicoryford_wire::server::Bounds;
 use chicoryford_wire::server::serve;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn routes() -> Routes {
     let mut routes = Routes::default();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn answers_failures_and_bounds_reach_the_client() {
+fn client_receives_replies_failures_and_limit_errors() {
     let file = tempfile::NamedTempFile::new().unwrap();
     std::fs::write(file.path(), "process a secret\ncaller desk desk-token\n").unwrap();
     let keys = Arc::new(Keys::load(file.path()).unwrap());
@@ -40,23 +40,23 @@
         let address = running.address.to_string();
         let client = Client::new(Some("secret".to_owned()), None);
 
-        let echoed: String = client.call(&address, "/echo", "hello", PATIENCE).await.unwrap();
+        let echoed: String = client.call(&address, "/echo", "hello", TIMEOUT).await.unwrap();
         assert_eq!(echoed, "hello");
 
-        let refused = client.call::<str, ()>(&address, "/refuse", "", PATIENCE).await;
+        let refused = client.call::<str, ()>(&address, "/refuse", "", TIMEOUT).await;
         let expected = Failure::not_run(Code::Draining, "leaving").retry_after(1_500);
         assert_eq!(refused, Err(CallError::Failure(expected)));
 
         let body = "x".repeat(2_000);
-        let large = client.call::<str, ()>(&address, "/echo", &body, PATIENCE).await;
+        let large = client.call::<str, ()>(&address, "/echo", &body, TIMEOUT).await;
         assert!(matches!(large, Err(CallError::Failure(f)) if f.code == Code::TooLarge));
 
-        let stranger = Client::new(Some("guess".to_owned()), None);
-        let denied = stranger.call::<str, ()>(&address, "/echo", "", PATIENCE).await;
+        let unknown = Client::new(Some("guess".to_owned()), None);
+        let denied = unknown.call::<str, ()>(&address, "/echo", "", TIMEOUT).await;
         assert!(matches!(denied, Err(CallError::Failure(f)) if f.code == Code::Unauthenticated));
 
         let desk = Client::new(Some("desk-token".to_owned()), None);
-        let denied = desk.call::<str, ()>(&address, "/echo", "", PATIENCE).await;
+        let denied = desk.call::<str, ()>(&address, "/echo", "", TIMEOUT).await;
         assert!(matches!(denied, Err(CallError::Failure(f)) if f.code == Code::Forbidden));
 
         let missing = client.get(&client.url(&address, "/none")).send().await.unwrap();
@@ -66,7 +66,7 @@
         let mut answer = fresh.send_body(rmp_serde::to_vec("anew").unwrap()).await.unwrap();
         assert_eq!(answer.body().await.unwrap(), Bytes::from(rmp_serde::to_vec("anew").unwrap()));
         running.handle.stop(false).await;
-        let gone = client.fresh().call::<str, ()>(&address, "/echo", "", PATIENCE).await;
+        let gone = client.fresh().call::<str, ()>(&address, "/echo", "", TIMEOUT).await;
         assert!(matches!(gone, Err(CallError::NotSent { .. })));
     });
 }
