--- a/components/settings/src/check.rs
+++ b/components/settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks values that are well formed but may not be usable.
+//! Validation of settings that are syntactically correct.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,16 +10,17 @@
 use crate::process::EntrySettings;
 use crate::process::Settings;
 
-/// The longest name.
-const NAME: usize = 64;
-/// The longest time that settings may name, in milliseconds: a day.
+/// The maximum length of a name, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+/// One day, the longest duration that settings may have, in milliseconds.
 pub(crate) const DAY_MS: u64 = 86_400_000;
-/// An election must be able to miss this many heartbeats, or it starts under a healthy leader.
-const HEARTBEATS: u64 = 3;
-/// The most replicas of the control log.
-const REPLICAS: usize = 7;
+/// The minimum ratio of the election timeout to the heartbeat interval. With a lower one, a few
+/// lost heartbeats would start an election under a healthy leader.
+const MIN_ELECTION_HEARTBEATS: u64 = 3;
+/// The maximum number of replicas of the control log.
+const MAX_REPLICAS: usize = 7;
 
-/// Collects faults.
+/// A collection of the faults found so far.
 #[derive(Default)]
 pub(crate) struct Faults(pub(crate) Vec<Fault>);
 
@@ -34,8 +35,8 @@
         }
     }
 
-    fn place(&mut self, field: &str, name: &str) {
-        if !is_place(name) {
+    fn location(&mut self, field: &str, name: &str) {
+        if !is_location(name) {
             self.add(field, Problem::Name(name.to_owned()));
         }
     }
@@ -53,25 +54,26 @@
     }
 }
 
-/// Tells whether `name` may name a region or data centre. These are written by people for people
-/// and travel in no header, so that they may have letters of any alphabet.
-pub fn is_place(name: &str) -> bool {
+/// Returns whether `name` is a valid name of a region or data centre. These names are for display
+/// and are not sent in headers, so they may contain letters of any alphabet.
+pub fn is_location(name: &str) -> bool {
     let allowed = |c: char| c.is_alphanumeric() || matches!(c, '-' | '_' | '.');
-    !name.is_empty() && name.len() <= NAME && name.chars().all(allowed)
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(allowed)
 }
 
-/// Tells whether `name` has only characters that names may have.
+/// Returns whether `name` is a valid name: neither empty nor too long, and without other characters
+/// than names may have.
 pub fn is_name(name: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    !name.is_empty() && name.len() <= NAME && name.chars().all(allowed)
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(allowed)
 }
 
-/// Finds what is wrong with settings.
+/// Returns all faults of the settings.
 pub fn settings(settings: &Settings) -> Vec<Fault> {
     let mut faults = Faults::default();
     faults.name("node", settings.node.as_str());
-    faults.place("region", settings.region.as_str());
-    faults.place("data_centre", settings.data_centre.as_str());
+    faults.location("region", settings.region.as_str());
+    faults.location("data_centre", settings.data_centre.as_str());
     faults.range("grace_ms", settings.grace_ms, 0, DAY_MS);
     faults.range("bounds.body", settings.bounds.body as u64, 1 << 10, 1 << 30);
     faults.range("bounds.connections", settings.bounds.connections as u64, 1, 1 << 20);
@@ -105,7 +107,7 @@
     faults.range("control.election_ms", control.election_ms, 50, DAY_MS);
     faults.range("control.session_ms", control.session_ms, 500, DAY_MS);
     faults.range("control.swap_percent", control.swap_percent.into(), 1, 100);
-    if control.election_ms < control.heartbeat_ms.saturating_mul(HEARTBEATS) {
+    if control.election_ms < control.heartbeat_ms.saturating_mul(MIN_ELECTION_HEARTBEATS) {
         let rule = "must be at least three times `heartbeat_ms`";
         faults.add("control.election_ms", Problem::Clash(rule));
     }
@@ -114,8 +116,8 @@
 
 fn replicas(faults: &mut Faults, settings: &Settings, control: &ControlSettings) {
     let count = control.replicas.len();
-    if count > REPLICAS {
-        let (value, most) = (count as u64, REPLICAS as u64);
+    if count > MAX_REPLICAS {
+        let (value, most) = (count as u64, MAX_REPLICAS as u64);
         faults.add("control.replicas", Problem::Range { value, least: 0, most });
     }
     let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
--- a/components/settings/src/error.rs
+++ b/components/settings/src/error.rs
@@ -1,10 +1,11 @@
-//! What is wrong with a file, with the place and what is allowed, so that its author can correct it.
+//! Errors in files, with their position and the allowed values, so that the author can correct
+//! them.
 
 use std::path::PathBuf;
 
 use thiserror::Error;
 
-/// A settings or template file cannot be used.
+/// A settings or template file is invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file could not be read.
@@ -15,47 +16,47 @@
     Malformed {
         /// The file.
         file: PathBuf,
-        /// Where in it.
+        /// The position in the file.
         place: Place,
-        /// What is wrong, with the values that would do.
+        /// The error, with the allowed values.
         detail: String,
     },
-    /// A field has a name that nothing reads.
+    /// A field has an unknown name.
     #[error(transparent)]
     UnknownField(Box<UnknownField>),
-    /// The file is well formed, but values cannot be used, or not together.
-    #[error("{}", listed(.file, .faults))]
+    /// The file is well formed, but has values that are invalid by themselves or in combination.
+    #[error("{}", describe_all(.file, .faults))]
     Unusable {
         /// The file.
         file: PathBuf,
-        /// Every fault found, in the order of checking.
+        /// All faults, in the order in which they were found.
         faults: Vec<Located>,
     },
 }
 
-/// A field has a name that nothing reads: most often a misspelt one, whose value would otherwise
-/// be ignored without a word.
+/// A field has an unknown name. It is usually misspelled, and its value would otherwise be ignored
+/// silently.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("{}:{place}: unknown field `{name}`{}; allowed: {}", .file.display(), hint(.nearest.as_deref()), .allowed.join(", "))]
 pub struct UnknownField {
     /// The file.
     pub file: PathBuf,
-    /// Where in it.
+    /// The position in the file.
     pub place: Place,
     /// The unknown name.
     pub name: String,
-    /// The known name most like it.
+    /// The most similar known name.
     pub nearest: Option<String>,
-    /// All names allowed in its place.
+    /// All names that are allowed at this position.
     pub allowed: Vec<String>,
 }
 
-/// Where in a file something is wrong.
+/// A position in a file.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Place {
-    /// The line, counted from one; zero if not known.
+    /// The line number, counted from one; zero if unknown.
     pub line: usize,
-    /// The field, with the fields that hold it, separated by dots.
+    /// The path of the field: the names of its parents and its own, separated by dots.
     pub field: String,
 }
 
@@ -70,52 +71,52 @@
     }
 }
 
-/// A value that cannot be used.
+/// An invalid value.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
-    /// The field, with the fields that hold it, separated by dots.
+    /// The path of the field: the names of its parents and its own, separated by dots.
     pub field: String,
-    /// What is wrong.
+    /// The problem with the value.
     pub problem: Problem,
 }
 
-/// A fault and its line.
+/// A fault with its position.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Located {
-    /// Where it is.
+    /// The position in the file.
     pub place: Place,
-    /// What is wrong.
+    /// The problem with the value.
     pub problem: Problem,
 }
 
-/// What is wrong with a value.
+/// The problem with a value.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum Problem {
-    /// A number lies outside of its range.
+    /// A number is out of range.
     #[error("{value} is out of range; allowed: {least} to {most}")]
     Range {
         /// The number.
         value: u64,
-        /// The least allowed.
+        /// The minimum.
         least: u64,
-        /// The greatest allowed.
+        /// The maximum.
         most: u64,
     },
-    /// A name has characters that names may not have.
+    /// A name has invalid characters or an invalid length.
     #[error("{0:?} is no name; allowed: 1 to 64 letters, digits, `-`, `_` and `.`")]
     Name(String),
-    /// An address is not `host:port` with a host by IP number.
+    /// An address does not consist of an IP address and a port.
     #[error(
         "{0:?} is no address; allowed: an IP number, a colon and a port, such as 127.0.0.1:7100"
     )]
     Address(String),
-    /// Something that must be there is missing.
+    /// Something that is required is missing.
     #[error("{0}")]
     Missing(&'static str),
-    /// Two values do not go together.
+    /// Two values are incompatible.
     #[error("{0}")]
     Clash(&'static str),
-    /// Something is there twice.
+    /// A value occurs twice.
     #[error("{0:?} is listed twice")]
     Twice(String),
 }
@@ -124,7 +125,7 @@
     nearest.map(|name| format!(", did you mean `{name}`?")).unwrap_or_default()
 }
 
-fn listed(file: &std::path::Path, faults: &[Located]) -> String {
+fn describe_all(file: &std::path::Path, faults: &[Located]) -> String {
     let file = file.display();
     let lines: Vec<_> =
         faults.iter().map(|f| format!("{file}:{}: {}", f.place, f.problem)).collect();
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! The YAML settings of a process and the templates of operators, checked.
+//! Parsing and validation of the YAML settings of a process and of operators' templates.
 //!
-//! docs/SETTINGS.md lists every field with its default.
+//! docs/SETTINGS.md lists all fields with their defaults.
 
 pub mod check;
 pub mod error;
--- a/components/settings/src/load.rs
+++ b/components/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reads settings from YAML.
+//! Loading of settings from YAML files.
 
 use std::path::Path;
 
@@ -13,46 +13,47 @@
 use crate::locate;
 use crate::process::Settings;
 
-/// Names less alike than this get no "did you mean".
-const ALIKE: f64 = 0.7;
+/// The minimum similarity of a known name to be suggested with "did you mean".
+const MIN_SIMILARITY: f64 = 0.7;
 
-/// Reads and checks the settings of a process. Relative paths in them are taken from the file's
-/// folder, so that a process can be started from anywhere.
+/// Reads and validates the settings of a process. Relative paths in them are resolved against the
+/// folder of the file, so that a process can be started from any folder.
 ///
 /// # Errors
 ///
-/// [`SettingsError`], which names the file, the line, the field and what is allowed.
+/// Returns [`SettingsError`] with the file, the line, the field and the allowed values.
 pub fn load(file: &Path) -> Result<Settings, SettingsError> {
     let text =
         std::fs::read_to_string(file).map_err(|e| SettingsError::Read(file.to_owned(), e))?;
     let mut settings = parse(file, &text)?;
-    anchor(&mut settings, file.parent().unwrap_or(Path::new("")));
+    resolve_paths(&mut settings, file.parent().unwrap_or(Path::new("")));
     Ok(settings)
 }
 
-/// Checks the text of settings; `file` is only named in errors.
+/// Parses and validates the text of settings. `file` is used only in error messages.
 ///
 /// # Errors
 ///
-/// As [`load`].
+/// Returns the errors of [`load`].
 pub fn parse(file: &Path, text: &str) -> Result<Settings, SettingsError> {
-    let read = serde_yaml_ng::Deserializer::from_str(text);
-    let settings: Settings = document(file, read)?;
+    let deserializer = serde_yaml_ng::Deserializer::from_str(text);
+    let settings: Settings = parse_document(file, deserializer)?;
     let faults = check::settings(&settings);
-    refuse(file, text, 1, faults)?;
+    reject_faults(file, text, 1, faults)?;
     Ok(settings)
 }
 
-/// Reads one YAML document.
-pub(crate) fn document<T: DeserializeOwned>(
+/// Parses one YAML document.
+pub(crate) fn parse_document<T: DeserializeOwned>(
     file: &Path,
-    read: serde_yaml_ng::Deserializer<'_>,
+    deserializer: serde_yaml_ng::Deserializer<'_>,
 ) -> Result<T, SettingsError> {
-    T::deserialize(read).map_err(|error| explain(file, &error))
+    T::deserialize(deserializer).map_err(|error| convert_error(file, &error))
 }
 
-/// Turns faults into an error that tells their lines, looked for from line `from` on.
-pub(crate) fn refuse(
+/// Returns an error with the positions of the faults, if there are any. Their lines are searched
+/// from line `from` on.
+pub(crate) fn reject_faults(
     file: &Path,
     text: &str,
     from: usize,
@@ -69,16 +70,16 @@
     Err(SettingsError::Unusable { file: file.to_owned(), faults })
 }
 
-fn explain(file: &Path, error: &serde_yaml_ng::Error) -> SettingsError {
+fn convert_error(file: &Path, error: &serde_yaml_ng::Error) -> SettingsError {
     let line = error.location().map_or(0, |at| at.line());
-    let whole = error.to_string();
-    let said = whole.split(" at line ").next().unwrap_or_default();
-    let (field, detail) = split_path(said);
+    let message = error.to_string();
+    let message = message.split(" at line ").next().unwrap_or_default();
+    let (field, detail) = split_path(message);
     if let Some((name, allowed)) = unknown_field(detail) {
         let nearest = nearest(&name, &allowed);
-        // The library's path of an unknown field ends with the field itself.
-        let holder = field.strip_suffix(&name).unwrap_or(field).trim_end_matches('.');
-        let place = Place { line, field: holder.to_owned() };
+        // The path that the library reports for an unknown field includes the field itself.
+        let parent = field.strip_suffix(&name).unwrap_or(field).trim_end_matches('.');
+        let place = Place { line, field: parent.to_owned() };
         let unknown = UnknownField { file: file.to_owned(), place, name, nearest, allowed };
         return SettingsError::UnknownField(Box::new(unknown));
     }
@@ -86,15 +87,16 @@
     SettingsError::Malformed { file: file.to_owned(), place, detail: detail.to_owned() }
 }
 
-/// The library writes `field.inner: what is wrong`, or only what is wrong.
-fn split_path(said: &str) -> (&str, &str) {
+/// Splits a message of the library into the path of the field, if any, and the detail. The format
+/// is `field.inner: detail` or just `detail`.
+fn split_path(message: &str) -> (&str, &str) {
     let is_path = |text: &str| {
         !text.is_empty()
             && text.chars().all(|c| c.is_alphanumeric() || matches!(c, '_' | '-' | '.' | '[' | ']'))
     };
-    match said.split_once(": ") {
+    match message.split_once(": ") {
         Some((path, detail)) if is_path(path) => (path, detail),
-        _ => ("", said),
+        _ => ("", message),
     }
 }
 
@@ -108,17 +110,17 @@
 fn nearest(name: &str, allowed: &[String]) -> Option<String> {
     let scored = allowed.iter().map(|known| (strsim::jaro_winkler(name, known), known));
     let (score, known) = scored.max_by(|a, b| a.0.total_cmp(&b.0))?;
-    (score >= ALIKE).then(|| known.clone())
+    (score >= MIN_SIMILARITY).then(|| known.clone())
 }
 
-fn anchor(settings: &mut Settings, folder: &Path) {
-    let place = |path: &mut std::path::PathBuf| *path = folder.join(&*path);
-    place(&mut settings.keys);
-    place(&mut settings.token);
-    settings.data.as_mut().map(place);
+fn resolve_paths(settings: &mut Settings, folder: &Path) {
+    let resolve = |path: &mut std::path::PathBuf| *path = folder.join(&*path);
+    resolve(&mut settings.keys);
+    resolve(&mut settings.token);
+    settings.data.as_mut().map(resolve);
     if let Some(tls) = &mut settings.tls {
-        place(&mut tls.certificate);
-        place(&mut tls.key);
-        place(&mut tls.roots);
+        resolve(&mut tls.certificate);
+        resolve(&mut tls.key);
+        resolve(&mut tls.roots);
     }
 }
--- a/components/settings/src/process.rs
+++ b/components/settings/src/process.rs
@@ -12,43 +12,44 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The settings of one process; its roles are the sections that are present.
+/// The settings of one process. The process has a role if the section of the role is present.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// The process's name, unique over the deployment.
+    /// The name of the process, unique within the deployment.
     pub node: Node,
     /// The region in which it runs.
     pub region: Region,
     /// The data centre in which it runs.
     pub data_centre: DataCentre,
-    /// Where it answers HTTP.
+    /// The address of its HTTP server.
     pub listen: SocketAddr,
-    /// Where it takes gossip, by UDP.
+    /// The UDP address at which it receives gossip.
     pub gossip: SocketAddr,
-    /// Gossip addresses of a few processes that are usually there.
+    /// The gossip addresses of a few processes that are usually available.
     pub seeds: Vec<SocketAddr>,
-    /// The data folder; a control process needs one, others keep their configuration in it.
+    /// The data folder. It is required for a control process; others store their configuration in
+    /// it.
     pub data: Option<PathBuf>,
-    /// The file with the keys of all who may call this process.
+    /// The file with the keys of everyone who may call this process.
     pub keys: PathBuf,
-    /// The file with the token by which this process presents itself.
+    /// The file with the token that authenticates this process.
     pub token: PathBuf,
-    /// TLS, if it is to be used.
+    /// The TLS settings; without them, TLS is not used.
     pub tls: Option<TlsSettings>,
-    /// Where metrics go, by UDP.
+    /// The UDP address that metrics are sent to.
     pub metrics: Option<SocketAddr>,
-    /// What is logged, in the words of `tracing`'s filter.
+    /// The log filter, in the syntax of `tracing`.
     pub log: String,
-    /// How long a graceful shutdown may take, in milliseconds.
+    /// The maximum duration of a graceful shutdown, in milliseconds.
     pub grace_ms: u64,
-    /// Bounds on what others may make this process hold.
+    /// The limits on requests and connections of other processes and callers.
     pub bounds: BoundSettings,
-    /// The entry role.
+    /// The settings of the entry role.
     pub entry: Option<EntrySettings>,
-    /// The control role.
+    /// The settings of the control role.
     pub control: Option<ControlSettings>,
-    /// The agent role.
+    /// The settings of the agent role.
     pub agent: Option<AgentSettings>,
 }
 
@@ -76,7 +77,7 @@
     }
 }
 
-/// TLS files, all PEM.
+/// The TLS files, all in PEM format.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsSettings {
@@ -84,21 +85,21 @@
     pub certificate: PathBuf,
     /// Its private key.
     pub key: PathBuf,
-    /// The roots that this process trusts when it calls others.
+    /// The root certificates that this process trusts when it calls others.
     pub roots: PathBuf,
 }
 
-/// Bounds on what others may make a process hold.
+/// The limits on requests and connections of other processes and callers.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BoundSettings {
-    /// Bytes of a body.
+    /// The maximum size of a body, in bytes.
     pub body: usize,
-    /// Connections open at once.
+    /// The maximum number of open connections.
     pub connections: usize,
-    /// Milliseconds in which a client must send its headers, and again its body.
+    /// The timeout for receiving the headers of a request, and again for its body, in milliseconds.
     pub read_ms: u64,
-    /// Threads that serve HTTP.
+    /// The number of threads that serve HTTP.
     pub workers: usize,
 }
 
@@ -108,26 +109,29 @@
     }
 }
 
-/// The entry role.
+/// The settings of the entry role.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EntrySettings {
-    /// Requests in progress at once.
+    /// The maximum number of requests in progress.
     pub running: usize,
-    /// Requests that wait for an endpoint at once.
+    /// The maximum number of requests that wait for an endpoint.
     pub waiting: usize,
-    /// Endpoints of one model that this entry uses; others serve the rest (docs/ARCHITECTURE.md).
+    /// The number of endpoints per model that this entry uses; other entries use the rest
+    /// (docs/ARCHITECTURE.md).
     pub subset: usize,
-    /// Milliseconds without a frame after which a stream counts as silent.
+    /// Milliseconds without a frame after which a stream is considered silent.
     pub silence_ms: u64,
     /// Milliseconds without tokens after which an urgent request that may be repeated gets a second
-    /// attempt, until its model's times are learned (docs/ENTRY.md).
+    /// attempt. It applies until enough latencies of the model have been measured (docs/ENTRY.md).
     pub rescue_ms: u64,
-    /// Whether versions that are expected while a sample runs are taken from its bound beforehand.
+    /// Whether the number of versions expected to be published during the run of a sample is
+    /// subtracted from its freshness bound in advance.
     pub predict: bool,
-    /// Whether the last few samples of a group that run late get a second maker.
+    /// Whether the last few samples of a group get a second run if they are late.
     pub hedge: bool,
-    /// Bytes of finished samples held for trainers, in memory (docs/STEPS.md).
+    /// The maximum size of finished samples that are held in memory for trainers, in bytes
+    /// (docs/STEPS.md).
     pub bodies: usize,
 }
 
@@ -146,24 +150,26 @@
     }
 }
 
-/// The control role.
+/// The settings of the control role.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ControlSettings {
-    /// The replicas with which the deployment first starts, this one included.
+    /// The initial replicas of the deployment, including this one.
     pub replicas: Vec<Replica>,
-    /// Whether this process joins replicas that already run, as a non-voter with an empty disk.
+    /// Whether this process joins replicas that are already running, as a non-voter with an empty
+    /// disk.
     pub join: bool,
-    /// The data folder of a replica of a deployment whose majority is lost, from which this
-    /// process starts a new one, alone (docs/CONTROL.md).
+    /// The data folder of a replica of a deployment that has lost its majority. This process starts
+    /// a new deployment from it, as the only replica (docs/CONTROL.md).
     pub restore_from: Option<PathBuf>,
-    /// The longest time without word from a leader before an election, in milliseconds.
+    /// The maximum time without a message from a leader before an election, in milliseconds.
     pub election_ms: u64,
-    /// The time between a leader's heartbeats, in milliseconds.
+    /// The interval between the heartbeats of a leader, in milliseconds.
     pub heartbeat_ms: u64,
     /// Milliseconds after which an entry that does not renew its session loses its steps.
     pub session_ms: u64,
-    /// The share of a model's samplers that may be out of service for new weights, in percent.
+    /// The maximum share of a model's engines that may be out of service while they load new
+    /// weights, in percent.
     pub swap_percent: u32,
 }
 
@@ -181,33 +187,33 @@
     }
 }
 
-/// One of the first replicas.
+/// One of the initial replicas.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Replica {
     /// Its name.
     pub node: Node,
-    /// Where it answers HTTP.
+    /// The address of its HTTP server.
     pub address: String,
 }
 
-/// The agent role.
+/// The settings of the agent role.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AgentSettings {
     /// The endpoint's name.
     pub endpoint: Endpoint,
-    /// What it is.
+    /// The kind of the endpoint.
     pub kind: EndpointKind,
-    /// Where it answers HTTP.
+    /// The address of the endpoint's HTTP server.
     pub address: String,
     /// The models or the service that it offers.
     pub models: Vec<Model>,
-    /// How many attempts it can run at once.
+    /// How many attempts it can run concurrently.
     pub slots: u32,
-    /// How many attempts may wait at the agent for a slot.
+    /// How many attempts may be queued at the agent for a slot.
     pub waiting: u32,
-    /// Milliseconds between two questions for its load.
+    /// The interval between two queries of the endpoint's load, in milliseconds.
     pub report_ms: u64,
 }
 
--- a/components/settings/src/template.rs
+++ b/components/settings/src/template.rs
@@ -1,4 +1,4 @@
-//! Reads templates from YAML; a file may hold several, separated by `---`.
+//! Loading of templates from YAML files. A file may contain several, separated by `---`.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -12,45 +12,45 @@
 use crate::error::SettingsError;
 use crate::load;
 
-/// Reads and checks the templates of a file.
+/// Reads and validates the templates of a file.
 ///
 /// # Errors
 ///
-/// [`SettingsError`], which names the file, the line, the field and what is allowed.
+/// Returns [`SettingsError`] with the file, the line, the field and the allowed values.
 pub fn load_templates(file: &Path) -> Result<Vec<Template>, SettingsError> {
     let text =
         std::fs::read_to_string(file).map_err(|e| SettingsError::Read(file.to_owned(), e))?;
     parse_templates(file, &text)
 }
 
-/// Checks the text of templates; `file` is only named in errors.
+/// Parses and validates the text of templates. `file` is used only in error messages.
 ///
 /// # Errors
 ///
-/// As [`load_templates`].
+/// Returns the errors of [`load_templates`].
 pub fn parse_templates(file: &Path, text: &str) -> Result<Vec<Template>, SettingsError> {
-    let starts = starts(text);
+    let starts = document_starts(text);
     let mut templates = Vec::new();
     let mut seen = BTreeSet::new();
-    for (index, read) in serde_yaml_ng::Deserializer::from_str(text).enumerate() {
-        let template: Template = load::document(file, read)?;
+    for (index, deserializer) in serde_yaml_ng::Deserializer::from_str(text).enumerate() {
+        let template: Template = load::parse_document(file, deserializer)?;
         let mut faults = check(&template);
         if !seen.insert(template.workspace.clone()) {
-            let twice = Problem::Twice(template.workspace.0.clone());
-            faults.push(Fault { field: "workspace".to_owned(), problem: twice });
+            let duplicate = Problem::Twice(template.workspace.0.clone());
+            faults.push(Fault { field: "workspace".to_owned(), problem: duplicate });
         }
         let from = starts.get(index).copied().unwrap_or(1);
-        load::refuse(file, text, from, faults)?;
+        load::reject_faults(file, text, from, faults)?;
         templates.push(template);
     }
     Ok(templates)
 }
 
-/// Finds what is wrong with a template.
+/// Returns all faults of a template.
 pub fn check(template: &Template) -> Vec<Fault> {
     let mut faults = Faults::default();
     faults.name("workspace", template.workspace.as_str());
-    names(&mut faults, template);
+    check_names(&mut faults, template);
     faults.range("limits.rate", template.limits.rate.into(), 1, 1_000_000);
     faults.range("limits.running", template.limits.running.into(), 1, 1_000_000);
     faults.range("limits.tokens", template.limits.tokens.into(), 1, 10_000_000);
@@ -62,7 +62,7 @@
     faults.0
 }
 
-fn names(faults: &mut Faults, template: &Template) {
+fn check_names(faults: &mut Faults, template: &Template) {
     if template.models.is_empty() {
         let needed = "a workspace uses at least one model or service";
         faults.add("models", Problem::Missing(needed));
@@ -87,19 +87,19 @@
     template.scorer.iter().for_each(|scorer| faults.name("scorer", scorer.as_str()));
 }
 
-/// Finds the first line of each document.
-fn starts(text: &str) -> Vec<usize> {
+/// Returns the first line of each document, counted from one.
+fn document_starts(text: &str) -> Vec<usize> {
     let mut starts = Vec::new();
-    let mut filled = false;
+    let mut has_content = false;
     for (index, line) in text.lines().enumerate() {
         if line.trim_end() == "---" {
-            filled = false;
+            has_content = false;
             starts.push(index + 2);
             continue;
         }
         let content = !line.trim().is_empty() && !line.trim_start().starts_with('#');
-        if content && !filled {
-            filled = true;
+        if content && !has_content {
+            has_content = true;
             if starts.is_empty() {
                 starts.push(1);
             }
--- a/components/settings/tests/docs.rs
+++ b/components/settings/tests/docs.rs
@@ -1,4 +1,4 @@
-//! docs/SETTINGS.md says what the program does: every field, its default and its range.
+//! docs/SETTINGS.md matches the code: it lists every field with its default and range.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -19,8 +19,8 @@
     range: String,
 }
 
-/// Reads the tables that have a column of ranges.
-fn rows() -> BTreeMap<String, Row> {
+/// Parses the tables of the page that have a column of ranges.
+fn documented_rows() -> BTreeMap<String, Row> {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/SETTINGS.md");
     let text = std::fs::read_to_string(page).unwrap();
     let mut rows = BTreeMap::new();
@@ -49,14 +49,14 @@
     serde_yaml_ng::to_value(Template::default()).unwrap()
 }
 
-/// Lists the fields below `value` with their values as the page writes them.
-fn fields(value: &Value, path: &str, found: &mut BTreeMap<String, String>) {
+/// Collects the fields below `value` with their values, in the notation of the page.
+fn collect_fields(value: &Value, path: &str, found: &mut BTreeMap<String, String>) {
     match value {
         Value::Mapping(map) if !map.is_empty() => {
             for (key, inner) in map {
                 let name = key.as_str().unwrap();
                 let path = if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
-                fields(inner, &path, found);
+                collect_fields(inner, &path, found);
             }
         }
         Value::Null => {
@@ -70,38 +70,38 @@
 }
 
 fn set(value: &mut Value, path: &str, number: u64) {
-    let mut place = value;
+    let mut target = value;
     for name in path.split('.') {
-        place = place.get_mut(name).unwrap();
+        target = target.get_mut(name).unwrap();
     }
-    *place = Value::from(number);
+    *target = Value::from(number);
 }
 
-fn out_of_range(faults: &[Fault], path: &str) -> bool {
+fn has_range_fault(faults: &[Fault], path: &str) -> bool {
     faults.iter().any(|f| f.field == path && matches!(f.problem, Problem::Range { .. }))
 }
 
-/// Tells whether a number is out of the range of a field; none if it does not fit its type.
-fn refused(path: &str, number: u64) -> Option<bool> {
+/// Returns whether a number is out of the range of a field, or `None` if it does not fit its type.
+fn is_out_of_range(path: &str, number: u64) -> Option<bool> {
     let (mut all, mut one) = (settings(), template());
     let mut known = BTreeMap::new();
-    fields(&all, "", &mut known);
+    collect_fields(&all, "", &mut known);
     if known.contains_key(path) {
         set(&mut all, path, number);
         let read = serde_yaml_ng::from_value::<Settings>(all).ok()?;
-        return Some(out_of_range(&check::settings(&read), path));
+        return Some(has_range_fault(&check::settings(&read), path));
     }
     set(&mut one, path, number);
     let read = serde_yaml_ng::from_value::<Template>(one).ok()?;
-    Some(out_of_range(&template::check(&read), path))
+    Some(has_range_fault(&template::check(&read), path))
 }
 
 #[test]
 fn documents_every_field_with_its_default() {
-    let rows = rows();
+    let rows = documented_rows();
     let mut known = BTreeMap::new();
-    fields(&settings(), "", &mut known);
-    fields(&template(), "", &mut known);
+    collect_fields(&settings(), "", &mut known);
+    collect_fields(&template(), "", &mut known);
     for (field, default) in &known {
         let row = rows.get(field).unwrap_or_else(|| panic!("`{field}` is not documented"));
         let required = row.default == "required" && default == "''";
@@ -118,19 +118,27 @@
 
 #[test]
 fn documents_every_range() {
-    for (field, row) in rows() {
+    for (field, row) in documented_rows() {
         let Some((least, most)) = row.range.split_once(" to ") else { continue };
         let (least, most): (u64, u64) = (least.parse().unwrap(), most.parse().unwrap());
         assert_eq!(
-            refused(&field, least),
+            is_out_of_range(&field, least),
             Some(false),
             "{field}: {least} is documented as allowed"
         );
-        assert_eq!(refused(&field, most), Some(false), "{field}: {most} is documented as allowed");
-        assert_ne!(refused(&field, most + 1), Some(false), "{field}: {most} is not the greatest");
+        assert_eq!(
+            is_out_of_range(&field, most),
+            Some(false),
+            "{field}: {most} is documented as allowed"
+        );
+        assert_ne!(
+            is_out_of_range(&field, most + 1),
+            Some(false),
+            "{field}: {most} is not the greatest"
+        );
         if least > 0 {
             assert_ne!(
-                refused(&field, least - 1),
+                is_out_of_range(&field, least - 1),
                 Some(false),
                 "{field}: {least} is not the least"
             );
--- a/components/settings/tests/settings.rs
+++ b/components/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: defaults, and each kind of error with its line, field and allowed values.
+//! Settings: their defaults, and the line, field and allowed values in each kind of error.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 use chicoryford_settings::parse;
 use quickcheck::quickcheck;
 
-const SOUND: &str = "\
+const VALID: &str = "\
 node: ston-1
 data: state
 entry: {}
@@ -22,12 +22,12 @@
 }
 
 fn error(text: &str) -> String {
-    read(text).expect_err("the text has an error").to_string()
+    read(text).expect_err("the text is invalid").to_string()
 }
 
 #[test]
 fn can_read_settings_with_defaults() {
-    let settings = read(SOUND).unwrap();
+    let settings = read(VALID).unwrap();
     let defaults = Settings::default();
     assert_eq!(settings.node.as_str(), "ston-1");
     assert_eq!(settings.grace_ms, defaults.grace_ms);
@@ -37,8 +37,8 @@
 
 #[test]
 fn errors_on_an_unknown_field_with_the_nearest_name() {
-    // Symptom: a bound that an operator set has no effect. Sequence: the field is misspelt, the
-    // reader skips it, the default holds. Cause: unknown fields were not refused.
+    // Guards against a limit that has no effect because its field is misspelled: the parser used to
+    // ignore unknown fields, so the default applied.
     let text = "node: a\nentry:\n  silense_ms: 5000\n";
     let expected = "node.yaml:3: entry: unknown field `silense_ms`, did you mean `silence_ms`?; \
                     allowed: running, waiting, subset, silence_ms, rescue_ms, predict, \
@@ -47,10 +47,13 @@
 }
 
 #[test]
-fn errors_on_an_unknown_field_that_is_like_none() {
+fn errors_on_an_unknown_field_without_a_similar_name() {
     let text = "node: a\nqqq: 1\n";
-    let said = error(text);
-    assert!(said.starts_with("node.yaml:2: unknown field `qqq`; allowed: node, region"), "{said}");
+    let message = error(text);
+    assert!(
+        message.starts_with("node.yaml:2: unknown field `qqq`; allowed: node, region"),
+        "{message}"
+    );
 }
 
 #[test]
@@ -63,16 +66,16 @@
 #[test]
 fn errors_on_a_wrong_variant_with_the_allowed_ones() {
     let text = "agent:\n  kind: motor\n";
-    let said = error(text);
+    let message = error(text);
     let expected =
         "node.yaml:2: agent.kind: unknown variant `motor`, expected `engine` or `service`";
-    assert_eq!(said, expected);
+    assert_eq!(message, expected);
 }
 
 #[test]
 fn errors_on_malformed_yaml() {
-    let said = error("node: [a\n");
-    assert!(said.starts_with("node.yaml:"), "{said}");
+    let message = error("node: [a\n");
+    assert!(message.starts_with("node.yaml:"), "{message}");
     assert!(matches!(read("node: [a\n"), Err(SettingsError::Malformed { .. })));
 }
 
@@ -106,29 +109,29 @@
 
 #[test]
 fn errors_on_a_process_without_a_role() {
-    let said = error("node: a\n");
-    assert!(said.contains("allowed: a section `entry`, `control` or `agent`"), "{said}");
+    let message = error("node: a\n");
+    assert!(message.contains("allowed: a section `entry`, `control` or `agent`"), "{message}");
 }
 
 #[test]
-fn errors_on_a_file_that_is_not_there() {
-    let gone = chicoryford_settings::load(Path::new("gone.yaml"));
-    assert!(matches!(gone, Err(SettingsError::Read(..))));
+fn errors_on_a_missing_file() {
+    let missing = chicoryford_settings::load(Path::new("gone.yaml"));
+    assert!(matches!(missing, Err(SettingsError::Read(..))));
 }
 
 #[test]
-fn can_find_files_beside_the_settings() {
+fn relative_paths_are_resolved_against_the_settings_folder() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("node.yaml");
-    std::fs::write(&file, SOUND).unwrap();
+    std::fs::write(&file, VALID).unwrap();
     let settings = chicoryford_settings::load(&file).unwrap();
     assert_eq!(settings.keys, folder.path().join("keys"));
     assert_eq!(settings.data, Some(folder.path().join("state")));
 }
 
 quickcheck! {
-    fn refuses_or_reads_any_text(text: String) -> bool {
-        // Whatever the text, reading it ends with settings or an error that names the file.
+    fn parses_or_rejects_any_text(text: String) -> bool {
+        // Any text results in settings or in an error that names the file.
         match read(&text) {
             Ok(_) => true,
             Err(error) => error.to_string().starts_with("node.yaml"),
--- a/components/settings/tests/templates.rs
+++ b/components/settings/tests/templates.rs
@@ -1,4 +1,4 @@
-//! Templates: several in a file, and errors with their lines.
+//! Templates: several in one file, and errors with their lines.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 use chicoryford_types::Principal;
 
 fn error(text: &str) -> String {
-    parse_templates(Path::new("t.yaml"), text).expect_err("the text has an error").to_string()
+    parse_templates(Path::new("t.yaml"), text).expect_err("the text is invalid").to_string()
 }
 
 const TWO: &str = "\
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn errors_on_a_workspace_that_is_there_twice() {
+fn errors_on_a_duplicate_workspace() {
     let text = TWO.replace("workspace: labels", "workspace: desk");
     assert_eq!(error(&text), "t.yaml:8: workspace: \"desk\" is listed twice");
 }
@@ -55,15 +55,18 @@
 #[test]
 fn errors_on_a_misspelt_field_with_the_nearest_name() {
     let text = TWO.replace("repeatable", "repeatabel");
-    let said = error(&text);
-    assert!(said.contains("unknown field `repeatabel`, did you mean `repeatable`?"), "{said}");
+    let message = error(&text);
+    assert!(
+        message.contains("unknown field `repeatabel`, did you mean `repeatable`?"),
+        "{message}"
+    );
 }
 
 #[test]
 fn errors_on_a_workspace_without_models() {
     let text = "workspace: desk\n";
     let expected = "t.yaml:1: models: a workspace uses at least one model or service";
-    // The field is not written; its place is the first line of the template.
+    // The field is absent, so the error refers to the first line of the template.
     assert_eq!(error(text), expected);
 }
 
